--- a/eventstream/eventstream.go
+++ b/eventstream/eventstream.go
@@ -1,5 +1,5 @@
-// Package eventstream cuts a text/event-stream into whole events without
-// changing a byte of them, and tells their ids.
+// Package eventstream splits a text/event-stream into events without altering their bytes,
+// and parses their IDs.
 package eventstream
 
 import (
@@ -14,23 +14,22 @@
 // MaxEvent bounds one event, in bytes.
 const MaxEvent = 1 << 20
 
-// ErrTooLong says that an event is longer than MaxEvent.
+// ErrTooLong reports an event longer than MaxEvent.
 var ErrTooLong = errors.New("event too long")
 
-// Event is one event as its sender wrote it, blank line included.
+// Event is one event with its original bytes, including the final blank line.
 type Event struct {
 	Raw   []byte
 	ID    int64
-	HasID bool // ID holds a whole number that the event named
+	HasID bool // the event has an integer ID
 }
 
-// Reader reads events. What follows the last blank line is kept apart: it is
-// part of an event that was cut off, or of a stream without a blank line at
-// its end.
+// Reader reads events. Bytes after the last blank line are kept as the remainder: a
+// truncated event, or the end of a stream without a final blank line.
 type Reader struct {
-	source *bufio.Reader
-	event  []byte
-	rest   []byte
+	source    *bufio.Reader
+	event     []byte
+	remainder []byte
 }
 
 const readBuffer = 2 << 10
@@ -40,21 +39,21 @@
 	return &Reader{source: bufio.NewReaderSize(r, readBuffer)}
 }
 
-// Buffered reports whether more bytes are at hand without waiting.
+// Buffered reports whether bytes can be read without blocking.
 func (r *Reader) Buffered() bool { return r.source.Buffered() > 0 }
 
-// Rest returns what was read behind the last whole event.
-func (r *Reader) Rest() []byte { return r.rest }
+// Remainder returns the bytes after the last complete event.
+func (r *Reader) Remainder() []byte { return r.remainder }
 
-// Next returns the next whole event; the event is valid until the next call.
-// Any error is the source's, io.EOF at its end.
+// Next returns the next complete event, which is valid until the next call. Errors are
+// those of the source, or ErrTooLong.
 func (r *Reader) Next() (Event, error) {
 	r.event = r.event[:0]
 	e := Event{}
 	for {
 		start := len(r.event)
-		if err := r.line(); err != nil {
-			r.rest = r.event
+		if err := r.readLine(); err != nil {
+			r.remainder = r.event
 			return Event{}, err
 		}
 		line := bytes.TrimRight(r.event[start:], "\r\n")
@@ -68,8 +67,8 @@
 	}
 }
 
-// line adds one line to the event.
-func (r *Reader) line() error {
+// readLine appends one line to the event.
+func (r *Reader) readLine() error {
 	for {
 		part, err := r.source.ReadSlice('\n')
 		r.event = append(r.event, part...)
@@ -85,7 +84,7 @@
 	}
 }
 
-// parseID reads an id line that holds a whole number.
+// parseID parses an id line with an integer value.
 func parseID(line []byte) (int64, bool) {
 	value, ok := bytes.CutPrefix(line, []byte("id:"))
 	if !ok {
--- a/eventstream/eventstream_test.go
+++ b/eventstream/eventstream_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestEventsKeepTheirBytes(t *testing.T) {
+func TestEventsAreReadUnchanged(t *testing.T) {
 	text := "id: 1\ndata: a\n\nid:2\r\ndata: b\r\n\r\n: note\n\nid: 3\ndata: cut"
 	for _, source := range []io.Reader{strings.NewReader(text), iotest.OneByteReader(strings.NewReader(text))} {
 		r := NewReader(source)
@@ -27,8 +27,8 @@
 			}
 		}
 		require.Equal(t, []int64{1, 2}, ids)
-		require.Equal(t, text, whole.String()+string(r.Rest()))
-		require.Equal(t, "id: 3\ndata: cut", string(r.Rest()))
+		require.Equal(t, text, whole.String()+string(r.Remainder()))
+		require.Equal(t, "id: 3\ndata: cut", string(r.Remainder()))
 	}
 }
 
@@ -51,6 +51,6 @@
 			}
 			whole.Write(e.Raw)
 		}
-		require.Equal(t, text, whole.String()+string(r.Rest()))
+		require.Equal(t, text, whole.String()+string(r.Remainder()))
 	})
 }
--- a/gateway/ask.go
+++ b/gateway/ask.go
@@ -11,104 +11,100 @@
 	"k8s.io/klog/v2"
 )
 
-// Signs are what an answer tells of its target's wish for more requests.
+// Signs are the backpressure signals in a target's answer.
 type Signs struct {
-	// Rest is for how long the target wants nothing from this node; 0 if the answer
-	// does not say.
+	// Rest is the backoff that the target requests; 0 for none.
 	Rest time.Duration
-	// Leaves says that the target is to end, and wants no new requests.
+	// Leaves reports that the target is shutting down and takes no new requests.
 	Leaves bool
 }
 
-// Why a request is not sent to a target that was chosen.
+// Reasons why a request is not sent to the selected target.
 var (
-	errNotWanted   = errors.New("the target wants no request now")
-	errBudgetSpent = errors.New("the budget for repeats is spent")
+	errNotAdmitted = errors.New("target accepts no requests now")
+	errBudgetSpent = errors.New("retry budget exhausted")
 )
 
-// notSent reports whether an error says that a request was kept back at the last moment.
-func notSent(err error) bool { return errors.Is(err, errNotWanted) || errors.Is(err, errBudgetSpent) }
+// notSent reports whether err means that the request was withheld before sending.
+func notSent(err error) bool { return errors.Is(err, errNotAdmitted) || errors.Is(err, errBudgetSpent) }
 
-// payAtSend has a repeat paid for as it is sent, where that was not done when it was decided
-// on, or too long ago: each arrival counts when it comes, by whichever way.
-func (g *Gateway) payAtSend(c *call) error {
-	if !c.payRepeat(g.budgets.Of(c.service)) {
+// chargeRetry charges a retry to the budget immediately before it is sent, unless a
+// reservation made when the retry was decided on is still valid.
+func (g *Gateway) chargeRetry(c *call) error {
+	if !c.reserveRetry(g.budgets.Of(c.service)) {
 		return errBudgetSpent
 	}
-	if c.asked {
+	if c.contacted {
 		g.counters.retries.Inc()
 	}
 	return nil
 }
 
-// purpose says what a target is asked for.
+// purpose classifies a call to a target, for metrics.
 type purpose string
 
 // The purposes.
 const (
-	purposeFirst  purpose = "first"  // a client's request that reached no target yet
-	purposeRepeat purpose = "repeat" // one that targets turned away or failed
-	purposeResume purpose = "resume" // the rest of a stream
-	purposeCopy   purpose = "copy"   // an order that concerns a run's copy
+	purposeFirst  purpose = "first"  // a client request that has reached no target yet
+	purposeRetry  purpose = "repeat" // a request that other targets rejected or failed
+	purposeResume purpose = "resume" // the remainder of a stream
+	purposeCopy   purpose = "copy"   // an order about the KV-cache copy of a run
 )
 
-// purpose says what the next target is asked for.
+// purpose returns the purpose of the next attempt.
 func (c *call) purpose() purpose {
 	switch {
 	case c.hasLast:
 		return purposeResume
-	case c.asked:
-		return purposeRepeat
+	case c.contacted:
+		return purposeRetry
 	}
 	return purposeFirst
 }
 
-// ask sends a request to a target, if that wants it, and takes what the head of the
-// answer tells of the target itself. All that reaches targets goes this way, so that
-// none is sent what it does not want by any: of targets that ask for 2 s of rest
-// under load, a node sent one 6 first requests, 15 repeats and 7 runs meanwhile, and
-// 40 to one that is its service's only one; none since
-// (TestTargetThatAskedForRestIsLeftAlone).
-func (g *Gateway) ask(ctx context.Context, t *balance.Target, why purpose, r *targetconn.Request) (*targetconn.Answer, error) {
-	wanted := t.Admit
+// send sends a request to a target that accepts it, and applies the load and
+// backpressure signals in the head of the answer. Every call to a target goes through
+// here, so that none bypasses admission.
+func (g *Gateway) send(ctx context.Context, t *balance.Target, why purpose, r *targetconn.Request) (*targetconn.Answer, error) {
+	accepts := t.Admit
 	if why == purposeCopy {
-		wanted = func() bool { return !t.Rests() } // a run is copied away from a target that leaves
+		accepts = func() bool { return !t.Rests() } // runs are copied off a target that is shutting down
 	}
-	if !wanted() {
+	if !accepts() {
 		g.counters.notSent(why)
-		return nil, errNotWanted
+		return nil, errNotAdmitted
 	}
-	pay := r.Gate
+	charge := r.Gate
 	r.Gate = func() error {
 		if t.Rests() {
-			return errNotWanted
+			return errNotAdmitted
 		}
-		if pay != nil {
-			return pay()
+		if charge != nil {
+			return charge()
 		}
 		return nil
 	}
 	answer, err := g.pool.Do(ctx, endpoint(t), r)
-	if errors.Is(err, errNotWanted) {
+	if errors.Is(err, errNotAdmitted) {
 		g.counters.notSent(why)
 	}
 	if err != nil {
 		return nil, err
 	}
-	g.noteLoad(t, answer.Header)
-	g.noteSigns(t, r.Identity, answer)
+	g.applyLoad(t, answer.Header)
+	g.applySigns(t, r.Identity, answer)
 	return answer, nil
 }
 
-// noteSigns takes what an answer tells of the requests that its target wants.
-func (g *Gateway) noteSigns(t *balance.Target, request string, a *targetconn.Answer) {
+// applySigns applies the backpressure signals of an answer to its target.
+func (g *Gateway) applySigns(t *balance.Target, request string, a *targetconn.Answer) {
 	if g.cfg.Names.ParseSigns == nil {
 		return
 	}
 	signs := g.cfg.Names.ParseSigns(a.Status, a.Header)
 	if signs.Rest > 0 {
 		t.AskedForRest(signs.Rest)
-		g.counters.rests.Inc()
+		g.counters.backoffs.Inc()
 		klog.InfoS("Target asks for rest", "request", request, "target", t.ID, "status", a.Status, "rest_ms", signs.Rest.Milliseconds())
 	} else {
 		t.Answered()
@@ -119,22 +115,22 @@
 	}
 }
 
-// noteLoad takes the load that an answer tells.
-func (g *Gateway) noteLoad(t *balance.Target, h http.Header) {
+// applyLoad applies the load that an answer reports.
+func (g *Gateway) applyLoad(t *balance.Target, h http.Header) {
 	value := h.Get(g.cfg.Names.Load)
 	if value == "" || g.cfg.Names.ParseLoad == nil {
 		return
 	}
 	l, ok := g.cfg.Names.ParseLoad(value)
 	if !ok {
-		g.counters.badLoads.Inc()
+		g.counters.invalidLoads.Inc()
 		return
 	}
 	t.Told(l)
 }
 
-// noteNotSent notes that a call was not sent to the target that was chosen for it.
-func (g *Gateway) noteNotSent(c *call, t *balance.Target) {
-	c.watched.Dropped()
-	c.turned[t] = true
+// recordNotSent records that a call was withheld from its selected target.
+func (g *Gateway) recordNotSent(c *call, t *balance.Target) {
+	c.rolloutRequest.Dropped()
+	c.rejected[t] = true
 }
--- a/gateway/ask_test.go
+++ b/gateway/ask_test.go
@@ -16,21 +16,21 @@
 	"github.com/walnutramp/walnutramp/internal/uptime"
 )
 
-// overloaded turns requests away with a word on the rest that it wants, in seconds,
-// while it has too much to do; else it answers by a script.
-type overloaded struct {
-	rest   atomic.Int64
-	leaves atomic.Bool
-	script func(*fakeTarget, *http.Request, net.Conn)
+// throttlingTarget rejects requests with a backoff in seconds while one is set; else it
+// answers by a script.
+type throttlingTarget struct {
+	backoff  atomic.Int64
+	stopping atomic.Bool
+	script   func(*fakeTarget, *http.Request, net.Conn)
 }
 
-func (d *overloaded) answer(f *fakeTarget, r *http.Request, c net.Conn) {
-	if rest := d.rest.Load(); rest > 0 {
-		reply(c, r.Header.Get("X-Id"), 503, "", "X-Not-Run: 1", fmt.Sprintf("X-Rest: %d", rest))
+func (d *throttlingTarget) answer(f *fakeTarget, r *http.Request, c net.Conn) {
+	if seconds := d.backoff.Load(); seconds > 0 {
+		reply(c, r.Header.Get("X-Id"), 503, "", "X-Not-Run: 1", fmt.Sprintf("X-Rest: %d", seconds))
 		return
 	}
-	if d.leaves.Load() {
-		reply(c, r.Header.Get("X-Id"), 200, "last words", "X-Leaves: 1")
+	if d.stopping.Load() {
+		reply(c, r.Header.Get("X-Id"), 200, "stopping", "X-Leaves: 1")
 		return
 	}
 	if d.script != nil {
@@ -40,65 +40,63 @@
 	reply(c, r.Header.Get("X-Id"), 200, "ok")
 }
 
-func newOverloaded(seconds int64) *overloaded {
-	d := &overloaded{}
-	d.rest.Store(seconds)
+func newThrottlingTarget(seconds int64) *throttlingTarget {
+	d := &throttlingTarget{}
+	d.backoff.Store(seconds)
 	return d
 }
 
-// parseTestSigns reads the signs of the tests' dialect.
+// parseTestSigns reads the backpressure signals of the tests' dialect.
 func parseTestSigns(status int, h http.Header) Signs {
 	seconds, _ := strconv.Atoi(h.Get("X-Rest"))
 	return Signs{Rest: time.Duration(seconds) * time.Second, Leaves: h.Get("X-Leaves") == "1"}
 }
 
-// ask sends a request on a route and returns its status and body.
-func (s *site) ask(t *testing.T, path string) (int, string) {
+// post sends a request on a route and returns its status and body.
+func (s *testSite) post(t *testing.T, path string) (int, string) {
 	t.Helper()
 	resp, body, err := do(t, s.request(t, "POST", path, "x", "X-Usage", "100,60", "X-Deadline", "9000"))
 	require.NoError(t, err)
 	return resp.StatusCode, body
 }
 
-// target returns a target by its ID.
-func (s *site) target(id string) *balance.Target {
+func (s *testSite) target(id string) *balance.Target {
 	return s.tracker.Pick(balance.Choice{Service: "draft", Exclude: func(t *balance.Target) bool { return t.ID != id }})
 }
 
-func TestTargetThatAskedForRestGetsNothing(t *testing.T) {
+func TestTargetIsNotCalledDuringItsBackoff(t *testing.T) {
 	for _, path := range []string{"/safe/", "/once/"} {
-		busy := newOverloaded(60)
+		busy := newThrottlingTarget(60)
 		targets := []*fakeTarget{
 			newFakeTarget(t, "i-1", "lookup", "north", busy.answer),
-			newFakeTarget(t, "i-2", "lookup", "north", newOverloaded(0).answer),
+			newFakeTarget(t, "i-2", "lookup", "north", newThrottlingTarget(0).answer),
 		}
-		s := newSite(t, targets)
+		s := newTestSite(t, targets)
 		for range 30 {
-			status, _ := s.ask(t, path)
+			status, _ := s.post(t, path)
 			require.Equal(t, 200, status)
 		}
-		require.Len(t, targets[0].seen(), 1, "the one that it turned away")
-		busy.rest.Store(0)
+		require.Len(t, targets[0].seen(), 1, "only the rejected request")
+		busy.backoff.Store(0)
 		t.Cleanup(uptime.Pretend(61 * time.Second))
 		for range 30 {
-			status, _ := s.ask(t, path)
+			status, _ := s.post(t, path)
 			require.Equal(t, 200, status)
 		}
-		require.Greater(t, len(targets[0].seen()), 5, "it has rested")
+		require.Greater(t, len(targets[0].seen()), 5, "its backoff is over")
 	}
 }
 
-// Its service's only target turned a request away: the next ones are refused at
-// once, as not run, and are told to come back when it has rested, not all at the
-// same moment.
-func TestRequestsOfATargetAloneWaitForItsRest(t *testing.T) {
+// While the only target backs off, requests must be rejected at once as not run, with a
+// Retry-After that covers the backoff and is jittered.
+func TestSoleTargetInBackoffRejectsWithRetryAfter(t *testing.T) {
 	for _, path := range []string{"/safe/", "/once/", "/draft/"} {
 		service := "lookup"
 		if path == "/draft/" {
 			service = "draft"
 		}
-		f := newFakeTarget(t, "i-1", service, "north", newOverloaded(40).answer)
-		s := newSite(t, []*fakeTarget{f})
+		f := newFakeTarget(t, "i-1", service, "north", newThrottlingTarget(40).answer)
+		s := newTestSite(t, []*fakeTarget{f})
 		began := time.Now()
 		after := map[string]bool{}
 		for range 5 {
@@ -113,85 +111,85 @@
 			after[resp.Header.Get("Retry-After")] = true
 		}
 		require.Len(t, f.seen(), 1)
-		require.Greater(t, len(after), 1, "not all at the same moment")
-		require.Less(t, time.Since(began), 400*time.Millisecond, "no request is held for what can't come in time")
+		require.Greater(t, len(after), 1, "Retry-After is jittered")
+		require.Less(t, time.Since(began), 400*time.Millisecond, "rejected without waiting")
 	}
 }
 
-// A rest that ends within what a request may wait is waited for.
-func TestShortRestIsWaitedFor(t *testing.T) {
-	busy := newOverloaded(60)
+// A backoff that ends within the wait limit must not fail the request.
+func TestRequestWaitsForAShortBackoff(t *testing.T) {
+	busy := newThrottlingTarget(60)
 	f := newFakeTarget(t, "i-1", "lookup", "north", busy.answer)
-	s := newSite(t, []*fakeTarget{f})
-	status, _ := s.ask(t, "/safe/")
+	s := newTestSite(t, []*fakeTarget{f})
+	status, _ := s.post(t, "/safe/")
 	require.Equal(t, 503, status)
-	busy.rest.Store(0)
+	busy.backoff.Store(0)
 	t.Cleanup(uptime.Pretend(60*time.Second - 200*time.Millisecond))
-	status, _ = s.ask(t, "/safe/")
+	status, _ = s.post(t, "/safe/")
 	require.Equal(t, 200, status)
 	require.Len(t, f.seen(), 2)
 }
 
-// All targets rest, then none: each gets one request first.
-func TestWhenAllTargetsRest(t *testing.T) {
-	busy := newOverloaded(60)
+// While all targets back off, each must get only the request it rejected, and serve again
+// afterwards.
+func TestAllTargetsInBackoff(t *testing.T) {
+	busy := newThrottlingTarget(60)
 	targets := []*fakeTarget{
 		newFakeTarget(t, "i-1", "lookup", "north", busy.answer), newFakeTarget(t, "i-2", "lookup", "north", busy.answer),
 	}
-	s := newSite(t, targets)
+	s := newTestSite(t, targets)
 	for range 10 {
-		status, _ := s.ask(t, "/once/")
+		status, _ := s.post(t, "/once/")
 		require.Equal(t, 503, status)
 	}
 	require.Len(t, targets[0].seen(), 1)
 	require.Len(t, targets[1].seen(), 1)
-	busy.rest.Store(0)
+	busy.backoff.Store(0)
 	t.Cleanup(uptime.Pretend(61 * time.Second))
 	for range 10 {
-		status, _ := s.ask(t, "/once/")
+		status, _ := s.post(t, "/once/")
 		require.Equal(t, 200, status)
 	}
 }
 
-// A target alone still has too much to do when its rest is over: of all that come
-// then, it has to turn one away.
-func TestTargetThatIsNotRestedTurnsOneRequestAway(t *testing.T) {
-	busy := newOverloaded(60)
+// A target that is still overloaded after its backoff must have to reject one request
+// only, however many arrive.
+func TestOnlyOneRequestProbesATargetAfterItsBackoff(t *testing.T) {
+	busy := newThrottlingTarget(60)
 	slow := busy.answer
 	f := newFakeTarget(t, "i-1", "lookup", "north", func(f *fakeTarget, r *http.Request, c net.Conn) {
-		time.Sleep(50 * time.Millisecond) // all others have come by then
+		time.Sleep(50 * time.Millisecond) // all other requests have arrived by then
 		slow(f, r, c)
 	})
-	s := newSite(t, []*fakeTarget{f})
-	status, _ := s.ask(t, "/once/")
+	s := newTestSite(t, []*fakeTarget{f})
+	status, _ := s.post(t, "/once/")
 	require.Equal(t, 503, status)
 	t.Cleanup(uptime.Pretend(61 * time.Second))
 	var wait sync.WaitGroup
 	for range 20 {
-		wait.Go(func() { s.ask(t, "/once/") })
+		wait.Go(func() { s.post(t, "/once/") })
 	}
 	wait.Wait()
 	require.Len(t, f.seen(), 2)
 }
 
-func TestTargetThatSaysItLeavesGetsNoMore(t *testing.T) {
-	leaver := newOverloaded(0)
-	leaver.leaves.Store(true)
+func TestStoppingTargetGetsNoNewRequests(t *testing.T) {
+	stopping := newThrottlingTarget(0)
+	stopping.stopping.Store(true)
 	targets := []*fakeTarget{
-		newFakeTarget(t, "i-1", "lookup", "north", leaver.answer), newFakeTarget(t, "i-2", "lookup", "north", newOverloaded(0).answer),
+		newFakeTarget(t, "i-1", "lookup", "north", stopping.answer), newFakeTarget(t, "i-2", "lookup", "north", newThrottlingTarget(0).answer),
 	}
-	s := newSite(t, targets)
+	s := newTestSite(t, targets)
 	for range 30 {
-		status, _ := s.ask(t, "/safe/")
+		status, _ := s.post(t, "/safe/")
 		require.Equal(t, 200, status)
-		s.tracker.Update(listed(targets)) // which does not know yet
+		s.tracker.Update(listed(targets)) // the list does not show it yet
 	}
 	require.Len(t, targets[0].seen(), 1)
 }
 
-// A run broke off, and the target that keeps its copy has asked for rest: the run
-// goes on elsewhere.
-func TestRunDoesNotGoOnAtAHolderThatRests(t *testing.T) {
+// The holder of the copy backs off when the run fails: the run must resume elsewhere.
+func TestRunDoesNotResumeAtAHolderInBackoff(t *testing.T) {
 	fresh := newFakeTarget(t, "i-4", "draft", "north", draft(nil))
 	s, body, err := newCopySite(t, http.StatusOK, func(s *copySite) bool {
 		if !s.copied() {
@@ -204,75 +202,75 @@
 	require.NoError(t, err)
 	require.Equal(t, wholeDraft(1), body)
 	require.Empty(t, s.other.seen())
-	require.Empty(t, fresh.seen()[0].Header.Get("X-Copy-From"), "read anew")
+	require.Empty(t, fresh.seen()[0].Header.Get("X-Copy-From"), "prefilled again")
 }
 
-// While a run is under way, its target says what it wants, and the copy is lost.
-func ordersAfter(t *testing.T, word func(*balance.Target)) []string {
+// copyOrdersAfter returns the copy orders that a target gets when it sends a signal during
+// a run whose copy is then lost.
+func copyOrdersAfter(t *testing.T, signal func(*balance.Target)) []string {
 	s := &copySite{}
 	others := []*fakeTarget{newFakeTarget(t, "i-2", "draft", "south", draft(nil)), newFakeTarget(t, "i-3", "draft", "west", draft(nil)),
 		newFakeTarget(t, "i-4", "draft", "east", draft(nil))}
-	source := newFakeTarget(t, "i-1", "draft", "north", copying(http.StatusOK, draft(func(f *fakeTarget, c net.Conn, n int) bool {
+	source := newFakeTarget(t, "i-1", "draft", "north", acceptingCopyOrders(http.StatusOK, draft(func(f *fakeTarget, c net.Conn, n int) bool {
 		if n == 3 {
-			word(s.target(f.id))
+			signal(s.target(f.id))
 			at := slices.IndexFunc(others, func(o *fakeTarget) bool { return o.l.Addr().String() == f.seen()[0].Header.Get("X-Copy-To") })
 			s.tracker.SetEnded([]string{others[at].id})
 		}
-		time.Sleep(copyWatch + 10*time.Millisecond)
+		time.Sleep(copyCheckInterval + 10*time.Millisecond)
 		return true
 	})))
-	s.site = newSite(t, append(others, source), WithStall(10*time.Second))
+	s.testSite = newTestSite(t, append(others, source), WithStall(10*time.Second))
 	_, body, err := do(t, s.request(t, "POST", "/draft/", "prompt", "X-Deadline", "9000", "X-Usage", "100,60", "X-Prefix", "part-1"))
 	require.NoError(t, err)
 	require.Equal(t, wholeDraft(1), body)
-	return ordersOf(source)
+	return copyOrdersOf(source)
 }
 
-func TestTargetThatRestsGetsNoOrders(t *testing.T) {
-	require.Empty(t, ordersAfter(t, func(target *balance.Target) { target.AskedForRest(time.Minute) }))
+func TestTargetInBackoffGetsNoCopyOrders(t *testing.T) {
+	require.Empty(t, copyOrdersAfter(t, func(target *balance.Target) { target.AskedForRest(time.Minute) }))
 }
 
-// Of a target that leaves the runs are copied away.
-func TestTargetThatLeavesGetsOrders(t *testing.T) {
-	require.NotEmpty(t, ordersAfter(t, (*balance.Target).SaidLeaving))
+// Runs are copied off a target that is shutting down.
+func TestStoppingTargetGetsCopyOrders(t *testing.T) {
+	require.NotEmpty(t, copyOrdersAfter(t, (*balance.Target).SaidLeaving))
 }
 
-// Between the choice of a target and the sending, the target answers another
-// request, or the machine is suspended: the word that came meanwhile counts.
-func TestWordThatComesWhileARequestIsOnItsWayCounts(t *testing.T) {
-	for name, word := range map[string]func(*balance.Target){
-		"it wants rest": func(target *balance.Target) { target.AskedForRest(time.Minute) },
-		"it leaves":     (*balance.Target).SaidLeaving,
-		"it has just got a first": func(target *balance.Target) {
+// A signal that arrives between the selection of a target and the sending must prevent
+// the request from being sent.
+func TestSignalBetweenSelectionAndSendIsHonoured(t *testing.T) {
+	for name, signal := range map[string]func(*balance.Target){
+		"backoff":  func(target *balance.Target) { target.AskedForRest(time.Minute) },
+		"stopping": (*balance.Target).SaidLeaving,
+		"probe in flight": func(target *balance.Target) {
 			target.AskedForRest(time.Second)
 			t.Cleanup(uptime.Pretend(2 * time.Second))
 			require.True(t, target.Admit())
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			f := newFakeTarget(t, "i-1", "draft", "north", newOverloaded(0).answer)
-			s := newSite(t, []*fakeTarget{f})
+			f := newFakeTarget(t, "i-1", "draft", "north", newThrottlingTarget(0).answer)
+			s := newTestSite(t, []*fakeTarget{f})
 			target := s.target("i-1")
-			word(target)
+			signal(target)
 			c := &call{id: "a", header: http.Header{"X-Id": {"a"}}, method: "GET", uri: "/", host: "a.example", deadline: uptime.Now()}
-			answer, err := s.gateway.ask(t.Context(), target, purposeFirst, s.gateway.request(c, target))
+			answer, err := s.gateway.send(t.Context(), target, purposeFirst, s.gateway.request(c, target))
 			if err == nil {
 				answer.Close()
 			}
-			require.ErrorIs(t, err, errNotWanted)
+			require.ErrorIs(t, err, errNotAdmitted)
 			require.Empty(t, f.seen())
 		})
 	}
 }
 
-// A run is given up at the moment at which the head of its answer is there: it counts
-// as one that its target may have begun, once, and not as moved besides. All five
-// targets that the route allows are asked, where three were.
-func TestRunThatIsGivenUpAsItsAnswerComesCountsOnce(t *testing.T) {
-	var s *site
+// A run canceled just as the head of its answer arrives must count as one attempt, so
+// that all five attempts of the route are made.
+func TestRunCanceledAsItsAnswerArrivesIsCountedOnce(t *testing.T) {
+	var s *testSite
 	names := testNames
 	names.ParseLoad = func(string) (balance.Load, bool) {
-		s.gateway.pending.end(errTargetSilent, func(*pendingRun) bool { return true })
+		s.gateway.pending.cancelWhere(errTargetUnresponsive, func(*pendingRun) bool { return true })
 		return balance.Load{}, false
 	}
 	var targets []*fakeTarget
@@ -281,7 +279,7 @@
 			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nX-Id: %s\r\nX-Load: 1\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n", r.Header.Get("X-Id"))
 		}))
 	}
-	s = newSite(t, targets, WithNames(names))
+	s = newTestSite(t, targets, WithNames(names))
 	resp, err := http.DefaultTransport.RoundTrip(s.request(t, "POST", "/draft/", "prompt", "X-Deadline", "9000", "X-Usage", "100,60"))
 	require.NoError(t, err)
 	resp.Body.Close()
--- a/gateway/call.go
+++ b/gateway/call.go
@@ -16,55 +16,55 @@
 	"github.com/walnutramp/walnutramp/targetconn"
 )
 
-// call is one request of a client.
+// call is the state of one client request.
 type call struct {
-	id       string
-	route    *Route
-	service  string
-	engine   Service
-	account  Account
-	method   string
-	uri      string
-	host     string
-	header   http.Header // as passed on, before what each target gets
-	body     []byte
-	hasBody  bool
-	arrived  time.Time
-	deadline time.Time
-	priority int
-	rank     int    // of its priority: how many more urgent ones there are
-	version  uint64 // of the configuration that decided its route
-	lastID   int64  // of the last event the client has
-	hasLast  bool
-	work     balance.Work
-	out      int                      // most tokens that come out
-	key      string                   // names what the request reads; one that comes again has the same
-	again    bool                     // the client has part of the answer
-	tried    map[*balance.Target]bool // may have run it
-	turned   map[*balance.Target]bool // did not run it
-	turns    int                      // targets that were asked
-	sent     int                      // targets that may have begun the request
-	reached  bool                     // a target may have run it
-	asked    bool                     // a target was reached, if only to turn it away
-	failed   map[string]int           // targets that failed it, by data hall
-	noRoom   bool                     // there are targets, but none has room
-	restLeft time.Duration            // how long all targets rest; 0 if one does not
-	paid     balance.Repeat           // that has not arrived yet
-	watched  *rollout.Request         // the newest try, while its service has a roll-out
-	metered  bool                     // it was counted for its account
-	content  quarantine.Fingerprint   // the same whenever the client sends it again
-	sentAt   time.Time                // when the newest try was sent
-	look     *quarantine.Look         // whether the target that broke off last has ended
+	id             string
+	route          *Route
+	service        string
+	engine         Service
+	account        Account
+	method         string
+	uri            string
+	host           string
+	header         http.Header // forwarded headers, before those set for each target
+	body           []byte
+	hasBody        bool
+	arrived        time.Time
+	deadline       time.Time
+	priority       int
+	rank           int    // of the priority: number of distinct priorities that are more urgent
+	version        uint64 // of the configuration that selected the route
+	lastID         int64  // ID of the last event that the client has
+	hasLast        bool
+	work           balance.Work
+	maxOutput      int                      // upper bound of the output, in tokens
+	prefixKey      string                   // identifies the prompt prefix for cache affinity
+	resumed        bool                     // the client already has part of the answer
+	tried          map[*balance.Target]bool // targets that may have run it
+	rejected       map[*balance.Target]bool // targets that did not run it
+	attempts       int                      // targets selected so far
+	dispatched     int                      // targets that may have started it
+	mayHaveRun     bool                     // at least one target may have run it
+	contacted      bool                     // at least one target received it, even if it rejected it
+	failedHalls    map[string]int           // number of targets that failed it, by data hall
+	noCapacity     bool                     // targets exist, but none can admit the request
+	backoffLeft    time.Duration            // until the first target accepts requests again; 0 if one does now
+	reservedRetry  balance.Repeat           // charged but not yet received by a target
+	rolloutRequest *rollout.Request         // of the current attempt, while its service has a roll-out
+	metered        bool                     // already counted for its client account
+	fingerprint    quarantine.Fingerprint   // identical for identical requests of a client
+	sentAt         time.Time                // when the current attempt was sent
+	crashProbe     *quarantine.Look         // checks whether the target whose connection broke last has crashed
 }
 
-// open reads and checks a request.
+// open reads and validates a request, and resolves its route and client account.
 func (g *Gateway) open(w http.ResponseWriter, r *http.Request, arrived time.Time) (*call, *walnutramp.Error) {
 	table := g.table.Load()
 	if table == nil {
-		return nil, walnutramp.NewError(walnutramp.CodeNotInForce, walnutramp.NotRun, "no configuration is known here yet").WithRetryAfter(retryOther)
+		return nil, walnutramp.NewError(walnutramp.CodeNotInForce, walnutramp.NotRun, "this node has not received a configuration yet").WithRetryAfter(retryAtOtherNode)
 	}
 	if !g.holdsLease() {
-		return nil, walnutramp.NewError(walnutramp.CodeNotInForce, walnutramp.NotRun, "this node is cut off from the control group").WithRetryAfter(retryOther)
+		return nil, walnutramp.NewError(walnutramp.CodeNotInForce, walnutramp.NotRun, "this node has lost contact with the control group").WithRetryAfter(retryAtOtherNode)
 	}
 	if err := checkHeader(r, table.Limits); err != nil {
 		return nil, err
@@ -72,7 +72,7 @@
 	path, _, _ := strings.Cut(r.RequestURI, "?")
 	route := table.Route(r.Host, path)
 	if route == nil {
-		return nil, walnutramp.NewError(walnutramp.CodeUnknownPath, walnutramp.NotRun, "no route leads there")
+		return nil, walnutramp.NewError(walnutramp.CodeUnknownPath, walnutramp.NotRun, "no route matches the host and path")
 	}
 	account, err := table.account(r.Header.Values(g.cfg.Names.Key), route)
 	if err != nil {
@@ -81,7 +81,7 @@
 	c := &call{
 		id: r.Header.Get(g.cfg.Names.Identity), route: route, service: route.Service(), account: account,
 		method: r.Method, uri: r.RequestURI, host: r.Host, arrived: arrived, tried: map[*balance.Target]bool{},
-		turned: map[*balance.Target]bool{}, failed: map[string]int{},
+		rejected: map[*balance.Target]bool{}, failedHalls: map[string]int{},
 		priority: route.Priority, version: table.Version,
 	}
 	if account.HasPriority {
@@ -95,30 +95,30 @@
 	if err := g.readBody(c, w, r, table.Limits); err != nil {
 		return nil, err
 	}
-	c.header = g.passedHeader(r.Header)
+	c.header = g.forwardedHeader(r.Header)
 	if id, err := strconv.ParseInt(r.Header.Get(g.cfg.Names.EventID), 10, 64); err == nil {
 		c.lastID, c.hasLast = id, true
 	}
 	g.readWork(c, r.Header)
-	c.content = quarantine.FingerprintOf(c.body, c.account.Name, c.host, c.method, c.uri)
+	c.fingerprint = quarantine.FingerprintOf(c.body, c.account.Name, c.host, c.method, c.uri)
 	return c, nil
 }
 
-// readWork takes what a request asks of an engine.
+// readWork derives the expected engine load and the cache-affinity key from the headers.
 func (g *Gateway) readWork(c *call, h http.Header) {
 	n := &g.cfg.Names
 	if !c.engine.Engine || n.ParseUsage == nil {
 		return
 	}
 	prompt, out := n.ParseUsage(h.Get(n.Usage))
-	c.out = out
+	c.maxOutput = out
 	c.work = balance.Work{Read: prompt, Hold: prompt + out/2}
 	parts := strings.Split(h.Get(n.Prefix), ",")
-	c.key = strings.TrimSpace(parts[len(parts)-1])
-	c.again = c.hasLast
+	c.prefixKey = strings.TrimSpace(parts[len(parts)-1])
+	c.resumed = c.hasLast
 }
 
-// checkHeader applies the configuration's bound on a request's head.
+// checkHeader enforces the configured limit on the size of a request's head.
 func checkHeader(r *http.Request, limits Limits) *walnutramp.Error {
 	if limits.HeaderBytes <= 0 {
 		return nil
@@ -130,12 +130,12 @@
 		}
 	}
 	if size > limits.HeaderBytes {
-		return walnutramp.NewError(walnutramp.CodeHeaderTooLarge, walnutramp.NotRun, "the head has more than %d bytes", limits.HeaderBytes)
+		return walnutramp.NewError(walnutramp.CodeHeaderTooLarge, walnutramp.NotRun, "the request head is larger than %d bytes", limits.HeaderBytes)
 	}
 	return nil
 }
 
-// account returns whose key a request carries.
+// account returns the client account of an API key.
 func (t *Table) account(keys []string, route *Route) (Account, *walnutramp.Error) {
 	if t.Accounts == nil {
 		return Account{}, nil
@@ -148,10 +148,10 @@
 	if route.Open {
 		return Account{}, nil
 	}
-	return Account{}, walnutramp.NewError(walnutramp.CodeBadKey, walnutramp.NotRun, "the key belongs to no account")
+	return Account{}, walnutramp.NewError(walnutramp.CodeBadKey, walnutramp.NotRun, "the API key belongs to no client account")
 }
 
-// readDeadline works out until when the request may be held.
+// readDeadline sets the deadline: the route's timeout, or the client's if that is earlier.
 func (g *Gateway) readDeadline(c *call, h http.Header) *walnutramp.Error {
 	c.deadline = c.arrived.Add(c.route.Timeout)
 	value := h.Get(g.cfg.Names.Deadline)
@@ -160,15 +160,15 @@
 	}
 	ms, err := strconv.ParseInt(value, 10, 64)
 	if err != nil || ms < 0 {
-		return walnutramp.NewError(walnutramp.CodeBadRequest, walnutramp.NotRun, "the deadline is not a whole number of milliseconds")
+		return walnutramp.NewError(walnutramp.CodeBadRequest, walnutramp.NotRun, "the deadline header is not a whole number of milliseconds")
 	}
-	if own := c.arrived.Add(time.Duration(ms) * time.Millisecond); own.Before(c.deadline) {
-		c.deadline = own
+	if requested := c.arrived.Add(time.Duration(ms) * time.Millisecond); requested.Before(c.deadline) {
+		c.deadline = requested
 	}
 	return nil
 }
 
-// readBody takes the whole body, so that it can be sent again.
+// readBody buffers the whole body, so that it can be sent again.
 func (g *Gateway) readBody(c *call, w http.ResponseWriter, r *http.Request, limits Limits) *walnutramp.Error {
 	c.hasBody = r.ContentLength != 0 || r.Header.Get("Content-Length") != ""
 	if !c.hasBody {
@@ -182,7 +182,7 @@
 		return bodyTooLarge(limit)
 	}
 	if g.buffered.Load() > g.cfg.MaxBuffered {
-		return walnutramp.NewError(walnutramp.CodeOverloaded, walnutramp.NotRun, "too many request bodies are held").WithRetryAfter(retryBusy)
+		return walnutramp.NewError(walnutramp.CodeOverloaded, walnutramp.NotRun, "the memory for buffered request bodies is used up").WithRetryAfter(retryWhenBusy)
 	}
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, limit))
 	var tooLarge *http.MaxBytesError
@@ -190,7 +190,7 @@
 		return bodyTooLarge(limit)
 	}
 	if err != nil {
-		return walnutramp.NewError(walnutramp.CodeBadRequest, walnutramp.NotRun, "the body broke off")
+		return walnutramp.NewError(walnutramp.CodeBadRequest, walnutramp.NotRun, "the request body ended early")
 	}
 	g.buffered.Add(int64(len(body)))
 	c.body = body
@@ -198,29 +198,29 @@
 }
 
 func bodyTooLarge(limit int64) *walnutramp.Error {
-	return walnutramp.NewError(walnutramp.CodeBodyTooLarge, walnutramp.NotRun, "the body has more than %d bytes", limit)
+	return walnutramp.NewError(walnutramp.CodeBodyTooLarge, walnutramp.NotRun, "the request body is larger than %d bytes", limit)
 }
 
-// connectionHeaders concern one connection only.
-var connectionHeaders = map[string]bool{
+// hopByHopHeaders apply to one connection only and are not forwarded.
+var hopByHopHeaders = map[string]bool{
 	"Connection": true, "Keep-Alive": true, "Proxy-Connection": true, "Proxy-Authenticate": true, "Proxy-Authorization": true,
 	"Te": true, "Trailer": true, "Transfer-Encoding": true, "Upgrade": true, "Content-Length": true, "Expect": true,
 }
 
-// passedHeader returns the headers that travel along.
-func (g *Gateway) passedHeader(h http.Header) http.Header {
-	named := connectionNamed(h)
-	passed := make(http.Header, len(h))
+// forwardedHeader returns the headers to forward to targets.
+func (g *Gateway) forwardedHeader(h http.Header) http.Header {
+	named := hopByHopNamed(h)
+	forwarded := make(http.Header, len(h))
 	for name, values := range h {
-		if !connectionHeaders[name] && !named[name] && !g.strip[name] {
-			passed[name] = values
+		if !hopByHopHeaders[name] && !named[name] && !g.strip[name] {
+			forwarded[name] = values
 		}
 	}
-	return passed
+	return forwarded
 }
 
-// connectionNamed returns the headers that the Connection header names.
-func connectionNamed(h http.Header) map[string]bool {
+// hopByHopNamed returns the headers that the Connection header lists as hop-by-hop.
+func hopByHopNamed(h http.Header) map[string]bool {
 	var named map[string]bool
 	for _, line := range h["Connection"] {
 		for name := range strings.SplitSeq(line, ",") {
@@ -233,7 +233,7 @@
 	return named
 }
 
-// request returns the call as one target gets it.
+// request builds the request for one target.
 func (g *Gateway) request(c *call, t *balance.Target) *targetconn.Request {
 	n := &g.cfg.Names
 	h := make(http.Header, len(c.header)+6)
@@ -252,7 +252,7 @@
 	}
 	return &targetconn.Request{
 		Method: c.method, URI: c.uri, Host: c.host, Header: h, Body: c.body, HasBody: c.hasBody, Identity: c.id,
-		Gate: func() error { return g.payAtSend(c) },
+		Gate: func() error { return g.chargeRetry(c) },
 	}
 }
 
--- a/gateway/choose.go
+++ b/gateway/choose.go
@@ -10,141 +10,138 @@
 	"k8s.io/klog/v2"
 )
 
-// Bounds of the search for a target.
+// Limits of target selection.
 const (
-	patience     = 0.5 // share of its aim that a request waits for a target to be there
-	lookAgain    = 25 * time.Millisecond
-	mostTurned   = 12 // targets that may turn one request away
-	longestPause = 2 * time.Second
+	waitShare     = 0.5 // fraction of the latency objective that a request may wait for a target
+	retryInterval = 25 * time.Millisecond
+	maxRejections = 12 // targets that may reject one request
+	maxTargetWait = 2 * time.Second
 
-	// beginShare is the part of its aim within which a new request must be
-	// predicted to begin: the rest bears mistakes of the prediction.
-	beginShare = 0.9
+	// startShare is the fraction of the latency objective within which a new request
+	// must be predicted to start; the rest is margin for prediction errors.
+	startShare = 0.9
 )
 
-// next returns the next target to ask, or nil. While there is none, a request
-// that has time is held: targets come back, and the list is read again. A new
-// request for which no engine has room is not held, nor one whose targets all rest
-// for longer: refused at once, it can come back in time.
-func (g *Gateway) next(ctx context.Context, c *call) *balance.Target {
-	until := c.arrived.Add(min(time.Duration(float64(c.route.Aim)*patience), longestPause))
+// nextTarget returns the next target to try, or nil. While none is available, it
+// polls until the wait limit. A new request that no engine can admit fails at once, as
+// does one whose targets all back off for longer: its client can retry in time.
+func (g *Gateway) nextTarget(ctx context.Context, c *call) *balance.Target {
+	until := c.arrived.Add(min(time.Duration(float64(c.route.Aim)*waitShare), maxTargetWait))
 	for {
-		if c.turns > mostTurned || !uptime.Now().Before(c.deadline) {
-			return nil // the time may be over before its timer says so: the machine was suspended
+		if c.attempts > maxRejections || !uptime.Now().Before(c.deadline) {
+			return nil // a suspended machine's timers fire late
 		}
-		if t := g.choose(c); t != nil {
-			c.turns++
-			g.watch(c, t)
+		if t := g.selectTarget(c); t != nil {
+			c.attempts++
+			g.beginRolloutRequest(c, t)
 			return t
 		}
-		if c.noRoom || c.reached {
+		if c.noCapacity || c.mayHaveRun {
 			return nil
 		}
-		c.restLeft = g.restLeft(c)
-		if !uptime.Now().Add(c.restLeft).Before(until) || !pause.For(ctx, lookAgain) {
+		c.backoffLeft = g.remainingBackoff(c)
+		if !uptime.Now().Add(c.backoffLeft).Before(until) || !pause.For(ctx, retryInterval) {
 			return nil
 		}
-		clear(c.turned)
+		clear(c.rejected)
 	}
 }
 
-// restLeft returns how long all targets that a call may go to still rest; 0 if one
+// remainingBackoff returns how long all eligible targets still back off; 0 if one
 // does not.
-func (g *Gateway) restLeft(c *call) time.Duration {
-	leftOut := g.versions(c)
-	return g.targets.RestLeft(c.service, func(t *balance.Target) bool { return c.tried[t] || leftOut != nil && leftOut(t) })
+func (g *Gateway) remainingBackoff(c *call) time.Duration {
+	excluded := g.excludeByVersion(c)
+	return g.targets.RestLeft(c.service, func(t *balance.Target) bool { return c.tried[t] || excluded != nil && excluded(t) })
 }
 
-// choose picks the best target that has not had this request, of a version
-// that it may go to.
-func (g *Gateway) choose(c *call) *balance.Target {
-	if g.drawNew(c) {
-		if t := g.pick(c, g.newTargets(c)); t != nil {
+// selectTarget returns the best untried target of a version that the call may use.
+func (g *Gateway) selectTarget(c *call) *balance.Target {
+	if g.drawNewVersion(c) {
+		if t := g.pickTarget(c, g.excludeAllButNew(c)); t != nil {
 			return t
 		}
 		g.cfg.Rollouts.Undo(c.service, c.route.Name)
 	}
-	return g.pick(c, g.versions(c))
+	return g.pickTarget(c, g.excludeByVersion(c))
 }
 
-// pick picks the best target that has not had this request and is not left out
-// otherwise.
-func (g *Gateway) pick(c *call, leftOut func(*balance.Target) bool) *balance.Target {
+// pickTarget returns the best untried target that is not excluded.
+func (g *Gateway) pickTarget(c *call, excluded func(*balance.Target) bool) *balance.Target {
 	choice := c.choice()
-	choice.Exclude = func(t *balance.Target) bool { return c.tried[t] || c.turned[t] || leftOut != nil && leftOut(t) }
+	choice.Exclude = func(t *balance.Target) bool { return c.tried[t] || c.rejected[t] || excluded != nil && excluded(t) }
 	t := g.targets.Pick(choice)
 	if t != nil {
-		g.noteRegion(c, t, func() balance.Reason { return g.targets.WhyLeft(choice) })
+		g.recordRegionCrossing(c, t, func() balance.Reason { return g.targets.WhyLeft(choice) })
 	}
-	c.noRoom = false
+	c.noCapacity = false
 	if t == nil && choice.Admission {
 		choice.Admission = false
-		c.noRoom = g.targets.Pick(choice) != nil
+		c.noCapacity = g.targets.Pick(choice) != nil
 	}
 	return t
 }
 
-// isNew reports whether a call has to be admitted: nothing of it has run yet,
-// and its client has no part of the answer.
-func (c *call) isNew() bool { return c.engine.Engine && !c.reached && !c.hasLast }
+// isNew reports whether a call is subject to admission: it has not run anywhere, and
+// its client has no part of the answer.
+func (c *call) isNew() bool { return c.engine.Engine && !c.mayHaveRun && !c.hasLast }
 
-// choice says what the next target is wanted for. Once targets have failed the
-// request, many others may look for new ones, too, so they had better part by
-// node than by what they read.
+// choice returns the selection criteria for the next target. After a failure the
+// prefix key is dropped: many requests may move at once, and affinity by prefix would
+// send them all to the same targets.
 func (c *call) choice() balance.Choice {
-	key := c.key
-	if len(c.failed) > 0 {
+	key := c.prefixKey
+	if len(c.failedHalls) > 0 {
 		key = ""
 	}
-	choice := balance.Choice{Service: c.service, Work: c.work, Key: key, Again: c.again && key != "", FailedHalls: c.failed}
+	choice := balance.Choice{Service: c.service, Work: c.work, Key: key, Again: c.resumed && key != "", FailedHalls: c.failedHalls}
 	if c.isNew() {
 		choice.Admission = true
 		choice.Aim = c.route.Aim
 		choice.Rank = c.rank
-		choice.Within = uptime.Until(c.beginBy())
+		choice.Within = uptime.Until(c.latestStart())
 	}
 	return choice
 }
 
-// beginBy returns when a new request must be predicted to begin.
-func (c *call) beginBy() time.Time {
-	return c.arrived.Add(time.Duration(beginShare * float64(c.route.Aim)))
+// latestStart returns the time by which a new request must be predicted to start.
+func (c *call) latestStart() time.Time {
+	return c.arrived.Add(time.Duration(startShare * float64(c.route.Aim)))
 }
 
-// arrive notes that a target was reached. What never arrives, such as a
-// connection that is refused, is no repeat.
-func (c *call) arrive() {
-	if c.asked && !c.paid.Taken() {
-		klog.InfoS("Repeat that was not paid for", "request", c.id, "service", c.service, "sent", c.sent)
+// recordArrival records that a target received the request. An attempt that does not
+// arrive, such as a refused connection, is not a retry.
+func (c *call) recordArrival() {
+	if c.contacted && !c.reservedRetry.Taken() {
+		klog.InfoS("Retry sent without a budget reservation", "request", c.id, "service", c.service, "sent", c.dispatched)
 	}
-	c.asked = true
-	c.paid = balance.Repeat{}
+	c.contacted = true
+	c.reservedRetry = balance.Repeat{}
 }
 
-// payRepeat takes what one more arrival costs from the budget; false if it is
-// spent. What was paid before and has not arrived holds while it may be sent.
-func (c *call) payRepeat(b *balance.Budget) bool {
-	if !c.asked || c.paid.Taken() && uptime.Since(c.paid.At) < b.SendWithin() {
+// reserveRetry reserves one retry from the budget; false if the budget is exhausted.
+// An unused reservation stays valid for the budget's SendWithin.
+func (c *call) reserveRetry(b *balance.Budget) bool {
+	if !c.contacted || c.reservedRetry.Taken() && uptime.Since(c.reservedRetry.At) < b.SendWithin() {
 		return true
 	}
-	c.refund(b)
-	var paid bool
-	c.paid, paid = b.Spend()
-	return paid
+	c.refundRetry(b)
+	var reserved bool
+	c.reservedRetry, reserved = b.Spend()
+	return reserved
 }
 
-// refund gives a repeat back that was paid for and has not arrived.
-func (c *call) refund(b *balance.Budget) {
-	if c.paid.Taken() {
-		b.Refund(c.paid)
+// refundRetry returns an unused reservation to the budget.
+func (c *call) refundRetry(b *balance.Budget) {
+	if c.reservedRetry.Taken() {
+		b.Refund(c.reservedRetry)
 	}
-	c.paid = balance.Repeat{}
+	c.reservedRetry = balance.Repeat{}
 }
 
-// ran notes that a target may have run the request.
-func (c *call) ran(t *balance.Target) {
-	c.arrive()
+// recordRun records that a target may have run the request.
+func (c *call) recordRun(t *balance.Target) {
+	c.recordArrival()
 	c.tried[t] = true
-	c.sent++
-	c.reached = true
+	c.dispatched++
+	c.mayHaveRun = true
 }
--- a/gateway/counters.go
+++ b/gateway/counters.go
@@ -12,37 +12,37 @@
 
 // counters are the gateway's metrics.
 type counters struct {
-	set      *metrics.Set
-	retries  *metrics.Counter
-	resumes  *metrics.Counter
-	copies   *metrics.Counter
-	ordered  *metrics.Counter
-	stalls   *metrics.Counter
-	broken   *metrics.Counter
-	moved    *metrics.Counter
-	rests    *metrics.Counter
-	badLoads *metrics.Counter
-	whole    *metrics.Histogram
-	first    *metrics.Histogram
-	gap      *metrics.Histogram
+	set               *metrics.Set
+	retries           *metrics.Counter
+	resumes           *metrics.Counter
+	copyResumes       *metrics.Counter
+	copiesOrdered     *metrics.Counter
+	stalls            *metrics.Counter
+	brokenAnswers     *metrics.Counter
+	movedRuns         *metrics.Counter
+	backoffs          *metrics.Counter
+	invalidLoads      *metrics.Counter
+	answerSeconds     *metrics.Histogram
+	firstEventSeconds *metrics.Histogram
+	resumeGapSeconds  *metrics.Histogram
 }
 
 func newCounters() *counters {
 	s := metrics.NewSet()
 	return &counters{
-		set:      s,
-		retries:  s.NewCounter("walnutramp_gateway_retries_total"),
-		resumes:  s.NewCounter("walnutramp_gateway_resumes_total"),
-		copies:   s.NewCounter("walnutramp_gateway_resumes_from_copy_total"),
-		ordered:  s.NewCounter("walnutramp_gateway_copies_ordered_total"),
-		stalls:   s.NewCounter("walnutramp_gateway_stalls_total"),
-		broken:   s.NewCounter("walnutramp_gateway_broken_answers_total"),
-		moved:    s.NewCounter("walnutramp_gateway_runs_moved_total"),
-		rests:    s.NewCounter("walnutramp_gateway_rests_asked_total"),
-		badLoads: s.NewCounter("walnutramp_gateway_unreadable_loads_total"),
-		whole:    s.NewHistogram("walnutramp_gateway_answer_seconds"),
-		first:    s.NewHistogram("walnutramp_gateway_first_event_seconds"),
-		gap:      s.NewHistogram("walnutramp_gateway_resume_gap_seconds"),
+		set:               s,
+		retries:           s.NewCounter("walnutramp_gateway_retries_total"),
+		resumes:           s.NewCounter("walnutramp_gateway_resumes_total"),
+		copyResumes:       s.NewCounter("walnutramp_gateway_resumes_from_copy_total"),
+		copiesOrdered:     s.NewCounter("walnutramp_gateway_copies_ordered_total"),
+		stalls:            s.NewCounter("walnutramp_gateway_stalls_total"),
+		brokenAnswers:     s.NewCounter("walnutramp_gateway_broken_answers_total"),
+		movedRuns:         s.NewCounter("walnutramp_gateway_runs_moved_total"),
+		backoffs:          s.NewCounter("walnutramp_gateway_rests_asked_total"),
+		invalidLoads:      s.NewCounter("walnutramp_gateway_unreadable_loads_total"),
+		answerSeconds:     s.NewHistogram("walnutramp_gateway_answer_seconds"),
+		firstEventSeconds: s.NewHistogram("walnutramp_gateway_first_event_seconds"),
+		resumeGapSeconds:  s.NewHistogram("walnutramp_gateway_resume_gap_seconds"),
 	}
 }
 
@@ -50,18 +50,17 @@
 	c.set.GetOrCreateCounter(fmt.Sprintf("walnutramp_gateway_own_answers_total{code=%q}", fmt.Sprint(int(code)))).Inc()
 }
 
-// notSent counts what was kept from a target at the last moment, since it had just
-// said that it wants no more.
+// notSent counts a call withheld because its target had just stopped accepting.
 func (c *counters) notSent(why purpose) {
 	c.set.GetOrCreateCounter(fmt.Sprintf("walnutramp_gateway_not_sent_total{purpose=%q}", why)).Inc()
 }
 
-// slowClient counts an answer that was ended since its client reads too slowly.
+// slowClient counts an answer that was aborted because its client reads too slowly.
 func (c *counters) slowClient(at bound) {
 	c.set.GetOrCreateCounter(fmt.Sprintf("walnutramp_gateway_slow_clients_total{bound=%q}", at)).Inc()
 }
 
-func (c *counters) answered(since time.Time) { c.whole.Update(uptime.Since(since).Seconds()) }
+func (c *counters) answered(since time.Time) { c.answerSeconds.Update(uptime.Since(since).Seconds()) }
 
-// WriteMetrics writes the gateway's metrics in the Prometheus text form.
+// WriteMetrics writes the gateway's metrics in the Prometheus text format.
 func (g *Gateway) WriteMetrics(w io.Writer) { g.counters.set.WritePrometheus(w) }
--- a/gateway/demand.go
+++ b/gateway/demand.go
@@ -9,14 +9,14 @@
 	"github.com/walnutramp/walnutramp/fleet"
 )
 
-// demands count what clients ask of the services whose targets can be ordered.
-type demands struct {
+// demandCounters sum the client demand for services that can be scaled.
+type demandCounters struct {
 	mu   sync.Mutex
 	rows map[string]fleet.Demand // by service
 }
 
-// Demand returns what clients have asked for at this node since its start, by
-// service in order; nothing of services whose targets can't be ordered.
+// Demand returns the cumulative demand at this node since its start, ordered by
+// service. It covers only services that can be scaled.
 func (g *Gateway) Demand() []fleet.Demand {
 	g.demands.mu.Lock()
 	defer g.demands.mu.Unlock()
@@ -27,8 +27,7 @@
 	return rows
 }
 
-// add adds to what is asked of a service.
-func (d *demands) add(more fleet.Demand) {
+func (d *demandCounters) add(more fleet.Demand) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.rows == nil {
@@ -39,8 +38,8 @@
 	d.rows[more.Service] = sum
 }
 
-// noteDemand counts a call that its client has not begun to get an answer to.
-func (g *Gateway) noteDemand(c *call) {
+// countDemand counts a call, unless it resumes an answer.
+func (g *Gateway) countDemand(c *call) {
 	if c.engine.Scaling == nil || c.hasLast {
 		return
 	}
@@ -52,15 +51,14 @@
 	run := g.targets.RunTime(c.service, c.work.Read, out)
 	g.demands.add(fleet.Demand{
 		Service: c.service, Requests: 1, Read: uint64(c.work.Read), Write: uint64(out),
-		ReadMS: whole(g.targets.RunTime(c.service, c.work.Read, 0)), RunMS: whole(run), HoldMS: uint64(c.work.Hold) * whole(run),
+		ReadMS: milliseconds(g.targets.RunTime(c.service, c.work.Read, 0)), RunMS: milliseconds(run), HoldMS: uint64(c.work.Hold) * milliseconds(run),
 	})
 }
 
-func whole(d time.Duration) uint64 { return uint64(max(0, d.Milliseconds())) }
+func milliseconds(d time.Duration) uint64 { return uint64(max(0, d.Milliseconds())) }
 
-// noteNoRoom counts a call, as noteDemand does, that was refused because no
-// engine had room.
-func (g *Gateway) noteNoRoom(c *call) {
+// countRejectedDemand counts a call, as countDemand does, that no engine could admit.
+func (g *Gateway) countRejectedDemand(c *call) {
 	if c.engine.Scaling != nil && !c.hasLast {
 		g.demands.add(fleet.Demand{Service: c.service, Refused: 1})
 	}
--- a/gateway/demand_test.go
+++ b/gateway/demand_test.go
@@ -9,12 +9,12 @@
 	"github.com/walnutramp/walnutramp/fleet"
 )
 
-func TestDemandCountsNewRequestsOfServicesThatScale(t *testing.T) {
+func TestDemandCountsNewRequestsOfScaledServices(t *testing.T) {
 	engine := newFakeTarget(t, "i-1", "draft", "north", draft(nil))
 	plain := newFakeTarget(t, "i-2", "lookup", "north", func(f *fakeTarget, r *http.Request, c net.Conn) {
 		reply(c, r.Header.Get("X-Id"), 200, "found")
 	})
-	s := newSite(t, []*fakeTarget{engine, plain})
+	s := newTestSite(t, []*fakeTarget{engine, plain})
 	table := testTable()
 	scaled := table.Services["draft"]
 	scaled.Scaling = &fleet.Scaling{Min: 1, Max: 2}
@@ -27,23 +27,23 @@
 	_, _, err := do(t, s.request(t, "GET", "/safe/", ""))
 	require.NoError(t, err)
 	rows := s.gateway.Demand()
-	require.Len(t, rows, 1, "nothing is told of services that don't scale")
+	require.Len(t, rows, 1, "only scaled services are reported")
 	require.Equal(t, "draft", rows[0].Service)
-	require.EqualValues(t, 2, rows[0].Requests, "one that goes on is not new")
+	require.EqualValues(t, 2, rows[0].Requests, "a resumed request is not counted")
 	require.EqualValues(t, 400, rows[0].Read)
 	require.EqualValues(t, 40, rows[0].Write)
 	require.Greater(t, rows[0].RunMS, rows[0].ReadMS)
 	require.NotZero(t, rows[0].HoldMS)
 }
 
-// A data hall's spot targets are taken away together.
-func TestCopyIsNotKeptBySpotTargetsOfTheSameHall(t *testing.T) {
+// Spot targets of one data hall are reclaimed together.
+func TestSpotTargetsOfOneHallHoldNoCopiesForEachOther(t *testing.T) {
 	script := draft(nil)
 	var targets []*fakeTarget
 	for _, id := range []string{"i-1", "i-2"} {
 		targets = append(targets, newFakeTarget(t, id, "draft", "north", script))
 	}
-	s := newSite(t, targets)
+	s := newTestSite(t, targets)
 	run := func() string {
 		_, _, err := do(t, s.request(t, "POST", "/draft/", "prompt", "X-Usage", "100,60", "X-Prefix", "part-1"))
 		require.NoError(t, err)
@@ -54,7 +54,7 @@
 		}
 		return ""
 	}
-	require.NotEmpty(t, run(), "on-demand targets of a hall keep copies for each other")
+	require.NotEmpty(t, run(), "on-demand targets of one hall hold copies for each other")
 	list := listed(targets)
 	for i := range list {
 		list[i].Spot = true
--- a/gateway/ends.go
+++ b/gateway/ends.go
@@ -10,51 +10,50 @@
 	"github.com/walnutramp/walnutramp/targetconn"
 )
 
-// errHeldBack is why a run that has not begun is given up when its content is
-// held back.
-var errHeldBack = errors.New("targets end when they run this request")
+// errQuarantined cancels a run without a first event whose request is quarantined.
+var errQuarantined = errors.New("request quarantined: targets crash when they run it")
 
-// standing says how far the newest run had come at its target.
+// standing returns how far the current run had progressed at its target.
 func (r *relay) standing() quarantine.Standing {
-	if r.events > 0 && time.Since(r.begun) >= quarantine.Onset {
+	if r.events > 0 && time.Since(r.firstEventAt) >= quarantine.Onset {
 		return quarantine.Settled
 	}
 	return quarantine.Begun
 }
 
-// noteSettled notes that a run has gone on for a while.
-func (r *relay) noteSettled() {
-	if r.settled || time.Since(r.begun) < quarantine.Onset {
+// recordSettled reports a run that has gone on for quarantine.Onset as harmless.
+func (r *relay) recordSettled() {
+	if r.settled || time.Since(r.firstEventAt) < quarantine.Onset {
 		return
 	}
 	r.settled = true
-	r.gateway.cfg.Quarantine.Sound(r.call.content)
+	r.gateway.cfg.Quarantine.Sound(r.call.fingerprint)
 }
 
-// waiting says how far a call had come at a target that did not answer it. A
-// plain request begins when it is sent; a stream may still have waited.
-func (c *call) waiting() quarantine.Standing {
+// unansweredStanding returns how far an unanswered call had progressed at its target.
+// A plain request begins when it is sent; a stream may still have been queued.
+func (c *call) unansweredStanding() quarantine.Standing {
 	if c.route.Kind == Stream {
 		return quarantine.Waiting
 	}
 	return quarantine.Begun
 }
 
-// noteBreak notes that a target's connection broke off under a call. A target
-// that was to end anyway says nothing of the call.
-func (g *Gateway) noteBreak(c *call, t *balance.Target, s quarantine.Standing) {
+// recordConnectionLoss records that a target's connection broke during a call. The end of a
+// target that is shutting down is no evidence against the call.
+func (g *Gateway) recordConnectionLoss(c *call, t *balance.Target, s quarantine.Standing) {
 	if t.Leaves() {
 		return
 	}
-	c.look = g.cfg.Quarantine.Broke(quarantine.Break{
-		Request: c.id, Content: c.content, Target: t.Life(), Address: t.Address, Standing: s, Sent: c.sentAt,
+	c.crashProbe = g.cfg.Quarantine.Broke(quarantine.Break{
+		Request: c.id, Content: c.fingerprint, Target: t.Life(), Address: t.Address, Standing: s, Sent: c.sentAt,
 	})
 }
 
-// brokeOff reports whether an exchange failed for the target's closing its
-// connection after it may have had the request.
-func brokeOff(err error) bool {
+// connectionLost reports whether an exchange failed because the target closed its
+// connection after it may have received the request.
+func connectionLost(err error) bool {
 	var f *targetconn.Failure
 	ownEnd := errors.Is(err, context.Canceled) || errors.Is(err, context.DeadlineExceeded)
-	return errors.As(err, &f) && f.Reached() && !ownEnd && !silence(err)
+	return errors.As(err, &f) && f.Reached() && !ownEnd && !isTimeout(err)
 }
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -16,22 +16,22 @@
 	"github.com/walnutramp/walnutramp/targetconn"
 )
 
-// Names are the header names of the site's dialect.
+// Names are the header names and encodings of the site's HTTP dialect.
 type Names struct {
-	Identity   string // of one request of a client
-	Deadline   string // milliseconds the client waits
+	Identity   string // ID of a client request
+	Deadline   string // milliseconds that the client waits
 	Key        string // the client's API key
-	EventID    string // last event a client or this system has
-	Account    string // set for targets: the account's name
+	EventID    string // ID of the last event received
+	Account    string // set for targets: name of the client account
 	Expect     string // set for targets: the target's ID
-	Priority   string // set for targets: 0 is first
-	CopyTo     string // set for targets: where the run's memory is copied to
-	CopyFrom   string // set for targets: which copy a run goes on from
-	Load       string // of a target, in its answers
-	NotRun     string // in an answer: the request did not run
+	Priority   string // set for targets: 0 is most urgent
+	CopyTo     string // set for targets: address that receives a copy of the run's KV cache
+	CopyFrom   string // set for targets: copy from which the run resumes
+	Load       string // in answers: the target's load
+	NotRun     string // in answers: the request was not run
 	System     []string
-	Usage      string // tokens of the prompt, and most out
-	Prefix     string // the parts of the prompt, the request's own last
+	Usage      string // prompt tokens and maximum output tokens
+	Prefix     string // hashes of the prompt's prefixes, the whole prompt last
 	CopyHandle func(address, identity string) string
 	CopyOrders CopyOrders
 	ParseLoad  func(header string) (balance.Load, bool)
@@ -42,28 +42,28 @@
 // Config sets how a Gateway works.
 type Config struct {
 	Names       Names
-	MaxBuffered int64         // bytes of request bodies held at once
-	Held        HeldLimits    // on answers whose clients read slowly
-	Stall       time.Duration // silence within a stream after which its target is given up, where its route names no longest pause
-	FirstEvent  time.Duration // wait for a first event, beside the reading of the prompt, after which another target is tried
+	MaxBuffered int64         // maximum bytes of buffered request bodies
+	Buffers     BufferLimits  // for answers whose clients read slowly
+	Stall       time.Duration // timeout between the events of a stream, where its route sets no maximum gap
+	FirstEvent  time.Duration // timeout for a first event, in addition to the prefill, after which another target is tried
 	StartWait   time.Duration // how long a request waits for a node that has just started
-	Lease       func() bool   // whether new work may be taken; nil for always
-	Copies      bool          // ask engines to keep copies of runs
+	Lease       func() bool   // whether new work may be accepted; nil for always
+	Copies      bool          // request KV-cache copies of runs
 
-	// Rollouts says which versions of targets requests go to; nil for any.
+	// Rollouts selects which versions of targets requests go to; nil for any.
 	Rollouts *rollout.Agent
 
-	// Quarantine knows which requests end the targets that run them.
+	// Quarantine detects requests that crash the targets that run them.
 	Quarantine *quarantine.Witness
 
-	// Metering counts the requests of each account; nil for none.
+	// Metering counts the requests of each client account; nil for none.
 	Metering *metering.Counter
 
-	// Find learns of runs of a key that other nodes had, where this node does
-	// not know them anyway; nil if it always does. Again says that the client has part
-	// of the answer: there was such a run.
+	// Find fetches what other nodes know of runs with this prefix key; nil if this
+	// node always knows. Again reports that the client already has part of the answer,
+	// so that such a run must exist.
 	Find func(ctx context.Context, key string, again bool)
-	// Borrow gets a repeat of a service from another node; nil where there is none.
+	// Borrow obtains a retry for a service from another node's budget; nil for none.
 	Borrow func(ctx context.Context, service string) bool
 }
 
@@ -73,38 +73,37 @@
 // WithNames sets the dialect's header names.
 func WithNames(n Names) Option { return func(c *Config) { c.Names = n } }
 
-// WithStall sets the silence after which a stream's target is given up, where
-// its route names no longest pause.
+// WithStall sets the timeout between the events of a stream, where its route sets no
+// maximum gap.
 func WithStall(d time.Duration) Option { return func(c *Config) { c.Stall = d } }
 
-// WithFirstEvent sets the wait for a first event, beside the reading of the
-// prompt, after which another target is tried.
+// WithFirstEvent sets the timeout for a first event, in addition to the prefill, after
+// which another target is tried.
 func WithFirstEvent(d time.Duration) Option { return func(c *Config) { c.FirstEvent = d } }
 
-// WithLease sets what says whether new work may be taken, on a site whose
-// nodes take none while they are cut off.
+// WithLease sets the check for whether new work may be accepted, on a site whose
+// nodes accept none while they are partitioned from the control group.
 func WithLease(held func() bool) Option { return func(c *Config) { c.Lease = held } }
 
-// WithRollouts sets what says which versions of targets requests go to, and is
-// told what came of it.
+// WithRollouts sets the agent that selects target versions and receives the outcomes.
 func WithRollouts(a *rollout.Agent) Option { return func(c *Config) { c.Rollouts = a } }
 
-// WithQuarantine sets what knows which requests end the targets that run them.
+// WithQuarantine sets the detector of requests that crash targets.
 func WithQuarantine(w *quarantine.Witness) Option { return func(c *Config) { c.Quarantine = w } }
 
-// WithCopies says whether engines keep copies of runs at each other.
+// WithCopies sets whether engines replicate the KV cache of runs to each other.
 func WithCopies(on bool) Option { return func(c *Config) { c.Copies = on } }
 
-// WithHeldLimits bounds what is held of answers whose clients read slowly.
-func WithHeldLimits(l HeldLimits) Option { return func(c *Config) { c.Held = l } }
+// WithBufferLimits bounds the buffers of answers whose clients read slowly.
+func WithBufferLimits(l BufferLimits) Option { return func(c *Config) { c.Buffers = l } }
 
-// WithFind sets what learns of runs of a key that other nodes had.
+// WithFind sets the lookup of runs that other nodes know of.
 func WithFind(find func(ctx context.Context, key string, again bool)) Option {
 	return func(c *Config) { c.Find = find }
 }
 
-// WithBorrow sets what gets a repeat of a service from another node, where this one's
-// budget has none left, and reports whether there is one then.
+// WithBorrow sets the function that borrows a retry from another node when this node's
+// budget is exhausted. It reports whether one is available now.
 func WithBorrow(borrow func(ctx context.Context, service string) bool) Option {
 	return func(c *Config) { c.Borrow = borrow }
 }
@@ -112,7 +111,7 @@
 func defaultConfig() Config {
 	return Config{
 		MaxBuffered: 32 << 20, Stall: 450 * time.Millisecond, FirstEvent: 5 * time.Second,
-		StartWait: time.Second, Copies: true, Held: HeldLimitsOf(processMemory()),
+		StartWait: time.Second, Copies: true, Buffers: BufferLimitsOf(processMemory()),
 	}
 }
 
@@ -121,28 +120,29 @@
 	cfg     Config
 	targets *balance.Tracker
 	pool    *targetconn.Pool
-	refresh func() // asks for a new list of targets
+	refresh func() // requests a new list of targets
 
-	table    atomic.Pointer[Table]
-	stopping atomic.Int32
-	leaveBy  atomic.Pointer[time.Time]
-	buffered atomic.Int64
-	held     *heldAnswers
-	strip    map[string]bool
-	started  chan struct{} // closed once there are a table and targets
-	counters *counters
+	table        atomic.Pointer[Table]
+	stopping     atomic.Int32
+	stopDeadline atomic.Pointer[time.Time]
+	buffered     atomic.Int64
+	buffers      *bufferAccounting
+	strip        map[string]bool
+	started      chan struct{} // closed once a table and a target list are loaded
+	counters     *counters
 
 	startOnce sync.Once
 
-	demands   demands
-	pending   pendingRuns
-	exchanges exchanges
+	demands      demandCounters
+	pending      pendingRuns
+	serviceTimes serviceTimes
 
 	budgets *balance.Budgets
 }
 
 // New returns a gateway without a table: it answers 503 until SetTable.
-// Budgets bound what is sent again. Refresh is called when a target turns out to be another than listed.
+// Budgets limit retries. Refresh is called when a target is found to differ from its
+// list entry.
 func New(targets *balance.Tracker, pool *targetconn.Pool, budgets *balance.Budgets, refresh func(), opts ...Option) *Gateway {
 	cfg := defaultConfig()
 	for _, opt := range opts {
@@ -153,11 +153,11 @@
 	}
 	g := &Gateway{cfg: cfg, targets: targets, pool: pool, refresh: refresh, budgets: budgets, counters: newCounters(),
 		started: make(chan struct{}), pending: pendingRuns{runs: map[*pendingRun]struct{}{}}}
-	g.held = newHeldAnswers(cfg.Held, g.counters)
-	g.counters.set.NewGauge(`walnutramp_gateway_held_bytes{cause="slow-clients"}`, func() float64 { return float64(g.held.bytes()) })
+	g.buffers = newBufferAccounting(cfg.Buffers, g.counters)
+	g.counters.set.NewGauge(`walnutramp_gateway_held_bytes{cause="slow-clients"}`, func() float64 { return float64(g.buffers.bytes()) })
 	g.counters.set.NewGauge(`walnutramp_gateway_held_bytes{cause="request-bodies"}`, func() float64 { return float64(g.buffered.Load()) })
-	targets.OnSilence(g.pending.moveFromSilent)
-	cfg.Quarantine.OnHeld(g.pending.giveUp)
+	targets.OnSilence(g.pending.cancelUnresponsive)
+	cfg.Quarantine.OnHeld(g.pending.cancelQuarantined)
 	g.counters.set.NewGauge("walnutramp_quarantine_held_contents", func() float64 { return float64(cfg.Quarantine.HeldContents()) })
 	g.counters.set.NewGauge("walnutramp_quarantine_suspect_contents", func() float64 { return float64(cfg.Quarantine.SuspectContents()) })
 	g.counters.set.NewGauge("walnutramp_gateway_resting_targets", func() float64 { return float64(targets.Resting()) })
@@ -169,7 +169,7 @@
 	return g
 }
 
-// SetTable puts a table in force.
+// SetTable activates a routing table.
 func (g *Gateway) SetTable(t *Table) {
 	t.setRanks()
 	g.targets.SetEngines(t.engines())
@@ -177,7 +177,7 @@
 	g.Started()
 }
 
-// Limits returns the bounds of the table in force, none before the first.
+// Limits returns the limits of the active table; zero before the first.
 func (g *Gateway) Limits() Limits {
 	if t := g.table.Load(); t != nil {
 		return t.Limits
@@ -185,15 +185,14 @@
 	return Limits{}
 }
 
-// Started looks whether the node has all it needs to serve, and lets the
-// requests go on that wait for that.
+// Started releases waiting requests if the node has a table and a target list.
 func (g *Gateway) Started() {
 	if g.table.Load() != nil && g.targets.Listed() {
 		g.startOnce.Do(func() { close(g.started) })
 	}
 }
 
-// awaitStart holds a request that came before the node has all it needs.
+// awaitStart blocks a request until the node is initialized or StartWait has passed.
 func (g *Gateway) awaitStart(ctx context.Context) {
 	select {
 	case <-g.started:
@@ -214,55 +213,54 @@
 	return g.table.Load() != nil && g.targets.Listed() && g.stopping.Load() == 0 && g.holdsLease()
 }
 
-// holdsLease reports whether new work may be taken.
+// holdsLease reports whether new work may be accepted.
 func (g *Gateway) holdsLease() bool { return g.cfg.Lease == nil || g.cfg.Lease() }
 
-// The phases of a stop.
+// The phases of a graceful shutdown.
 const (
 	phaseServing int32 = iota
-	phaseLeaving       // the balancer is being told; requests are served
+	phaseLeaving       // load balancers are being notified; requests are served
 	phaseClosing       // connections are closed after their answer
-	phaseClosed        // new requests are refused
+	phaseClosed        // new requests are rejected
 )
 
-// Leave begins a planned stop: the node is no longer ready, and a stream that
-// would not be whole by then is refused as not run, so that none is cut off.
+// Leave begins a graceful shutdown: the node is no longer ready, and rejects, as not
+// run, streams that are predicted to outlast the given time.
 func (g *Gateway) Leave(by time.Time) {
-	g.leaveBy.Store(&by)
+	g.stopDeadline.Store(&by)
 	g.stopping.Store(phaseLeaving)
 }
 
-// By these a stream's end is predicted.
+// Parameters for predicting when a stream ends.
 const (
-	// startMargin is the wait for a place at an engine that is allowed for:
-	// about the mean of a site under its usual load.
-	startMargin = 500 * time.Millisecond
-	// unknownLength is how many times the usual a stream may take whose request
-	// does not tell its length: few of one kind take longer.
-	unknownLength = 1.5
+	// queueAllowance is the expected wait for a slot at an engine.
+	queueAllowance = 500 * time.Millisecond
+	// unknownLengthFactor scales the mean duration for a stream whose request does
+	// not state its length.
+	unknownLengthFactor = 1.5
 )
 
-// fits reports whether a call is answered before the node ends.
-func (g *Gateway) fits(c *call) bool {
-	by := g.leaveBy.Load()
+// completesInTime reports whether a call is predicted to end before the node stops.
+func (g *Gateway) completesInTime(c *call) bool {
+	by := g.stopDeadline.Load()
 	if by == nil || c.route.Kind != Stream {
 		return true
 	}
-	return uptime.Now().Add(startMargin + g.streamTime(c)).Before(*by)
+	return uptime.Now().Add(queueAllowance + g.predictStreamTime(c)).Before(*by)
 }
 
-// streamTime predicts how long a stream takes once it has a place.
-func (g *Gateway) streamTime(c *call) time.Duration {
-	if c.out > 0 {
-		return g.targets.RunTime(c.service, c.work.Read, c.out)
+// predictStreamTime predicts how long a stream takes once it has a slot.
+func (g *Gateway) predictStreamTime(c *call) time.Duration {
+	if c.maxOutput > 0 {
+		return g.targets.RunTime(c.service, c.work.Read, c.maxOutput)
 	}
-	return time.Duration(unknownLength * float64(g.targets.WholeRun(c.service)))
+	return time.Duration(unknownLengthFactor * float64(g.targets.WholeRun(c.service)))
 }
 
-// CloseConnections asks clients to open no more requests on their connections.
+// CloseConnections tells clients to open no more requests on their connections.
 func (g *Gateway) CloseConnections() { g.stopping.Store(phaseClosing) }
 
-// Refuse refuses new requests as not run.
+// Refuse rejects new requests as not run.
 func (g *Gateway) Refuse() { g.stopping.Store(phaseClosed) }
 
 // ServeHTTP implements http.Handler.
@@ -277,27 +275,27 @@
 	if c != nil {
 		defer g.buffered.Add(-int64(len(c.body)))
 	}
-	if refused == nil && (phase == phaseClosed || !g.fits(c)) {
+	if refused == nil && (phase == phaseClosed || !g.completesInTime(c)) {
 		w.Header().Set("Connection", "close")
-		refused = walnutramp.NewError(walnutramp.CodeStopping, walnutramp.NotRun, "this node is stopping").WithRetryAfter(retryOther)
+		refused = walnutramp.NewError(walnutramp.CodeStopping, walnutramp.NotRun, "this node is stopping").WithRetryAfter(retryAtOtherNode)
 	}
 	if refused != nil {
 		g.refuse(w, r, refused)
 		return
 	}
-	if held := g.cfg.Quarantine.Refuse(c.content); held != nil {
+	if held := g.cfg.Quarantine.Refuse(c.fingerprint); held != nil {
 		g.fail(w, c, held)
 		return
 	}
 	budget := g.budgets.Of(c.service)
 	budget.Earn()
-	defer c.refund(budget)
-	g.noteDemand(c)
+	defer c.refundRetry(budget)
+	g.countDemand(c)
 	ctx, cancel := context.WithTimeout(r.Context(), uptime.Until(c.deadline))
 	defer cancel()
 	if c.route.Kind == Stream {
-		g.stream(ctx, w, c)
+		g.serveStream(ctx, w, c)
 		return
 	}
-	g.plain(ctx, w, c)
+	g.servePlain(ctx, w, c)
 }
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -26,33 +26,33 @@
 	return resp, string(body), err
 }
 
-func TestAnswerPassesUnchanged(t *testing.T) {
+func TestAnswerIsForwardedUnchanged(t *testing.T) {
 	f := newFakeTarget(t, "i-1", "lookup", "north", func(_ *fakeTarget, r *http.Request, c net.Conn) {
 		reply(c, r.Header.Get("X-Id"), 418, "short and stout", "X-Seal: s1", "Connection: keep-alive", "Keep-Alive: timeout=5")
 	})
-	s := newSite(t, []*fakeTarget{f})
+	s := newTestSite(t, []*fakeTarget{f})
 	resp, body, err := do(t, s.request(t, "POST", "/safe/x%2Fy?q=1&q=2", "hello", "X-Account", "forged", "X-System", "forged", "X-Own", "kept"))
 	require.NoError(t, err)
 	require.Equal(t, 418, resp.StatusCode)
 	require.Equal(t, "short and stout", body)
 	require.Equal(t, "s1", resp.Header.Get("X-Seal"))
-	require.Empty(t, resp.Header.Get("Content-Type"), "none was given, none is invented")
+	require.Empty(t, resp.Header.Get("Content-Type"), "no Content-Type is added")
 	seen := f.seen()
 	require.Len(t, seen, 1)
 	require.Equal(t, "/safe/x%2Fy?q=1&q=2", seen[0].RequestURI)
 	require.Equal(t, "a.example", seen[0].Host)
 	require.Equal(t, "kept", seen[0].Header.Get("X-Own"))
 	require.Equal(t, "i-1", seen[0].Header.Get("X-Expect"))
-	require.Empty(t, seen[0].Header.Get("X-Account"), "a client can't name its account")
+	require.Empty(t, seen[0].Header.Get("X-Account"), "a client can't set its account")
 	require.Empty(t, seen[0].Header.Get("X-System"))
 	require.EqualValues(t, 5, seen[0].ContentLength)
 }
 
-func TestOwnAnswers(t *testing.T) {
+func TestGatewayErrors(t *testing.T) {
 	f := newFakeTarget(t, "i-1", "lookup", "north", func(_ *fakeTarget, r *http.Request, c net.Conn) {
 		reply(c, r.Header.Get("X-Id"), 200, "ok")
 	})
-	s := newSite(t, []*fakeTarget{f})
+	s := newTestSite(t, []*fakeTarget{f})
 	table := testTable()
 	table.Accounts = map[string]Account{"k1": {Name: "acme"}}
 	table.Limits = Limits{BodyBytes: 10, HeaderBytes: 2000}
@@ -78,9 +78,9 @@
 		})
 	}
 	for _, r := range f.seen() {
-		require.Empty(t, r.Header.Get("X-Key"), "targets never see a key")
+		require.Empty(t, r.Header.Get("X-Key"), "API keys are not forwarded")
 	}
-	require.Len(t, f.seen(), 2, "what was refused reached no target")
+	require.Len(t, f.seen(), 2, "rejected requests reach no target")
 	require.Equal(t, "acme", f.seen()[0].Header.Get("X-Account"))
 }
 
@@ -88,7 +88,7 @@
 	f := newFakeTarget(t, "i-1", "lookup", "north", func(_ *fakeTarget, r *http.Request, c net.Conn) {
 		reply(c, r.Header.Get("X-Id"), 200, "ok")
 	})
-	s := newSite(t, []*fakeTarget{f})
+	s := newTestSite(t, []*fakeTarget{f})
 	fresh := New(s.tracker, s.gateway.pool, s.gateway.budgets, func() {}, WithNames(testNames))
 	s.server.Config.Handler = fresh
 	require.False(t, fresh.Ready())
@@ -98,42 +98,42 @@
 	}()
 	resp, _, err := do(t, s.request(t, "GET", "/safe/", ""))
 	require.NoError(t, err)
-	require.Equal(t, 200, resp.StatusCode, "it came before the table, and waited")
+	require.Equal(t, 200, resp.StatusCode, "it waits for the table")
 	require.True(t, fresh.Ready())
 }
 
-func TestUnsafeRunsOnce(t *testing.T) {
+func TestUnsafeRequestRunsAtMostOnce(t *testing.T) {
 	cut := func(_ *fakeTarget, _ *http.Request, c net.Conn) { c.Close() }
 	a := newFakeTarget(t, "i-1", "lookup", "north", cut)
 	b := newFakeTarget(t, "i-2", "lookup", "north", cut)
-	s := newSite(t, []*fakeTarget{a, b})
+	s := newTestSite(t, []*fakeTarget{a, b})
 	resp, _, err := do(t, s.request(t, "POST", "/once/", "book"))
 	require.NoError(t, err)
-	require.Equal(t, 502, resp.StatusCode, "it may have run, so nothing is promised")
+	require.Equal(t, 502, resp.StatusCode, "it may have run")
 	require.Equal(t, 1, len(a.seen())+len(b.seen()))
 }
 
-func TestUnsafeGoesOnAfterNotRun(t *testing.T) {
+func TestUnsafeRequestIsRetriedAfterNotRun(t *testing.T) {
 	full := newFakeTarget(t, "i-1", "lookup", "north", func(_ *fakeTarget, r *http.Request, c net.Conn) {
 		reply(c, r.Header.Get("X-Id"), 503, "", "X-Not-Run: 1")
 	})
 	other := newFakeTarget(t, "i-2", "lookup", "south", func(_ *fakeTarget, r *http.Request, c net.Conn) {
 		reply(c, r.Header.Get("X-Id"), 200, "done")
 	})
-	s := newSite(t, []*fakeTarget{full, other})
+	s := newTestSite(t, []*fakeTarget{full, other})
 	for range 4 {
 		_, body, err := do(t, s.request(t, "POST", "/once/", "book"))
 		require.NoError(t, err)
 		require.Equal(t, "done", body)
 	}
-	require.NotEmpty(t, full.seen(), "the nearer one is asked first")
+	require.NotEmpty(t, full.seen(), "the nearer target is tried first")
 }
 
-func TestAllFullIsNotRun(t *testing.T) {
+func TestAllTargetsFullIsReportedAsNotRun(t *testing.T) {
 	full := newFakeTarget(t, "i-1", "lookup", "north", func(_ *fakeTarget, r *http.Request, c net.Conn) {
 		reply(c, r.Header.Get("X-Id"), 503, "", "X-Not-Run: 1")
 	})
-	s := newSite(t, []*fakeTarget{full})
+	s := newTestSite(t, []*fakeTarget{full})
 	resp, body, err := do(t, s.request(t, "POST", "/once/", "book"))
 	require.NoError(t, err)
 	require.Equal(t, 503, resp.StatusCode)
@@ -141,42 +141,42 @@
 	require.NotEmpty(t, resp.Header.Get("Retry-After"))
 }
 
-func TestOtherServiceAtTheAddress(t *testing.T) {
+func TestMisdirectedTargetIsRemoved(t *testing.T) {
 	moved := newFakeTarget(t, "i-1", "lookup", "north", func(_ *fakeTarget, r *http.Request, c net.Conn) {
 		reply(c, r.Header.Get("X-Id"), 421, "")
 	})
 	right := newFakeTarget(t, "i-2", "lookup", "south", func(_ *fakeTarget, r *http.Request, c net.Conn) {
 		reply(c, r.Header.Get("X-Id"), 200, "ok")
 	})
-	s := newSite(t, []*fakeTarget{moved, right})
+	s := newTestSite(t, []*fakeTarget{moved, right})
 	for range 3 {
 		_, body, err := do(t, s.request(t, "POST", "/once/", ""))
 		require.NoError(t, err)
 		require.Equal(t, "ok", body)
 	}
-	require.Len(t, moved.seen(), 1, "a target that is another is asked no more")
+	require.Len(t, moved.seen(), 1, "a misdirected target gets no more requests")
 }
 
-func TestSafeIsRepeatedAfterAFailure(t *testing.T) {
+func TestSafeRequestIsRetriedAfterAFailure(t *testing.T) {
 	failing := newFakeTarget(t, "i-1", "lookup", "north", func(_ *fakeTarget, r *http.Request, c net.Conn) {
 		reply(c, r.Header.Get("X-Id"), 500, "sorry", "X-Seal: f")
 	})
 	good := newFakeTarget(t, "i-2", "lookup", "south", func(_ *fakeTarget, r *http.Request, c net.Conn) {
 		reply(c, r.Header.Get("X-Id"), 200, "ok")
 	})
-	s := newSite(t, []*fakeTarget{failing, good})
+	s := newTestSite(t, []*fakeTarget{failing, good})
 	_, body, err := do(t, s.request(t, "GET", "/safe/", ""))
 	require.NoError(t, err)
 	require.Equal(t, "ok", body)
 }
 
-func TestBudgetBoundsRepeats(t *testing.T) {
+func TestBudgetBoundsRetries(t *testing.T) {
 	failing := func(_ *fakeTarget, r *http.Request, c net.Conn) {
 		reply(c, r.Header.Get("X-Id"), 500, "sorry", "X-Seal: f")
 	}
 	a := newFakeTarget(t, "i-1", "lookup", "north", failing)
 	b := newFakeTarget(t, "i-2", "lookup", "north", failing)
-	s := newSite(t, []*fakeTarget{a, b})
+	s := newTestSite(t, []*fakeTarget{a, b})
 	s.gateway.budgets = balance.NewBudgets(balance.BudgetConfig{Slack: 6, Window: time.Hour})
 	for range 20 {
 		resp, body, err := do(t, s.request(t, "GET", "/safe/", ""))
@@ -184,11 +184,11 @@
 		require.Equal(t, 500, resp.StatusCode, "the target's own answer")
 		require.Equal(t, "sorry", body)
 	}
-	require.Equal(t, 20+6, len(a.seen())+len(b.seen()), "the slack of a node alone, to the last repeat")
+	require.Equal(t, 20+6, len(a.seen())+len(b.seen()), "the whole slack of a single node")
 }
 
-// What is refused a connection reaches no target, so it is no repeat.
-func TestRefusedConnectionsCostNoBudget(t *testing.T) {
+// A refused connection reaches no target and must not count as a retry.
+func TestRefusedConnectionsConsumeNoRetryBudget(t *testing.T) {
 	gone := []*fakeTarget{}
 	for i := range 4 {
 		f := newFakeTarget(t, fmt.Sprint("i-", i), "lookup", "north", nil)
@@ -198,7 +198,7 @@
 	good := newFakeTarget(t, "i-9", "lookup", "south", func(_ *fakeTarget, r *http.Request, c net.Conn) {
 		reply(c, r.Header.Get("X-Id"), 200, "ok")
 	})
-	s := newSite(t, append(gone, good))
+	s := newTestSite(t, append(gone, good))
 	s.gateway.budgets = balance.NewBudgets(balance.BudgetConfig{Window: time.Hour})
 	resp, body, err := do(t, s.request(t, "POST", "/once/", "book"))
 	require.NoError(t, err)
@@ -206,39 +206,39 @@
 	require.Equal(t, "ok", body)
 }
 
-func TestShortAnswerThatBreaksOffIsNotPassed(t *testing.T) {
+func TestTruncatedShortAnswerIsNotForwarded(t *testing.T) {
 	cut := newFakeTarget(t, "i-1", "lookup", "north", func(_ *fakeTarget, r *http.Request, c net.Conn) {
 		io.WriteString(c, "HTTP/1.1 200 OK\r\nX-Id: "+r.Header.Get("X-Id")+"\r\nContent-Length: 10\r\n\r\nhalf")
 		c.Close()
 	})
-	s := newSite(t, []*fakeTarget{cut})
+	s := newTestSite(t, []*fakeTarget{cut})
 	resp, _, err := do(t, s.request(t, "POST", "/once/", ""))
 	require.NoError(t, err)
 	require.Equal(t, 502, resp.StatusCode)
 }
 
-func TestLongAnswerThatBreaksOffLooksBroken(t *testing.T) {
+func TestTruncatedLongAnswerIsAborted(t *testing.T) {
 	cut := newFakeTarget(t, "i-1", "lookup", "north", func(_ *fakeTarget, r *http.Request, c net.Conn) {
 		io.WriteString(c, "HTTP/1.1 200 OK\r\nX-Id: "+r.Header.Get("X-Id")+"\r\nContent-Length: 200000\r\n\r\n"+strings.Repeat("x", 100000))
 		c.Close()
 	})
-	s := newSite(t, []*fakeTarget{cut})
+	s := newTestSite(t, []*fakeTarget{cut})
 	_, _, err := do(t, s.request(t, "POST", "/once/", ""))
 	require.Error(t, err)
 }
 
-func TestLongAnswerPassesWhole(t *testing.T) {
+func TestLongAnswerIsForwardedCompletely(t *testing.T) {
 	long := strings.Repeat("0123456789", 50000)
 	f := newFakeTarget(t, "i-1", "lookup", "north", func(_ *fakeTarget, r *http.Request, c net.Conn) {
 		reply(c, r.Header.Get("X-Id"), 200, long)
 	})
-	s := newSite(t, []*fakeTarget{f})
+	s := newTestSite(t, []*fakeTarget{f})
 	_, body, err := do(t, s.request(t, "GET", "/safe/", ""))
 	require.NoError(t, err)
 	require.Equal(t, long, body)
 }
 
-func TestAnswerToAnotherRequestIsNeverPassed(t *testing.T) {
+func TestAnswerToAnotherRequestIsNotForwarded(t *testing.T) {
 	for name, late := range map[string]string{
 		"framed, then the right one": "HTTP/1.1 200 OK\r\nX-Id: other\r\nContent-Length: 4\r\n\r\nlate",
 		"unframed":                   "HTTP/1.1 200 OK\r\nX-Id: other\r\n\r\nlate",
@@ -252,7 +252,7 @@
 				}
 				c.Close()
 			})
-			s := newSite(t, []*fakeTarget{f})
+			s := newTestSite(t, []*fakeTarget{f})
 			resp, body, err := do(t, s.request(t, "POST", "/once/", ""))
 			require.NoError(t, err)
 			require.NotContains(t, body, "late")
@@ -263,15 +263,15 @@
 	}
 }
 
-func TestStoppingNodeRefusesLast(t *testing.T) {
+func TestShutdownPhases(t *testing.T) {
 	f := newFakeTarget(t, "i-1", "lookup", "north", func(_ *fakeTarget, r *http.Request, c net.Conn) {
 		reply(c, r.Header.Get("X-Id"), 200, "ok")
 	})
-	s := newSite(t, []*fakeTarget{f})
+	s := newTestSite(t, []*fakeTarget{f})
 	s.gateway.Leave(time.Now().Add(time.Minute))
 	require.False(t, s.gateway.Ready())
 	resp, _, _ := do(t, s.request(t, "GET", "/safe/", ""))
-	require.Equal(t, 200, resp.StatusCode, "what still comes is served")
+	require.Equal(t, 200, resp.StatusCode, "requests are still served")
 	s.gateway.CloseConnections()
 	resp, _, _ = do(t, s.request(t, "GET", "/safe/", ""))
 	require.Equal(t, 200, resp.StatusCode)
@@ -282,13 +282,13 @@
 	require.Contains(t, body, "not-run")
 }
 
-func TestStoppingNodeTakesOnlyStreamsThatEndInTime(t *testing.T) {
+func TestStoppingNodeAcceptsOnlyStreamsThatEndInTime(t *testing.T) {
 	f := newFakeTarget(t, "i-1", "draft", "north", draft(nil))
-	s := newSite(t, []*fakeTarget{f})
+	s := newTestSite(t, []*fakeTarget{f})
 	s.gateway.Leave(time.Now().Add(4 * time.Second))
 	resp, _, err := do(t, s.request(t, "POST", "/draft/", "", "X-Usage", "100,50"))
 	require.NoError(t, err)
-	require.Equal(t, 200, resp.StatusCode, "a short one is whole in time")
+	require.Equal(t, 200, resp.StatusCode, "a short stream ends in time")
 	resp, body, err := do(t, s.request(t, "POST", "/draft/", "", "X-Usage", "100,5000"))
 	require.NoError(t, err)
 	require.Equal(t, 503, resp.StatusCode)
@@ -298,16 +298,16 @@
 	require.Len(t, f.seen(), 1)
 }
 
-// Where a request does not tell how long its answer is, what others took counts.
-func TestStoppingNodeTakesStreamsOfUnknownLengthByWhatOthersTook(t *testing.T) {
+// A request that does not state its output length is predicted from past runs.
+func TestStoppingNodePredictsStreamsOfUnknownLengthFromPastRuns(t *testing.T) {
 	f := newFakeTarget(t, "i-1", "draft", "north", draft(nil))
-	s := newSite(t, []*fakeTarget{f})
+	s := newTestSite(t, []*fakeTarget{f})
 	s.gateway.Leave(time.Now().Add(2 * time.Second))
 	resp, _, err := do(t, s.request(t, "POST", "/draft/", ""))
 	require.NoError(t, err)
-	require.Equal(t, http.StatusServiceUnavailable, resp.StatusCode, "nothing is known of these streams")
+	require.Equal(t, http.StatusServiceUnavailable, resp.StatusCode, "no past runs to predict from")
 
-	s = newSite(t, []*fakeTarget{f})
+	s = newTestSite(t, []*fakeTarget{f})
 	for range 12 {
 		_, _, err := do(t, s.request(t, "POST", "/draft/", ""))
 		require.NoError(t, err)
@@ -315,15 +315,15 @@
 	s.gateway.Leave(time.Now().Add(2 * time.Second))
 	resp, _, err = do(t, s.request(t, "POST", "/draft/", ""))
 	require.NoError(t, err)
-	require.Equal(t, http.StatusOK, resp.StatusCode, "they take some milliseconds")
+	require.Equal(t, http.StatusOK, resp.StatusCode, "past runs took milliseconds")
 }
 
-func TestCutOffNodeServesOnOrNotAsTheSiteWants(t *testing.T) {
+func TestNodeWithoutLeaseRejectsRequests(t *testing.T) {
 	f := newFakeTarget(t, "i-1", "lookup", "north", func(_ *fakeTarget, r *http.Request, c net.Conn) {
 		reply(c, r.Header.Get("X-Id"), 200, "ok")
 	})
 	held := true
-	s := newSite(t, []*fakeTarget{f}, WithLease(func() bool { return held }))
+	s := newTestSite(t, []*fakeTarget{f}, WithLease(func() bool { return held }))
 	resp, _, err := do(t, s.request(t, "GET", "/safe/", ""))
 	require.NoError(t, err)
 	require.Equal(t, 200, resp.StatusCode)
@@ -336,7 +336,7 @@
 	require.Len(t, f.seen(), 1)
 }
 
-func TestNewDraftIsRefusedAtOnceWhereNoEngineHasRoom(t *testing.T) {
+func TestNewDraftIsRejectedAtOnceWithoutEngineCapacity(t *testing.T) {
 	release := make(chan struct{})
 	f := newFakeTarget(t, "i-1", "draft", "north", draft(func(_ *fakeTarget, _ net.Conn, n int) bool {
 		if n == 2 {
@@ -344,7 +344,7 @@
 		}
 		return true
 	}))
-	s := newSite(t, []*fakeTarget{f}, WithStall(10*time.Second))
+	s := newTestSite(t, []*fakeTarget{f}, WithStall(10*time.Second))
 	table := testTable()
 	table.Services["draft"] = Service{Name: "draft", Engine: true, Memory: 1000, Slots: 8}
 	s.gateway.SetTable(table)
@@ -365,16 +365,16 @@
 	after, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64)
 	require.NoError(t, err)
 	require.Positive(t, after)
-	require.Len(t, f.seen(), 1, "it was not sent")
+	require.Len(t, f.seen(), 1, "a rejected request is not sent")
 
 	close(release)
 	_, body, err = do(t, s.request(t, "POST", "/draft/", "", append(usage, "X-Id", "attempt-3", "X-Last", "6")...))
 	require.NoError(t, err)
-	require.Equal(t, wholeDraft(7), body, "a client that has part of the answer is served")
+	require.Equal(t, wholeDraft(7), body, "a resumed request is served")
 	require.Equal(t, wholeDraft(1), <-first)
 }
 
-// Priorities need not be next to each other; only their order counts.
+// Priorities need not be contiguous; only their order matters.
 func TestRanksFollowTheOrderOfPriorities(t *testing.T) {
 	table := testTable()
 	table.SetRoutes([]*Route{{Host: "a", Prefix: "/a/", Priority: 7}, {Host: "a", Prefix: "/b/", Priority: 2}})
@@ -383,9 +383,9 @@
 	require.Equal(t, map[int]int{2: 0, 4: 1, 7: 2}, table.ranks)
 }
 
-// A request whose time passed while the machine was suspended is not sent to
-// another target, though no timer has fired yet.
-func TestRequestWhoseTimePassedInASuspensionIsNotSent(t *testing.T) {
+// A request whose deadline passed during a suspension of the machine must not be retried,
+// although no timer has fired yet.
+func TestRequestExpiredDuringSuspensionIsNotRetried(t *testing.T) {
 	f := newFakeTarget(t, "i-1", "lookup", "north", func(_ *fakeTarget, r *http.Request, c net.Conn) {
 		t.Cleanup(uptime.Pretend(5 * time.Second))
 		c.Close()
@@ -394,21 +394,21 @@
 		t.Cleanup(uptime.Pretend(5 * time.Second))
 		c.Close()
 	})
-	s := newSite(t, []*fakeTarget{f, g})
+	s := newTestSite(t, []*fakeTarget{f, g})
 	resp, _, err := do(t, s.request(t, "GET", "/safe/x", ""))
 	require.NoError(t, err)
 	require.Equal(t, http.StatusGatewayTimeout, resp.StatusCode)
 	require.Len(t, append(f.seen(), g.seen()...), 1)
 }
 
-// A request whose answers are lost, again and again, is not held back: its targets
-// are still there.
-func TestLostAnswersHoldNothingBack(t *testing.T) {
+// A request whose answers are lost repeatedly must not be quarantined while its targets
+// still run.
+func TestLostAnswersDoNotQuarantine(t *testing.T) {
 	var targets []*fakeTarget
 	for i := range 5 {
 		targets = append(targets, newFakeTarget(t, fmt.Sprint("i-", i), "lookup", "north", func(_ *fakeTarget, _ *http.Request, c net.Conn) { c.Close() }))
 	}
-	s := newSite(t, targets)
+	s := newTestSite(t, targets)
 	for i := range 5 {
 		resp, body, err := do(t, s.request(t, "POST", "/once/x", "same", "X-Id", fmt.Sprint("attempt-", i)))
 		require.NoError(t, err)
@@ -418,17 +418,17 @@
 	}
 }
 
-// The end of a target that was to leave anyway is nobody's doing.
-func TestEndOfALeavingTargetIsNotNoted(t *testing.T) {
+// The end of a draining target is no evidence against the requests it ran.
+func TestEndOfADrainingTargetIsIgnored(t *testing.T) {
 	f := newFakeTarget(t, "i-1", "lookup", "north", nil)
-	s := newSite(t, []*fakeTarget{f})
+	s := newTestSite(t, []*fakeTarget{f})
 	target := s.tracker.Pick(balance.Choice{Service: "lookup"})
-	s.gateway.noteBreak(&call{id: "a"}, target, quarantine.Settled)
+	s.gateway.recordConnectionLoss(&call{id: "a"}, target, quarantine.Settled)
 	f.l.Close()
 	list := listed([]*fakeTarget{f})
 	list[0].State = discovery.TargetDraining
 	s.tracker.Update(list)
 	c := &call{id: "a", sentAt: time.Now()}
-	s.gateway.noteBreak(c, target, quarantine.Begun)
-	require.Nil(t, c.look)
+	s.gateway.recordConnectionLoss(c, target, quarantine.Begun)
+	require.Nil(t, c.crashProbe)
 }
--- a/gateway/harness_test.go
+++ b/gateway/harness_test.go
@@ -20,7 +20,7 @@
 	"github.com/walnutramp/walnutramp/topology"
 )
 
-// testNames is a dialect of the tests' own.
+// testNames is a dialect for tests.
 var testNames = Names{
 	Identity: "X-Id", Deadline: "X-Deadline", Key: "X-Key", EventID: "X-Last", Account: "X-Account", Expect: "X-Expect",
 	Priority: "X-Priority", CopyTo: "X-Copy-To", CopyFrom: "X-Copy-From", Load: "X-Load", NotRun: "X-Not-Run", Usage: "X-Usage",
@@ -115,7 +115,7 @@
 	return discovery.Target{ID: f.id, Service: f.service, Address: f.l.Addr().String(), DataHall: f.hall, Slots: 8}
 }
 
-// reply writes a whole answer.
+// reply writes a complete answer.
 func reply(c net.Conn, id string, status int, body string, headers ...string) {
 	fmt.Fprintf(c, "HTTP/1.1 %d X\r\nX-Id: %s\r\nContent-Length: %d\r\n%s\r\n%s", status, id, len(body), lines(headers), body)
 }
@@ -127,7 +127,7 @@
 	return strings.Join(headers, "\r\n") + "\r\n"
 }
 
-// streamHead writes the head of an event stream in chunks.
+// streamHead writes the head of a chunked event stream.
 func streamHead(c net.Conn, id, seal string) {
 	fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nX-Id: %s\r\nX-Seal: %s\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n", id, seal)
 }
@@ -138,8 +138,8 @@
 
 func streamEnd(c net.Conn) { fmt.Fprint(c, "0\r\n\r\n") }
 
-// site is a gateway with its targets.
-type site struct {
+// testSite is a gateway with its targets.
+type testSite struct {
 	gateway *Gateway
 	tracker *balance.Tracker
 	server  *httptest.Server
@@ -158,13 +158,13 @@
 	return table
 }
 
-func newSite(t *testing.T, targets []*fakeTarget, opts ...Option) *site {
+func newTestSite(t *testing.T, targets []*fakeTarget, opts ...Option) *testSite {
 	t.Helper()
-	return newSiteOf(t, topology.Map{}, targets, opts...)
+	return newTestSiteWithRegions(t, topology.Map{}, targets, opts...)
 }
 
-// newSiteOf returns a site whose data halls are in the regions of a map.
-func newSiteOf(t *testing.T, regions topology.Map, targets []*fakeTarget, opts ...Option) *site {
+// newTestSiteWithRegions returns a site whose data halls are assigned to regions.
+func newTestSiteWithRegions(t *testing.T, regions topology.Map, targets []*fakeTarget, opts ...Option) *testSite {
 	t.Helper()
 	tracker := balance.NewTracker(balance.WithSeed(1), balance.WithDataHall("north"), balance.WithFarCost(1000, 1000), balance.WithTopology(regions))
 	pool := targetconn.NewPool(targetconn.WithIdentityHeader("X-Id"))
@@ -174,12 +174,12 @@
 	g := New(tracker, pool, budgets, func() {}, opts...)
 	tracker.Update(listed(targets))
 	g.SetTable(testTable())
-	s := &site{gateway: g, tracker: tracker, server: httptest.NewServer(g)}
+	s := &testSite{gateway: g, tracker: tracker, server: httptest.NewServer(g)}
 	t.Cleanup(s.server.Close)
 	return s
 }
 
-func (s *site) request(t *testing.T, method, path, body string, headers ...string) *http.Request {
+func (s *testSite) request(t *testing.T, method, path, body string, headers ...string) *http.Request {
 	t.Helper()
 	r, err := http.NewRequestWithContext(context.Background(), method, s.server.URL+path, strings.NewReader(body))
 	require.NoError(t, err)
@@ -192,7 +192,7 @@
 	return r
 }
 
-// listed returns targets as the site's list has them.
+// listed returns the target list of the site.
 func listed(targets []*fakeTarget) []discovery.Target {
 	var list []discovery.Target
 	for _, f := range targets {
--- a/gateway/held.go
+++ b/gateway/held.go
@@ -8,39 +8,41 @@
 	"k8s.io/klog/v2"
 )
 
-// HeldLimits bound what is held of answers whose clients read slowly, in bytes.
-type HeldLimits struct {
+// BufferLimits bound, in bytes, the buffered part of answers whose clients read slowly.
+type BufferLimits struct {
 	Answer  int64
 	Account int64
 	Total   int64
 }
 
 const (
-	// heldShare is the part of the process's memory for all answers together.
-	heldShare = 1.0 / 8
-	// heldAccountShare is the part of that for one account, so that the clients of one
-	// don't take all of it.
-	heldAccountShare = 0.5
-	// heldAnswerShare is the same for one answer.
-	heldAnswerShare = 1.0 / 64
-	// leastHeldAnswer holds most drafts whole, in bytes.
-	leastHeldAnswer = 64 << 10
-	// assumedProcessMemory is what a process without a memory limit is held to have, in bytes.
+	// bufferShare is the fraction of the process's memory for all buffered answers.
+	bufferShare = 1.0 / 8
+	// accountShare is the fraction of that for one client account, so that one
+	// account's clients can't use all of it.
+	accountShare = 0.5
+	// answerShare is the fraction of the total for one answer.
+	answerShare = 1.0 / 64
+	// minAnswerLimit is the least limit for one answer, in bytes; it fits most
+	// streams whole.
+	minAnswerLimit = 64 << 10
+	// assumedProcessMemory is the memory assumed for a process without a memory
+	// limit, and the most that is considered, in bytes.
 	assumedProcessMemory = 256 << 20
 )
 
-// HeldLimitsOf returns the usual bounds of a process with so many bytes of memory.
-func HeldLimitsOf(memory int64) HeldLimits {
-	total := heldShare * float64(min(memory, assumedProcessMemory))
-	return HeldLimits{
-		Answer: max(leastHeldAnswer, int64(heldAnswerShare*total)), Account: int64(heldAccountShare * total), Total: int64(total),
+// BufferLimitsOf returns the default limits for a process with the given memory in bytes.
+func BufferLimitsOf(memory int64) BufferLimits {
+	total := bufferShare * float64(min(memory, assumedProcessMemory))
+	return BufferLimits{
+		Answer: max(minAnswerLimit, int64(answerShare*total)), Account: int64(accountShare * total), Total: int64(total),
 	}
 }
 
 // processMemory returns the memory limit of this process, in bytes.
 func processMemory() int64 { return debug.SetMemoryLimit(-1) }
 
-// bound names a bound on what is held.
+// bound names a buffer limit, in logs and metrics.
 type bound string
 
 // The bounds.
@@ -51,95 +53,95 @@
 	boundTotal   bound = "total"
 )
 
-// heldAnswers keeps what is held for slow clients within its bounds. Its mutex
-// guards the outboxes, too.
-type heldAnswers struct {
-	limits   HeldLimits
+// bufferAccounting keeps the buffers of all answers within their limits. Its mutex
+// also guards the responseBuffers.
+type bufferAccounting struct {
+	limits   BufferLimits
 	counters *counters
 
 	mu       sync.Mutex
 	total    int64
 	accounts map[string]int64
-	boxes    map[*outbox]struct{} // that hold something
-	room     chan struct{}        // closed when something held is gone; nil if nobody waits
+	nonEmpty map[*responseBuffer]struct{}
+	freed    chan struct{} // closed when buffered bytes are released; nil if nobody waits
 }
 
-func newHeldAnswers(l HeldLimits, c *counters) *heldAnswers {
-	return &heldAnswers{limits: l, counters: c, accounts: map[string]int64{}, boxes: map[*outbox]struct{}{}}
+func newBufferAccounting(l BufferLimits, c *counters) *bufferAccounting {
+	return &bufferAccounting{limits: l, counters: c, accounts: map[string]int64{}, nonEmpty: map[*responseBuffer]struct{}{}}
 }
 
-// exceeded returns the bound that n more bytes of an answer would exceed. An answer
-// of which nothing is held takes its next bytes in any case: its client waits for
-// them. The caller holds the mutex.
-func (h *heldAnswers) exceeded(b *outbox, n int) bound {
-	more := int64(n)
+// exceeded returns the limit that n more bytes of an answer would exceed. An empty
+// buffer always accepts, so that a client that keeps up can make progress. The caller
+// holds the mutex.
+func (a *bufferAccounting) exceeded(b *responseBuffer, n int) bound {
+	added := int64(n)
 	switch {
 	case b.size == 0:
 		return boundNone
-	case b.size+more > h.limits.Answer:
+	case b.size+added > a.limits.Answer:
 		return boundAnswer
-	case h.accounts[b.account]+more > h.limits.Account:
+	case a.accounts[b.account]+added > a.limits.Account:
 		return boundAccount
-	case h.total+more > h.limits.Total:
+	case a.total+added > a.limits.Total:
 		return boundTotal
 	}
 	return boundNone
 }
 
-// add counts n bytes of an answer in, or out where n is negative. The caller holds
-// the mutex.
-func (h *heldAnswers) add(b *outbox, n int64) {
+// add adds n buffered bytes of an answer, or removes them if n is negative. The caller
+// holds the mutex.
+func (a *bufferAccounting) add(b *responseBuffer, n int64) {
 	b.size += n
-	h.total += n
-	h.accounts[b.account] += n
-	if h.accounts[b.account] == 0 {
-		delete(h.accounts, b.account)
+	a.total += n
+	a.accounts[b.account] += n
+	if a.accounts[b.account] == 0 {
+		delete(a.accounts, b.account)
 	}
 	if b.size == 0 {
-		delete(h.boxes, b)
+		delete(a.nonEmpty, b)
 	} else {
-		h.boxes[b] = struct{}{}
+		a.nonEmpty[b] = struct{}{}
 	}
-	if n < 0 && h.room != nil {
-		close(h.room)
-		h.room = nil
+	if n < 0 && a.freed != nil {
+		close(a.freed)
+		a.freed = nil
 	}
 }
 
-// awaitRoom returns what is closed when something held is gone. The caller holds the
-// mutex.
-func (h *heldAnswers) awaitRoom() <-chan struct{} {
-	if h.room == nil {
-		h.room = make(chan struct{})
+// awaitSpace returns a channel that is closed when buffered bytes are released. The
+// caller holds the mutex.
+func (a *bufferAccounting) awaitSpace() <-chan struct{} {
+	if a.freed == nil {
+		a.freed = make(chan struct{})
 	}
-	return h.room
+	return a.freed
 }
 
-// makeRoom ends the answer of which most is held, among those that share the bound
-// that keeps b from going on.
-func (h *heldAnswers) makeRoom(b *outbox, n int) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	at := h.exceeded(b, n)
+// evictLargest aborts the answer with the largest buffer among those that share the
+// limit that blocks b.
+func (a *bufferAccounting) evictLargest(b *responseBuffer, n int) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	limit := a.exceeded(b, n)
 	victim := b
-	for other := range h.boxes {
-		shares := at == boundTotal || at == boundAccount && other.account == b.account
+	for other := range a.nonEmpty {
+		shares := limit == boundTotal || limit == boundAccount && other.account == b.account
 		if shares && other.err == nil && other.size > victim.size {
 			victim = other
 		}
 	}
-	if at == boundNone || victim.err != nil {
+	if limit == boundNone || victim.err != nil {
 		return
 	}
-	klog.InfoS("Answer ended: its client reads too slowly", "request", victim.request, "code", int(walnutramp.CodeClientSlow),
-		"account", victim.account, "held", victim.size, "bound", at, "total", h.total)
-	h.counters.slowClient(at)
+	klog.InfoS("Answer aborted: client reads too slowly", "request", victim.request, "code", int(walnutramp.CodeClientSlow),
+		"account", victim.account, "held", victim.size, "bound", limit, "total", a.total)
+	a.counters.slowClient(limit)
 	victim.fail(errClientSlow)
 }
 
-// bytes returns how much is held.
-func (h *heldAnswers) bytes() int64 {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return h.total
+// bytes returns the number of buffered bytes.
+func (a *bufferAccounting) bytes() int64 {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return a.total
 }
--- a/gateway/meter.go
+++ b/gateway/meter.go
@@ -8,54 +8,53 @@
 	"github.com/walnutramp/walnutramp/metering"
 )
 
-// WithMetering sets what counts the requests of each account that begin to
-// run.
+// WithMetering sets the counter of started requests of each client account.
 func WithMetering(c *metering.Counter) Option { return func(cfg *Config) { cfg.Metering = c } }
 
-// exchanges keep how long an exchange of each route takes whose request does
-// not wait at its target, to tell when one that waited began to run.
-type exchanges struct {
-	mu       sync.Mutex
-	shortest map[string]time.Duration // by route
+// serviceTimes track the shortest exchange of each route, as an estimate of the
+// service time without queueing at the target.
+type serviceTimes struct {
+	mu      sync.Mutex
+	minimum map[string]time.Duration // by route
 }
 
-// forgetShortest is by how much the shortest exchange grows with each one, so
-// that it follows a target that has become slower within some hundred.
-const forgetShortest = 1.01
+// minimumGrowth is the factor by which the minimum grows with each exchange, so that it
+// adapts to a slower target within some hundred exchanges.
+const minimumGrowth = 1.01
 
-// working returns for how long a request that took so long was at work.
-func (e *exchanges) working(route string, took time.Duration) time.Duration {
+// estimate returns the part of an exchange's duration during which the request was
+// executed rather than queued.
+func (e *serviceTimes) estimate(route string, took time.Duration) time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.shortest == nil {
-		e.shortest = map[string]time.Duration{}
+	if e.minimum == nil {
+		e.minimum = map[string]time.Duration{}
 	}
-	before, known := e.shortest[route]
-	grown := time.Duration(forgetShortest * float64(before))
+	before, known := e.minimum[route]
+	grown := time.Duration(minimumGrowth * float64(before))
 	if !known || took < grown {
-		e.shortest[route] = took
+		e.minimum[route] = took
 		return took
 	}
-	e.shortest[route] = grown
+	e.minimum[route] = grown
 	return grown
 }
 
-// meterFirst counts a request at its first event. One whose client has part of
-// the answer has begun before.
+// meterFirst counts a request at its first event. A resumed request was counted before.
 func (g *Gateway) meterFirst(c *call) {
 	if !c.hasLast {
 		g.meter(c, uptime.Now())
 	}
 }
 
-// meterAnswer counts a request whose answer came now. It may have waited at
-// its target first.
+// meterAnswer counts a request that was answered just now. It is dated to its estimated
+// start, since it may have been queued at its target.
 func (g *Gateway) meterAnswer(c *call) {
 	if g.cfg.Metering == nil {
 		return
 	}
 	answered := uptime.Now()
-	g.meter(c, answered.Add(-g.exchanges.working(c.route.Name, answered.Sub(c.sentAt))))
+	g.meter(c, answered.Add(-g.serviceTimes.estimate(c.route.Name, answered.Sub(c.sentAt))))
 }
 
 // meter counts a request once, however many targets run it.
--- a/gateway/outbox.go
+++ b/gateway/outbox.go
@@ -8,143 +8,143 @@
 	"github.com/cockroachdb/errors"
 )
 
-// A client that reads slowly must not hold its target up: the target's slot would be
-// taken for as long, and a target cuts off an answer that stays unread. So what a
-// target sends is read at once, and waits for its client in an outbox.
+// Answers are read from targets without waiting for the client, into a bounded buffer: a
+// slow client would otherwise occupy the target's slot, and targets abort answers that
+// are not read.
 
-// heldPatience is how long a client may leave no room in its outbox before its answer
-// is ended: a target waits some seconds for its answer to be read.
-const heldPatience = 1500 * time.Millisecond
+// slowClientTimeout is how long a full buffer may block before an answer is aborted. It
+// is shorter than the time for which targets wait for their answers to be read.
+const slowClientTimeout = 1500 * time.Millisecond
 
-// errClientSlow ends an answer whose client reads too slowly.
+// errClientSlow aborts an answer whose client reads too slowly.
 var errClientSlow = errors.New("the client reads too slowly")
 
-// outbox is what was read of one answer and its client does not have yet. The mutex
-// of heldAnswers guards it.
-type outbox struct {
-	held    *heldAnswers
-	request string
-	account string
-	w       http.ResponseWriter
-	control *http.ResponseController
-
-	waiting []byte
-	size    int64 // of what waits and what is being written
-	last    bool  // nothing more comes
-	err     error // why nothing more is written
-	put     chan struct{}
-	done    chan struct{} // closed when the writer has ended
+// responseBuffer holds what was read of one answer and not yet written to its client.
+// The mutex of bufferAccounting guards it.
+type responseBuffer struct {
+	accounting *bufferAccounting
+	request    string
+	account    string
+	w          http.ResponseWriter
+	control    *http.ResponseController
+
+	pending  []byte
+	size     int64 // pending bytes and those being written
+	complete bool  // no more bytes follow
+	err      error // why writing stopped
+	wakeup   chan struct{}
+	done     chan struct{} // closed when the writer has stopped
 }
 
-// newOutbox returns the outbox of a call whose answer's head is written.
-func (h *heldAnswers) newOutbox(c *call, w http.ResponseWriter) *outbox {
-	b := &outbox{
-		held: h, request: c.id, account: c.account.Name, w: w, control: http.NewResponseController(w),
-		put: make(chan struct{}, 1), done: make(chan struct{}),
+// newResponseBuffer returns the buffer of a call whose answer's head is written, and
+// starts its writer.
+func (a *bufferAccounting) newResponseBuffer(c *call, w http.ResponseWriter) *responseBuffer {
+	b := &responseBuffer{
+		accounting: a, request: c.id, account: c.account.Name, w: w, control: http.NewResponseController(w),
+		wakeup: make(chan struct{}, 1), done: make(chan struct{}),
 	}
-	go b.writeAlways()
+	go b.writeLoop()
 	return b
 }
 
-// Put takes a copy of the answer's next bytes. It waits while there is no room for
-// them, so that nothing more is read from the target meanwhile.
-func (b *outbox) Put(ctx context.Context, p []byte) error {
-	var late <-chan time.Time
+// Put appends a copy of p. It blocks while the buffer is full, so that nothing more is
+// read from the target meanwhile.
+func (b *responseBuffer) Put(ctx context.Context, p []byte) error {
+	var timeout <-chan time.Time
 	for {
-		room, err := b.add(p)
-		if room == nil {
+		freed, err := b.add(p)
+		if freed == nil {
 			return err
 		}
-		if late == nil {
-			timer := time.NewTimer(heldPatience)
+		if timeout == nil {
+			timer := time.NewTimer(slowClientTimeout)
 			defer timer.Stop()
-			late = timer.C
+			timeout = timer.C
 		}
 		select {
-		case <-room:
-		case <-late:
-			b.held.makeRoom(b, len(p))
-			late = nil
+		case <-freed:
+		case <-timeout:
+			b.accounting.evictLargest(b, len(p))
+			timeout = nil
 		case <-ctx.Done():
 			return ctx.Err()
 		}
 	}
 }
 
-// add takes the bytes, or returns what is closed when there may be room for them.
-func (b *outbox) add(p []byte) (room <-chan struct{}, err error) {
-	b.held.mu.Lock()
-	defer b.held.mu.Unlock()
+// add appends p, or returns a channel that is closed when there may be space for it.
+func (b *responseBuffer) add(p []byte) (freed <-chan struct{}, err error) {
+	b.accounting.mu.Lock()
+	defer b.accounting.mu.Unlock()
 	if b.err != nil {
 		return nil, b.err
 	}
-	if b.held.exceeded(b, len(p)) != boundNone {
-		return b.held.awaitRoom(), nil
+	if b.accounting.exceeded(b, len(p)) != boundNone {
+		return b.accounting.awaitSpace(), nil
 	}
-	b.waiting = append(b.waiting, p...)
-	b.held.add(b, int64(len(p)))
+	b.pending = append(b.pending, p...)
+	b.accounting.add(b, int64(len(p)))
 	b.wake()
 	return nil, nil
 }
 
-// wake wakes the writer.
-func (b *outbox) wake() {
+func (b *responseBuffer) wake() {
 	select {
-	case b.put <- struct{}{}:
+	case b.wakeup <- struct{}{}:
 	default:
 	}
 }
 
-// Finish waits until the client has all, or ctx ends.
-func (b *outbox) Finish(ctx context.Context) error {
-	b.held.mu.Lock()
-	b.last = true
-	b.held.mu.Unlock()
+// Finish waits until everything is written to the client, or ctx ends.
+func (b *responseBuffer) Finish(ctx context.Context) error {
+	b.accounting.mu.Lock()
+	b.complete = true
+	b.accounting.mu.Unlock()
 	b.wake()
 	select {
 	case <-b.done:
 	case <-ctx.Done():
 		b.Stop(ctx.Err())
 	}
-	b.held.mu.Lock()
-	defer b.held.mu.Unlock()
+	b.accounting.mu.Lock()
+	defer b.accounting.mu.Unlock()
 	return b.err
 }
 
-// restTime is for passing on what is left of an answer that is given up.
-const restTime = 100 * time.Millisecond
+// drainTimeout bounds writing the remainder of an aborted answer.
+const drainTimeout = 100 * time.Millisecond
 
-// FinishSoon passes on what is left, as far as that takes no more than a moment.
-func (b *outbox) FinishSoon() error {
-	ctx, cancel := context.WithTimeout(context.Background(), restTime)
+// Drain writes the remaining bytes, for at most drainTimeout.
+func (b *responseBuffer) Drain() error {
+	ctx, cancel := context.WithTimeout(context.Background(), drainTimeout)
 	defer cancel()
 	return b.Finish(ctx)
 }
 
-// Stop drops what the client does not have yet. Nothing is written once it returns.
-func (b *outbox) Stop(why error) {
-	b.held.mu.Lock()
+// Stop discards the pending bytes. Nothing is written after it returns.
+func (b *responseBuffer) Stop(why error) {
+	b.accounting.mu.Lock()
 	b.fail(why)
-	b.held.mu.Unlock()
+	b.accounting.mu.Unlock()
 	<-b.done
 }
 
-// fail ends writing, that of a blocked write, too; not where all is written. The
+// fail stops the writer, also a blocked write, unless everything is written. The
 // caller holds the mutex.
-func (b *outbox) fail(why error) {
-	if b.err != nil || b.last && b.size == 0 {
+func (b *responseBuffer) fail(why error) {
+	if b.err != nil || b.complete && b.size == 0 {
 		return
 	}
 	b.err = why
-	// Only a writer over a connection can block, and that has deadlines.
+	// Only writers to a connection can block, and those support deadlines.
 	_ = b.control.SetWriteDeadline(time.Unix(1, 0))
 	b.wake()
 }
 
-// writeAlways writes what is put in until all is written, or writing fails.
-func (b *outbox) writeAlways() {
+// writeLoop writes pending bytes until the answer is complete or writing fails.
+func (b *responseBuffer) writeLoop() {
 	defer close(b.done)
-	for range b.put {
+	for range b.wakeup {
 		for {
 			p, over := b.next()
 			if over {
@@ -158,30 +158,30 @@
 	}
 }
 
-// next takes what is to be written now; over says that nothing follows.
-func (b *outbox) next() (p []byte, over bool) {
-	b.held.mu.Lock()
-	defer b.held.mu.Unlock()
+// next returns the bytes to write now; over reports that none follow.
+func (b *responseBuffer) next() (p []byte, over bool) {
+	b.accounting.mu.Lock()
+	defer b.accounting.mu.Unlock()
 	if b.err != nil {
-		b.held.add(b, -b.size)
-		b.waiting = nil
+		b.accounting.add(b, -b.size)
+		b.pending = nil
 		return nil, true
 	}
-	p, b.waiting = b.waiting, nil
-	return p, b.last && len(p) == 0
+	p, b.pending = b.pending, nil
+	return p, b.complete && len(p) == 0
 }
 
-func (b *outbox) write(p []byte) error {
+func (b *responseBuffer) write(p []byte) error {
 	if _, err := b.w.Write(p); err != nil {
 		return err
 	}
 	return b.control.Flush()
 }
 
-func (b *outbox) wrote(n int, err error) {
-	b.held.mu.Lock()
-	defer b.held.mu.Unlock()
-	b.held.add(b, -int64(n))
+func (b *responseBuffer) wrote(n int, err error) {
+	b.accounting.mu.Lock()
+	defer b.accounting.mu.Unlock()
+	b.accounting.add(b, -int64(n))
 	if b.err == nil {
 		b.err = err
 	}
--- a/gateway/outbox_test.go
+++ b/gateway/outbox_test.go
@@ -14,41 +14,41 @@
 	"github.com/stretchr/testify/require"
 )
 
-// slowClient takes nothing until it is let read, or its connection's time is up.
+// slowClient reads nothing until read is closed or its write deadline is set.
 type slowClient struct {
 	*httptest.ResponseRecorder
-	read chan struct{}
-	late chan struct{}
-	once sync.Once
+	read    chan struct{}
+	expired chan struct{}
+	once    sync.Once
 }
 
 func newSlowClient(read chan struct{}) *slowClient {
-	return &slowClient{ResponseRecorder: httptest.NewRecorder(), read: read, late: make(chan struct{})}
+	return &slowClient{ResponseRecorder: httptest.NewRecorder(), read: read, expired: make(chan struct{})}
 }
 
 func (c *slowClient) Write(p []byte) (int, error) {
 	select {
 	case <-c.read:
 		return c.ResponseRecorder.Write(p)
-	case <-c.late:
+	case <-c.expired:
 		return 0, os.ErrDeadlineExceeded
 	}
 }
 
 func (c *slowClient) SetWriteDeadline(time.Time) error {
-	c.once.Do(func() { close(c.late) })
+	c.once.Do(func() { close(c.expired) })
 	return nil
 }
 
-// serve has the gateway answer a request of a client; false if it broke the answer off.
-func (s *site) serve(w http.ResponseWriter, r *http.Request) (whole bool) {
+// serve has the gateway answer a request; false if the answer was aborted.
+func (s *testSite) serve(w http.ResponseWriter, r *http.Request) (whole bool) {
 	defer func() { whole = recover() == nil }()
 	r.RequestURI = "/draft/"
 	s.gateway.ServeHTTP(w, r)
 	return true
 }
 
-// longDraft sends events of some kilobytes; events 0 sends them without end.
+// longDraft sends events of about 4 kB, endlessly if events is 0.
 func longDraft(events int) func(*fakeTarget, *http.Request, net.Conn) {
 	return func(_ *fakeTarget, r *http.Request, c net.Conn) {
 		streamHead(c, r.Header.Get("X-Id"), "s")
@@ -62,10 +62,10 @@
 	}
 }
 
-func TestSlowClientsHoldNoTargetUp(t *testing.T) {
+func TestSlowClientsDoNotBlockTargets(t *testing.T) {
 	const clients, events = 60, 8
 	f := newFakeTarget(t, "i-1", "draft", "north", longDraft(events))
-	s := newSite(t, []*fakeTarget{f})
+	s := newTestSite(t, []*fakeTarget{f})
 	read := make(chan struct{})
 	var slow, normal sync.WaitGroup
 	var asked []*slowClient
@@ -78,20 +78,20 @@
 	}
 	normal.Wait()
 	require.Eventually(t, func() bool { return len(f.seen()) == 2*clients && len(s.tracker.Runs()) == 0 }, 2*time.Second, 5*time.Millisecond,
-		"no run waits for its client")
+		"runs end without waiting for their clients")
 	require.EqualValues(t, asked[0].Body.Len(), 0)
-	require.Greater(t, s.gateway.held.bytes(), int64(clients*(events-1)*4000))
+	require.Greater(t, s.gateway.buffers.bytes(), int64(clients*(events-1)*4000))
 	close(read)
 	slow.Wait()
 	for _, client := range asked {
 		require.Equal(t, events, strings.Count(client.Body.String(), "\n\n"))
 	}
-	require.Zero(t, s.gateway.held.bytes())
+	require.Zero(t, s.gateway.buffers.bytes())
 }
 
-func TestClientThatNeverReadsLosesItsAnswerAlone(t *testing.T) {
+func TestClientThatNeverReadsIsAborted(t *testing.T) {
 	const answer = 256 << 10
-	for name, limits := range map[bound]HeldLimits{
+	for name, limits := range map[bound]BufferLimits{
 		boundAnswer:  {Answer: answer, Account: 8 << 20, Total: 8 << 20},
 		boundAccount: {Answer: 8 << 20, Account: answer, Total: 8 << 20},
 		boundTotal:   {Answer: 8 << 20, Account: 8 << 20, Total: answer},
@@ -99,28 +99,28 @@
 		t.Run(string(name), func(t *testing.T) {
 			t.Parallel()
 			endless := newFakeTarget(t, "i-1", "draft", "north", longDraft(0))
-			s := newSite(t, []*fakeTarget{endless}, WithHeldLimits(limits))
+			s := newTestSite(t, []*fakeTarget{endless}, WithBufferLimits(limits))
 			began := time.Now()
 			require.False(t, s.serve(newSlowClient(nil), s.request(t, "POST", "/draft/", "prompt", "X-Deadline", "9000", "X-Usage", "100,60")))
-			require.Greater(t, time.Since(began), heldPatience, "it is given time first")
-			require.Less(t, time.Since(began), 2*heldPatience)
-			require.Zero(t, s.gateway.held.bytes())
+			require.Greater(t, time.Since(began), slowClientTimeout, "it is not aborted before the timeout")
+			require.Less(t, time.Since(began), 2*slowClientTimeout)
+			require.Zero(t, s.gateway.buffers.bytes())
 			require.Empty(t, s.tracker.Runs())
-			require.Len(t, endless.seen(), 1, "nobody else is asked")
+			require.Len(t, endless.seen(), 1, "the run is not retried")
 		})
 	}
 }
 
-// The answer of which most is held ends, not the one that found no room.
-func TestLargestAnswerEndsAtTheSharedBound(t *testing.T) {
-	h := newHeldAnswers(HeldLimits{Answer: 100, Account: 100, Total: 100}, newCounters())
-	large := h.newOutbox(&call{id: "large"}, newSlowClient(nil))
-	small := h.newOutbox(&call{id: "small"}, newSlowClient(nil))
+// The answer with the largest buffer must be aborted, not the one that needs space.
+func TestLargestBufferIsEvictedAtTheSharedLimit(t *testing.T) {
+	h := newBufferAccounting(BufferLimits{Answer: 100, Account: 100, Total: 100}, newCounters())
+	large := h.newResponseBuffer(&call{id: "large"}, newSlowClient(nil))
+	small := h.newResponseBuffer(&call{id: "small"}, newSlowClient(nil))
 	require.NoError(t, large.Put(t.Context(), make([]byte, 70)))
 	require.NoError(t, small.Put(t.Context(), make([]byte, 20)))
 	began := time.Now()
 	require.NoError(t, small.Put(t.Context(), make([]byte, 20)))
-	require.GreaterOrEqual(t, time.Since(began), heldPatience)
+	require.GreaterOrEqual(t, time.Since(began), slowClientTimeout)
 	require.ErrorIs(t, large.Put(t.Context(), []byte("x")), errClientSlow)
 	small.Stop(errClientSlow)
 	large.Stop(errClientSlow)
--- a/gateway/plain.go
+++ b/gateway/plain.go
@@ -19,182 +19,182 @@
 	"k8s.io/klog/v2"
 )
 
-// Bounds of the tries of one request.
+// Limits of the attempts of one request.
 const (
-	wholeLimit     = 64 << 10 // bytes of an answer that is read whole before it is passed on
-	tryAims        = 3        // a safe request is sent again after so many times its aim
-	shortestTry    = 200 * time.Millisecond
-	deadlineMargin = 20 * time.Millisecond // before the deadline, for the final answer
+	maxBufferedBody      = 64 << 10 // bytes of an answer that are read before it is forwarded
+	attemptTimeoutFactor = 3        // timeout of an attempt that can be retried, in latency objectives
+	minAttemptTimeout    = 200 * time.Millisecond
+	deadlineMargin       = 20 * time.Millisecond // reserved before the deadline for the final answer
 )
 
-// plain serves a request whose answer is not an event stream.
-func (g *Gateway) plain(ctx context.Context, w http.ResponseWriter, c *call) {
+// servePlain serves a request whose answer is not an event stream.
+func (g *Gateway) servePlain(ctx context.Context, w http.ResponseWriter, c *call) {
 	ctx, cancel := context.WithTimeout(ctx, uptime.Until(c.deadline)-deadlineMargin)
 	defer cancel()
-	var last *wholeAnswer
-	for t := g.next(ctx, c); t != nil; t = g.next(ctx, c) {
-		a, retry := g.tryPlain(ctx, c, t)
+	var last *response
+	for t := g.nextTarget(ctx, c); t != nil; t = g.nextTarget(ctx, c) {
+		a, retry := g.attemptPlain(ctx, c, t)
 		if a != nil {
 			last = a
 		}
-		if !retry || ctx.Err() != nil || !g.mayRepeat(ctx, c) {
+		if !retry || ctx.Err() != nil || !g.mayRetry(ctx, c) {
 			break
 		}
 	}
 	if last != nil {
-		klog.InfoS("Request served", "request", c.id, "content", c.content, "route", c.route.Name, "version", c.version, "target", last.target,
-			"status", last.status, "sent", c.sent, "asked", c.turns, "ms", uptime.Since(c.arrived).Milliseconds())
-		g.passWhole(ctx, w, c, last)
+		klog.InfoS("Request served", "request", c.id, "content", c.fingerprint, "route", c.route.Name, "version", c.version, "target", last.target,
+			"status", last.status, "sent", c.dispatched, "asked", c.attempts, "ms", uptime.Since(c.arrived).Milliseconds())
+		g.writeResponse(ctx, w, c, last)
 		return
 	}
 	if ctx.Err() == context.Canceled {
-		panic(http.ErrAbortHandler) // the client is gone
+		panic(http.ErrAbortHandler) // the client disconnected
 	}
-	g.fail(w, c, g.giveUp(c, "no target answered"))
+	g.fail(w, c, g.finalError(c, "no target answered"))
 }
 
-// mayRepeat reports whether another target may be asked, and pays for it.
-func (g *Gateway) mayRepeat(ctx context.Context, c *call) bool {
-	if g.cfg.Quarantine.Stop(c.look, c.content) != nil {
+// mayRetry reports whether another target may be tried, and reserves the retry.
+func (g *Gateway) mayRetry(ctx context.Context, c *call) bool {
+	if g.cfg.Quarantine.Stop(c.crashProbe, c.fingerprint) != nil {
 		return false
 	}
-	if c.reached && !c.route.Idempotent() {
+	if c.mayHaveRun && !c.route.Idempotent() {
 		return false
 	}
-	if c.sent >= max(1, c.route.MaxAttempts) {
+	if c.dispatched >= max(1, c.route.MaxAttempts) {
 		return false
 	}
 	budget := g.budgets.Of(c.service)
-	paid := c.payRepeat(budget) || g.cfg.Borrow != nil && g.cfg.Borrow(ctx, c.service) && c.payRepeat(budget)
-	g.logRepeat(c, budget, paid)
-	return paid
+	reserved := c.reserveRetry(budget) || g.cfg.Borrow != nil && g.cfg.Borrow(ctx, c.service) && c.reserveRetry(budget)
+	g.logRetry(c, budget, reserved)
+	return reserved
 }
 
-// logRepeat tells what a repeat was decided by: what this node counted within the window,
-// and what it was told of all.
-func (g *Gateway) logRepeat(c *call, b *balance.Budget, paid bool) {
-	what := "Repeated"
-	if !paid {
-		what = "Not repeated: the budget is spent"
+// logRetry logs the counts on which a retry was decided: those of this node within the
+// window, and those reported by all nodes.
+func (g *Gateway) logRetry(c *call, b *balance.Budget, reserved bool) {
+	msg := "Repeated"
+	if !reserved {
+		msg = "Not repeated: the budget is spent"
 	}
 	own := b.Count()
 	site, heard := b.Site()
-	klog.InfoS(what, "request", c.id, "service", c.service, "sent", c.sent, "ownRequests", own.Requests, "ownRepeats", own.Repeats,
+	klog.InfoS(msg, "request", c.id, "service", c.service, "sent", c.dispatched, "ownRequests", own.Requests, "ownRepeats", own.Repeats,
 		"requests", site.Requests, "repeats", site.Repeats, "nodesHeard", heard, "part", b.Part())
 }
 
-// wholeAnswer is an answer that is passed on in one piece, or, where it is
-// long, from its head on.
-type wholeAnswer struct {
+// response is an answer to forward: in one piece, or, if it is long, its first part
+// and the remainder.
+type response struct {
 	target string
 	status int
 	header http.Header
 	length int64
 	body   []byte
-	rest   *targetconn.Answer // the part behind body, nil if body is all
+	rest   *targetconn.Answer // the part after body, nil if body is complete
 }
 
-// tryPlain asks one target. Retry says that another may be asked, as far as
-// the target is concerned.
-func (g *Gateway) tryPlain(ctx context.Context, c *call, t *balance.Target) (a *wholeAnswer, retry bool) {
-	tryCtx, cancel := context.WithCancel(ctx)
+// attemptPlain sends the request to one target. Retry reports whether the outcome
+// allows another attempt.
+func (g *Gateway) attemptPlain(ctx context.Context, c *call, t *balance.Target) (a *response, retry bool) {
+	attemptCtx, cancel := context.WithCancel(ctx)
 	defer func() {
 		if a == nil || a.rest == nil {
 			cancel()
 		}
 	}()
-	defer g.limitTry(c, cancel).Stop()
-	defer func() { c.watched.Dropped() }() // unless its end is noted
+	defer g.limitAttempt(c, cancel).Stop()
+	defer func() { c.rolloutRequest.Dropped() }() // no effect if an outcome was recorded
 	run := t.Begin(balance.Work{}, balance.Trace{})
 	defer run.End(balance.RunEnd{Whole: true})
 	c.sentAt = uptime.Now()
-	answer, err := g.ask(tryCtx, t, c.purpose(), g.request(c, t))
+	answer, err := g.send(attemptCtx, t, c.purpose(), g.request(c, t))
 	if notSent(err) {
-		g.noteNotSent(c, t)
+		g.recordNotSent(c, t)
 		return nil, true
 	}
 	if err != nil {
-		g.noteFailure(ctx, c, t, err)
+		g.recordFailure(ctx, c, t, err)
 		return nil, true
 	}
 	if g.notRun(answer) {
-		g.noteNotRun(c, t, answer)
+		g.recordRejection(c, t, answer)
 		answer.Close()
 		return nil, true
 	}
-	c.ran(t)
+	c.recordRun(t)
 	g.meterAnswer(c)
 	if answer.Header.Get("Content-Encoding") != "" {
 		answer.Close()
-		g.noteLost(c, t)
+		g.recordLostAnswer(c, t)
 		t.Broke()
 		return nil, true
 	}
-	whole, err := g.readWhole(answer)
+	resp, err := g.readResponse(answer)
 	if err != nil {
-		g.counters.broken.Inc()
+		g.counters.brokenAnswers.Inc()
 		klog.InfoS("Answer broke off", "request", c.id, "target", t.ID, "status", answer.Status, "err", err)
 		if ctx.Err() == nil {
-			g.noteLost(c, t)
-			g.noteBreak(c, t, quarantine.Begun)
+			g.recordLostAnswer(c, t)
+			g.recordConnectionLoss(c, t, quarantine.Begun)
 		}
 		t.Broke()
 		return nil, true
 	}
-	whole.target = t.ID
-	g.cfg.Quarantine.Sound(c.content)
-	c.watched.First()
+	resp.target = t.ID
+	g.cfg.Quarantine.Sound(c.fingerprint)
+	c.rolloutRequest.First()
 	if answer.Status >= http.StatusInternalServerError {
-		g.noteFailed(c, t)
+		g.recordErrorAnswer(c, t)
 		t.Erred()
-		return g.ownStatus(c, whole), true
+		return g.suppressFalseNotRun(c, resp), true
 	}
-	c.watched.Ended(rollout.Served)
+	c.rolloutRequest.Ended(rollout.Served)
 	t.Succeeded()
-	return whole, false
+	return resp, false
 }
 
-// limitTry ends a try that takes so long that a safe request had better be
-// sent to another target.
-func (g *Gateway) limitTry(c *call, cancel context.CancelFunc) *time.Timer {
+// limitAttempt cancels an attempt after a timeout: earlier than the deadline if the
+// request may be retried at another target.
+func (g *Gateway) limitAttempt(c *call, cancel context.CancelFunc) *time.Timer {
 	limit := uptime.Until(c.deadline)
-	if c.route.Kind == Safe && c.sent+1 < c.route.MaxAttempts {
-		limit = max(shortestTry, tryAims*c.route.Aim)
+	if c.route.Kind == Safe && c.dispatched+1 < c.route.MaxAttempts {
+		limit = max(minAttemptTimeout, attemptTimeoutFactor*c.route.Aim)
 	}
 	return time.AfterFunc(limit, cancel)
 }
 
-// ownStatus keeps back an answer whose status would promise that a request
-// which may not be repeated did not run, though its target does not say so.
-func (g *Gateway) ownStatus(c *call, a *wholeAnswer) *wholeAnswer {
+// suppressFalseNotRun drops a 503 answer to a request that must not be retried: clients
+// take 503 to mean that the request did not run, which the target did not state.
+func (g *Gateway) suppressFalseNotRun(c *call, a *response) *response {
 	if a.status == http.StatusServiceUnavailable && !c.route.Idempotent() {
 		return nil
 	}
 	return a
 }
 
-// readWhole reads a short answer to its end.
-func (g *Gateway) readWhole(a *targetconn.Answer) (*wholeAnswer, error) {
-	whole := &wholeAnswer{status: a.Status, header: a.Header, length: a.Length}
-	body, err := io.ReadAll(io.LimitReader(a, wholeLimit))
+// readResponse reads an answer up to maxBufferedBody.
+func (g *Gateway) readResponse(a *targetconn.Answer) (*response, error) {
+	resp := &response{status: a.Status, header: a.Header, length: a.Length}
+	body, err := io.ReadAll(io.LimitReader(a, maxBufferedBody))
 	if err != nil {
 		a.Close()
 		return nil, err
 	}
-	whole.body = body
-	if len(body) < wholeLimit {
-		// One more read sees the end, which lets the connection be kept.
+	resp.body = body
+	if len(body) < maxBufferedBody {
+		// The body was read to EOF, so the connection can be reused.
 		a.Close()
-		whole.length = int64(len(body))
-		return whole, nil
+		resp.length = int64(len(body))
+		return resp, nil
 	}
-	whole.rest = a
-	return whole, nil
+	resp.rest = a
+	return resp, nil
 }
 
-// passWhole hands an answer to the client as the target gave it.
-func (g *Gateway) passWhole(ctx context.Context, w http.ResponseWriter, c *call, a *wholeAnswer) {
-	g.passHead(w, a.header, a.status, a.length)
+// writeResponse forwards an answer unchanged.
+func (g *Gateway) writeResponse(ctx context.Context, w http.ResponseWriter, c *call, a *response) {
+	g.writeHead(w, a.header, a.status, a.length)
 	g.counters.answered(c.arrived)
 	if c.method == http.MethodHead {
 		return
@@ -203,51 +203,51 @@
 	if a.rest == nil {
 		_, err = w.Write(a.body)
 	} else {
-		err = g.passLong(ctx, w, c, a)
+		err = g.writeLongBody(ctx, w, c, a)
 	}
 	if err != nil {
-		panic(http.ErrAbortHandler) // what ends early must not look whole
+		panic(http.ErrAbortHandler) // a truncated answer must not look complete
 	}
 }
 
-// passLong passes on an answer of which only the first part is read yet.
-func (g *Gateway) passLong(ctx context.Context, w http.ResponseWriter, c *call, a *wholeAnswer) error {
-	out := g.held.newOutbox(c, w)
+// writeLongBody forwards an answer of which only the first part has been read.
+func (g *Gateway) writeLongBody(ctx context.Context, w http.ResponseWriter, c *call, a *response) error {
+	out := g.buffers.newResponseBuffer(c, w)
 	defer out.Stop(context.Canceled)
-	_, err := io.Copy(putter{ctx, out}, io.MultiReader(bytes.NewReader(a.body), a.rest))
-	a.rest.Close() // the target is free before the client has all
+	_, err := io.Copy(bufferWriter{ctx, out}, io.MultiReader(bytes.NewReader(a.body), a.rest))
+	a.rest.Close() // frees the target before the client has everything
 	if err != nil {
-		return errors.Join(err, out.FinishSoon())
+		return errors.Join(err, out.Drain())
 	}
 	return out.Finish(ctx)
 }
 
-// putter puts what is written to it into an outbox.
-type putter struct {
+// bufferWriter is an io.Writer that appends to a responseBuffer.
+type bufferWriter struct {
 	ctx context.Context
-	out *outbox
+	out *responseBuffer
 }
 
 // Write implements io.Writer.
-func (p putter) Write(b []byte) (int, error) {
+func (p bufferWriter) Write(b []byte) (int, error) {
 	if err := p.out.Put(p.ctx, b); err != nil {
 		return 0, err
 	}
 	return len(b), nil
 }
 
-// passHead writes the head of an answer with its headers unchanged.
-func (g *Gateway) passHead(w http.ResponseWriter, header http.Header, status int, length int64) {
+// writeHead writes the head of an answer with its headers unchanged.
+func (g *Gateway) writeHead(w http.ResponseWriter, header http.Header, status int, length int64) {
 	h := w.Header()
-	named := connectionNamed(header)
+	named := hopByHopNamed(header)
 	for name, values := range header {
-		if !connectionHeaders[name] && !named[name] {
+		if !hopByHopHeaders[name] && !named[name] {
 			h[name] = values
 		}
 	}
 	for _, name := range []string{"Content-Type", "Date"} {
 		if _, ok := header[name]; !ok {
-			h[name] = nil // net/http would set one
+			h[name] = nil // keeps net/http from setting a default
 		}
 	}
 	if length >= 0 && status != http.StatusNoContent && status != http.StatusNotModified {
@@ -261,12 +261,12 @@
 	return a.Status == http.StatusMisdirectedRequest || a.Header.Get(g.cfg.Names.NotRun) != ""
 }
 
-// noteNotRun learns from a target that turned a request away.
-func (g *Gateway) noteNotRun(c *call, t *balance.Target, a *targetconn.Answer) {
+// recordRejection records that a target rejected a request without running it.
+func (g *Gateway) recordRejection(c *call, t *balance.Target, a *targetconn.Answer) {
 	klog.InfoS("Target turned the request away", "request", c.id, "target", t.ID, "status", a.Status)
-	c.arrive()
-	c.watched.Dropped()
-	c.turned[t] = true
+	c.recordArrival()
+	c.rolloutRequest.Dropped()
+	c.rejected[t] = true
 	if a.Status == http.StatusMisdirectedRequest {
 		t.Gone()
 		g.pool.Forget(t.Life())
@@ -276,38 +276,38 @@
 	t.Full()
 }
 
-// noteFailure learns from an exchange that brought no answer.
-func (g *Gateway) noteFailure(ctx context.Context, c *call, t *balance.Target, err error) {
+// recordFailure records an exchange that failed without an answer.
+func (g *Gateway) recordFailure(ctx context.Context, c *call, t *balance.Target, err error) {
 	var f *targetconn.Failure
 	if errors.As(err, &f) && f.Reached() {
-		c.ran(t)
+		c.recordRun(t)
 	} else {
-		c.turned[t] = true
+		c.rejected[t] = true
 	}
 	if ctx.Err() == context.Canceled {
-		c.watched.Dropped()
-		return // the client left; nothing is known of the target
+		c.rolloutRequest.Dropped()
+		return // the client disconnected, which says nothing about the target
 	}
-	g.noteLost(c, t)
-	c.failed[t.DataHall]++
+	g.recordLostAnswer(c, t)
+	c.failedHalls[t.DataHall]++
 	if errors.Is(err, syscall.ECONNREFUSED) {
 		t.Refused()
 	}
-	if silence(err) {
+	if isTimeout(err) {
 		t.FellSilent(true)
 	} else {
 		t.Broke()
 	}
 	klog.InfoS("Target did not answer", "request", c.id, "target", t.ID, "address", t.Address, "err", err,
 		"ms", uptime.Since(c.arrived).Milliseconds())
-	if brokeOff(err) {
-		g.noteBreak(c, t, c.waiting())
+	if connectionLost(err) {
+		g.recordConnectionLoss(c, t, c.unansweredStanding())
 	}
 }
 
-// outcomeOf says what is known of a call that got no answer.
-func (c *call) outcomeOf() walnutramp.Outcome {
-	if c.reached {
+// outcome returns what is known of a call that got no answer.
+func (c *call) outcome() walnutramp.Outcome {
+	if c.mayHaveRun {
 		return walnutramp.Unknown
 	}
 	return walnutramp.NotRun
--- a/gateway/refuse.go
+++ b/gateway/refuse.go
@@ -13,19 +13,18 @@
 	"k8s.io/klog/v2"
 )
 
-// When a client that was refused should come back.
+// Retry-After values for rejected requests.
 const (
-	retryOther = 100 * time.Millisecond // another node will serve it
-	retryBusy  = 250 * time.Millisecond // a place comes free soon
+	retryAtOtherNode = 100 * time.Millisecond // another node can serve it
+	retryWhenBusy    = 250 * time.Millisecond // capacity is expected to free up soon
 )
 
-// errorBody is what a client is told of a request that brought no answer of a
-// target.
+// errorBody is the JSON body of an error that the gateway itself reports.
 type errorBody struct {
-	Error errorFacts `json:"error"`
+	Error errorDetail `json:"error"`
 }
 
-type errorFacts struct {
+type errorDetail struct {
 	Code         int    `json:"code"`
 	Name         string `json:"name"`
 	Outcome      string `json:"outcome"`
@@ -33,23 +32,23 @@
 	RetryAfterMS int64  `json:"retry_after_ms,omitempty"`
 }
 
-// refuse ends a request with this system's own answer.
+// refuse ends a request with an error of the gateway, before a call is opened for it.
 func (g *Gateway) refuse(w http.ResponseWriter, r *http.Request, e *walnutramp.Error) {
 	klog.InfoS("Request ended here", "request", r.Header.Get(g.cfg.Names.Identity), "code", int(e.Code), "outcome", e.Outcome, "why", e.Message)
 	g.writeError(w, e)
 }
 
-// fail ends a call with this system's own answer.
+// fail ends a call with an error of the gateway.
 func (g *Gateway) fail(w http.ResponseWriter, c *call, e *walnutramp.Error) {
-	klog.InfoS("Request ended here", "request", c.id, "content", c.content, "route", c.route.Name, "code", int(e.Code), "outcome", e.Outcome,
-		"sent", c.sent, "read", c.work.Read, "priority", c.priority, "ms", uptime.Since(c.arrived).Milliseconds(), "why", e.Message)
+	klog.InfoS("Request ended here", "request", c.id, "content", c.fingerprint, "route", c.route.Name, "code", int(e.Code), "outcome", e.Outcome,
+		"sent", c.dispatched, "read", c.work.Read, "priority", c.priority, "ms", uptime.Since(c.arrived).Milliseconds(), "why", e.Message)
 	g.writeError(w, e)
 }
 
 func (g *Gateway) writeError(w http.ResponseWriter, e *walnutramp.Error) {
 	g.counters.refused(e.Code)
 	info := e.Code.Info()
-	body, err := json.Marshal(errorBody{errorFacts{
+	body, err := json.Marshal(errorBody{errorDetail{
 		Code: int(e.Code), Name: info.Name, Outcome: string(e.Outcome), Message: e.Message, RetryAfterMS: e.RetryAfter.Milliseconds(),
 	}})
 	if err != nil {
@@ -65,36 +64,36 @@
 	w.Write(body)
 }
 
-// comeBackShare is the part of a run's usual time after which a request that
-// found no room had better come back: by then some of the runs have ended.
-const comeBackShare = 1.0
+// retryShare is the mean Retry-After of a request that could not be admitted, as a
+// fraction of the mean run time: by then some of the runs have ended.
+const retryShare = 1.0
 
-// comeBack says when a request that found no room should come back. Those that
-// are refused together do not come back together.
-func (g *Gateway) comeBack(c *call) time.Duration {
-	mean := comeBackShare * float64(g.targets.WholeRun(c.service))
+// retryDelay returns the Retry-After of a request that could not be admitted, with
+// jitter so that clients rejected together don't return together.
+func (g *Gateway) retryDelay(c *call) time.Duration {
+	mean := retryShare * float64(g.targets.WholeRun(c.service))
 	return time.Duration(mean * (0.5 + rand.Float64()))
 }
 
-// giveUp returns the final answer of a call that no target answered.
-func (g *Gateway) giveUp(c *call, why string) *walnutramp.Error {
-	if held := g.cfg.Quarantine.Refuse(c.content); held != nil && !c.reached {
+// finalError returns the error of a call that no target answered.
+func (g *Gateway) finalError(c *call, why string) *walnutramp.Error {
+	if held := g.cfg.Quarantine.Refuse(c.fingerprint); held != nil && !c.mayHaveRun {
 		return held
 	}
-	if stop := g.cfg.Quarantine.Stop(c.look, c.content); stop != nil {
+	if stop := g.cfg.Quarantine.Stop(c.crashProbe, c.fingerprint); stop != nil {
 		return stop
 	}
-	if !c.reached && c.noRoom {
-		g.noteNoRoom(c)
-		return walnutramp.NewError(walnutramp.CodeOverloaded, walnutramp.NotRun, "no engine has room").WithRetryAfter(g.comeBack(c))
+	if !c.mayHaveRun && c.noCapacity {
+		g.countRejectedDemand(c)
+		return walnutramp.NewError(walnutramp.CodeOverloaded, walnutramp.NotRun, "no engine has free capacity").WithRetryAfter(g.retryDelay(c))
 	}
-	if !c.reached && c.restLeft > 0 {
-		// Not before, at whichever node: a target that has too much to do asks them all.
-		after := pause.Behind(c.restLeft, rand.Float64())
-		return walnutramp.NewError(walnutramp.CodeTargetsRest, walnutramp.NotRun, "all targets asked for rest").WithRetryAfter(after)
+	if !c.mayHaveRun && c.backoffLeft > 0 {
+		// Retrying sooner fails at every node: a target sends its backoff to all.
+		after := pause.Behind(c.backoffLeft, rand.Float64())
+		return walnutramp.NewError(walnutramp.CodeTargetsRest, walnutramp.NotRun, "all targets are in backoff").WithRetryAfter(after)
 	}
-	if !c.reached {
-		return walnutramp.NewError(walnutramp.CodeNoTarget, walnutramp.NotRun, "%s", why).WithRetryAfter(retryBusy)
+	if !c.mayHaveRun {
+		return walnutramp.NewError(walnutramp.CodeNoTarget, walnutramp.NotRun, "%s", why).WithRetryAfter(retryWhenBusy)
 	}
 	if uptime.Until(c.deadline) <= deadlineMargin {
 		return walnutramp.NewError(walnutramp.CodeTargetSlow, walnutramp.Unknown, "%s", why)
--- a/gateway/silence.go
+++ b/gateway/silence.go
@@ -13,19 +13,19 @@
 	"github.com/walnutramp/walnutramp/quarantine"
 )
 
-// errTargetSilent is why a run that has not begun is given up when its target
-// has fallen silent to others.
-var errTargetSilent = errors.New("the target has fallen silent to others")
+// errTargetUnresponsive cancels a run without a first event whose target no longer
+// answers other requests.
+var errTargetUnresponsive = errors.New("target stopped answering other requests")
 
-// silence reports whether an error says that a target no longer answers
-// anything, as one without power or behind a cut.
-func silence(err error) bool {
+// isTimeout reports whether err is a network timeout, as from a target that lost power
+// or is partitioned.
+func isTimeout(err error) bool {
 	var timeout net.Error
 	return errors.Is(err, syscall.ETIMEDOUT) || errors.As(err, &timeout) && timeout.Timeout() && !errors.Is(err, context.DeadlineExceeded)
 }
 
-// pendingRuns are the runs without a first event. Nothing tells them from
-// runs at a target that has lost power, but for what befalls others there.
+// pendingRuns are the runs without a first event. An unresponsive target can't be told
+// from a slow prefill by the run itself, only by the failures of other requests there.
 type pendingRuns struct {
 	mu   sync.Mutex
 	runs map[*pendingRun]struct{}
@@ -33,49 +33,48 @@
 
 // pendingRun is a run that waits for its first event.
 type pendingRun struct {
-	set     *pendingRuns
-	target  *balance.Target
-	content quarantine.Fingerprint
-	mayMove bool // to another target
-	began   time.Time
-	cancel  context.CancelCauseFunc
+	set         *pendingRuns
+	target      *balance.Target
+	fingerprint quarantine.Fingerprint
+	canRetry    bool // at another target
+	began       time.Time
+	cancel      context.CancelCauseFunc
 }
 
-// add notes a run that begins.
-func (u *pendingRuns) add(c *call, t *balance.Target, cancel context.CancelCauseFunc) *pendingRun {
-	r := &pendingRun{set: u, target: t, content: c.content, mayMove: c.mayMove(), began: uptime.Now(), cancel: cancel}
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	u.runs[r] = struct{}{}
+func (p *pendingRuns) add(c *call, t *balance.Target, cancel context.CancelCauseFunc) *pendingRun {
+	r := &pendingRun{set: p, target: t, fingerprint: c.fingerprint, canRetry: c.canRetryElsewhere(), began: uptime.Now(), cancel: cancel}
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.runs[r] = struct{}{}
 	return r
 }
 
-// drop forgets a run that has begun or ended.
+// drop removes a run that has produced its first event or ended.
 func (r *pendingRun) drop() {
 	r.set.mu.Lock()
 	delete(r.set.runs, r)
 	r.set.mu.Unlock()
 }
 
-// moveFromSilent gives up the runs whose targets have fallen silent since the
+// cancelUnresponsive cancels the runs whose targets have stopped answering since the
 // runs began.
-func (u *pendingRuns) moveFromSilent() {
-	u.end(errTargetSilent, func(r *pendingRun) bool { return r.mayMove && r.target.SilentSince(r.began) })
+func (p *pendingRuns) cancelUnresponsive() {
+	p.cancelWhere(errTargetUnresponsive, func(r *pendingRun) bool { return r.canRetry && r.target.SilentSince(r.began) })
 }
 
-// giveUp gives up the runs of a content that is held back from now on, before
-// they end their targets, too.
-func (u *pendingRuns) giveUp(content quarantine.Fingerprint) {
-	u.end(errHeldBack, func(r *pendingRun) bool { return r.content == content })
+// cancelQuarantined cancels the runs of a request that has just been quarantined, before
+// they crash their targets as well.
+func (p *pendingRuns) cancelQuarantined(content quarantine.Fingerprint) {
+	p.cancelWhere(errQuarantined, func(r *pendingRun) bool { return r.fingerprint == content })
 }
 
-// end gives up the runs that are to end, for a cause.
-func (u *pendingRuns) end(cause error, ends func(*pendingRun) bool) {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	for r := range u.runs {
-		if ends(r) {
-			delete(u.runs, r)
+// cancelWhere cancels the matching runs with the given cause.
+func (p *pendingRuns) cancelWhere(cause error, matches func(*pendingRun) bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for r := range p.runs {
+		if matches(r) {
+			delete(p.runs, r)
 			r.cancel(cause)
 		}
 	}
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -19,253 +19,248 @@
 
 const eventStreamType = "text/event-stream"
 
-// relay is one event stream on its way to a client, over the runs that make
-// it up.
+// relay forwards one event stream to a client, over one or more runs.
 type relay struct {
-	gateway *Gateway
-	call    *call
-	w       http.ResponseWriter
-	started bool          // the client has the head
-	out     *outbox       // of what follows the head
-	newest  time.Time     // when the newest event was passed on
-	first   time.Duration // from the request to its first event
-	longest time.Duration // pause between two events
-	runs    int
-	events  int       // of the newest run
-	settled bool      // the newest run has gone on for a while
-	begun   time.Time // when the newest run's first event came
-	copy    *copyOf   // of the run that broke off
+	gateway         *Gateway
+	call            *call
+	w               http.ResponseWriter
+	started         bool            // the head has been sent to the client
+	out             *responseBuffer // for the body
+	lastEventAt     time.Time       // when the last event was forwarded
+	firstEventAfter time.Duration   // from the request's arrival
+	maxGap          time.Duration   // longest time between two events
+	runs            int
+	events          int       // of the current run
+	settled         bool      // the current run has gone on for quarantine.Onset
+	firstEventAt    time.Time // of the current run
+	resumeFrom      *kvCopy   // of the failed run
 }
 
-// ending says how a run ended.
-type ending int
+// runResult says how a run ended.
+type runResult int
 
 const (
-	endWhole  ending = iota // the answer is complete
-	endTurned               // the target turned the request away: it did not run
-	endNone                 // there is no target to ask
-	endBroken               // no answer, or it broke off
-	endOther                // an answer that is no event stream was passed on
-	endLeft                 // the client has gone
+	runComplete   runResult = iota // the answer is complete
+	runRejected                    // the target rejected the request without running it
+	runNoTarget                    // no target is available
+	runFailed                      // no answer, or the connection broke
+	runNotStream                   // an answer that is not an event stream was forwarded
+	runClientLeft                  // the client disconnected
 )
 
-// stream serves a request whose answer is an event stream.
-func (g *Gateway) stream(ctx context.Context, w http.ResponseWriter, c *call) {
+// serveStream serves a request whose answer is an event stream.
+func (g *Gateway) serveStream(ctx context.Context, w http.ResponseWriter, c *call) {
 	r := &relay{gateway: g, call: c, w: w}
 	defer r.close()
 	if g.cfg.Find != nil {
-		g.cfg.Find(ctx, c.key, c.again)
+		g.cfg.Find(ctx, c.prefixKey, c.resumed)
 	}
-	if c.again {
-		if at, name := g.targets.FindCopy(c.key); at != nil {
+	if c.resumed {
+		if at, name := g.targets.FindCopy(c.prefixKey); at != nil {
 			klog.InfoS("Client comes again, a copy is known", "request", c.id, "copy", name, "at", at.ID, "last", c.lastID)
-			r.copy = &copyOf{at: at, name: name}
+			r.resumeFrom = &kvCopy{holder: at, name: name}
 		}
 	}
 	for {
-		end := r.next(ctx)
-		if end == endWhole && !r.finish(ctx) {
+		end := r.runNext(ctx)
+		if end == runComplete && !r.finish(ctx) {
 			break
 		}
-		if end == endWhole || end == endOther {
+		if end == runComplete || end == runNotStream {
 			g.counters.answered(c.arrived)
-			klog.InfoS("Stream served", "request", c.id, "route", c.route.Name, "first_ms", r.first.Milliseconds(),
-				"longest_pause_ms", r.longest.Milliseconds(), "last", c.lastID, "runs", r.runs,
+			klog.InfoS("Stream served", "request", c.id, "route", c.route.Name, "first_ms", r.firstEventAfter.Milliseconds(),
+				"longest_pause_ms", r.maxGap.Milliseconds(), "last", c.lastID, "runs", r.runs,
 				"ms", uptime.Since(c.arrived).Milliseconds())
 			return
 		}
-		if ctx.Err() != nil || end == endNone || end == endLeft || end == endBroken && !c.route.Idempotent() && c.reached || !g.mayRepeat(ctx, c) {
+		if ctx.Err() != nil || end == runNoTarget || end == runClientLeft || end == runFailed && !c.route.Idempotent() && c.mayHaveRun || !g.mayRetry(ctx, c) {
 			break
 		}
 	}
 	if r.started || ctx.Err() == context.Canceled {
-		rest := r.passRest()
-		klog.InfoS("Stream given up", "request", c.id, "route", c.route.Name, "last", c.lastID, "sent", c.sent,
-			"outcome", c.outcomeOf(), "cause", ctx.Err(), "notPassed", rest)
-		panic(http.ErrAbortHandler) // what ends early must not look whole
+		rest := r.drain()
+		klog.InfoS("Stream given up", "request", c.id, "route", c.route.Name, "last", c.lastID, "sent", c.dispatched,
+			"outcome", c.outcome(), "cause", ctx.Err(), "notPassed", rest)
+		panic(http.ErrAbortHandler) // a truncated stream must not look complete
 	}
-	g.fail(w, c, g.giveUp(c, "no target answered"))
+	g.fail(w, c, g.finalError(c, "no target answered"))
 }
 
-// finish waits until the client has the whole answer; false if it does not get it.
+// finish waits until the client has received everything; false if it does not.
 func (r *relay) finish(ctx context.Context) bool {
 	if r.out == nil {
 		return true
 	}
 	err := r.out.Finish(ctx)
 	if err != nil {
-		r.noteLeft(err)
+		r.logClientLeft(err)
 	}
 	return err == nil
 }
 
-// passRest passes on what was read of an answer that is given up: its client goes on
-// from there. It returns why the client did not get all of it.
-func (r *relay) passRest() error {
+// drain forwards what was buffered of a failed stream, so that the client can resume
+// from there. It returns why the client did not receive all of it.
+func (r *relay) drain() error {
 	if r.out == nil {
 		return nil
 	}
-	return r.out.FinishSoon()
+	return r.out.Drain()
 }
 
-// close ends writing to the client before its request ends.
+// close stops writing to the client before the handler returns.
 func (r *relay) close() {
 	if r.out != nil {
 		r.out.Stop(context.Canceled)
 	}
 }
 
-// noteLeft notes that a client did not take its answer.
-func (r *relay) noteLeft(err error) {
+func (r *relay) logClientLeft(err error) {
 	klog.InfoS("Client left", "request", r.call.id, "route", r.call.route.Name, "last", r.call.lastID, "err", err)
 }
 
-// givenUp reports whether a run that brought no answer was given up here, and notes
-// that if so.
-func (g *Gateway) givenUp(runCtx context.Context, c *call, t *balance.Target) bool {
+// canceledByGateway reports whether the gateway itself canceled a run that brought no
+// answer, and records the run if so.
+func (g *Gateway) canceledByGateway(runCtx context.Context, c *call, t *balance.Target) bool {
 	switch cause := context.Cause(runCtx); {
-	case errors.Is(cause, errTargetSilent):
-		g.noteMoved(c, t)
-	case errors.Is(cause, errHeldBack):
-		c.ran(t)
+	case errors.Is(cause, errTargetUnresponsive):
+		g.recordMove(c, t)
+	case errors.Is(cause, errQuarantined):
+		c.recordRun(t)
 	default:
 		return false
 	}
 	return true
 }
 
-// next runs the request at one more target: at the copy of the broken run
-// where there is one, else at the best.
-func (r *relay) next(ctx context.Context) ending {
-	from := r.copy
-	r.copy = nil
-	if from != nil && from.at.Usable() && r.gateway.mayGoOn(r.call, from.at) {
-		r.gateway.watch(r.call, from.at)
-		r.gateway.noteRegion(r.call, from.at, func() balance.Reason { return balance.ReasonCopy })
-		if end := r.run(ctx, from.at, from); end != endTurned {
+// runNext makes one more run: at the holder of the failed run's copy if there is one,
+// else at the best target.
+func (r *relay) runNext(ctx context.Context) runResult {
+	from := r.resumeFrom
+	r.resumeFrom = nil
+	if from != nil && from.holder.Usable() && r.gateway.mayResumeAt(r.call, from.holder) {
+		r.gateway.beginRolloutRequest(r.call, from.holder)
+		r.gateway.recordRegionCrossing(r.call, from.holder, func() balance.Reason { return balance.ReasonCopy })
+		if end := r.runAt(ctx, from.holder, from); end != runRejected {
 			return end
 		}
 	}
-	t := r.gateway.next(ctx, r.call)
+	t := r.gateway.nextTarget(ctx, r.call)
 	if t == nil {
-		return endNone
+		return runNoTarget
 	}
-	return r.run(ctx, t, nil)
+	return r.runAt(ctx, t, nil)
 }
 
-// order is what one run asks of its target.
-type order struct {
+// runRequest is the request of one run.
+type runRequest struct {
 	request *targetconn.Request
 	work    balance.Work
 	// expected is the predicted time to the first event.
 	expected time.Duration
-	copy     *copyOf // that grows with the run; nil for none
+	copy     *kvCopy // that grows with the run; nil for none
 	trace    balance.Trace
 }
 
-// run passes one run on until it ends.
-func (r *relay) run(ctx context.Context, t *balance.Target, from *copyOf) ending {
+// runAt executes one run at a target until it ends.
+func (r *relay) runAt(ctx context.Context, t *balance.Target, from *kvCopy) runResult {
 	r.runs++
 	r.events, r.settled = 0, false
-	o := r.order(t, from)
-	under := t.Begin(o.work, o.trace)
-	kept := &runCopy{relay: r, target: t, run: under, copy: o.copy}
-	end := r.follow(ctx, t, o, kept)
-	r.call.watched.Dropped() // unless its end is noted
-	under.End(balance.RunEnd{Whole: end == endWhole, Tokens: r.events * r.call.engine.EventTokens})
-	if left := kept.end(end); under.Begun() {
-		r.copy = left
+	o := r.newRunRequest(t, from)
+	run := t.Begin(o.work, o.trace)
+	rc := &runCopy{relay: r, target: t, run: run, copy: o.copy}
+	end := r.execute(ctx, t, o, rc)
+	r.call.rolloutRequest.Dropped() // no effect if an outcome was recorded
+	run.End(balance.RunEnd{Whole: end == runComplete, Tokens: r.events * r.call.engine.EventTokens})
+	if left := rc.end(end); run.Begun() {
+		r.resumeFrom = left
 	}
 	return end
 }
 
-// order works out what a run asks of its target.
-func (r *relay) order(t *balance.Target, from *copyOf) order {
+// newRunRequest builds the request of a run.
+func (r *relay) newRunRequest(t *balance.Target, from *kvCopy) runRequest {
 	g, c := r.gateway, r.call
 	choice := c.choice()
-	o := order{
+	o := runRequest{
 		request: g.request(c, t), work: g.targets.Kept(choice, t), expected: g.targets.Expected(choice, t),
-		trace: balance.Trace{Key: c.key},
+		trace: balance.Trace{Key: c.prefixKey},
 	}
-	klog.InfoS("Run begins", "request", c.id, "content", c.content, "key", c.key, "route", c.route.Name, "version", c.version, "target", t.ID, "born", t.Born, "again", c.again, "last", c.lastID,
+	klog.InfoS("Run begins", "request", c.id, "content", c.fingerprint, "key", c.prefixKey, "route", c.route.Name, "version", c.version, "target", t.ID, "born", t.Born, "again", c.resumed, "last", c.lastID,
 		"read", c.work.Read, "expectedRead", o.work.Read, "expected_ms", o.expected.Milliseconds(),
 		"fromCopy", from != nil, "run", r.runs)
 	if from != nil {
 		o.work.Read = 0
 	}
-	if o.copy = r.askForCopy(o.request, t, from); o.copy != nil {
-		o.trace.Copy, o.trace.CopyName = o.copy.at.Life(), o.copy.name
+	if o.copy = r.requestCopy(o.request, t, from); o.copy != nil {
+		o.trace.Copy, o.trace.CopyName = o.copy.holder.Life(), o.copy.name
 	}
 	return o
 }
 
-// follow sends a run's request and passes on what comes.
-func (r *relay) follow(ctx context.Context, t *balance.Target, o order, kept *runCopy) ending {
+// execute sends a run's request and forwards the answer.
+func (r *relay) execute(ctx context.Context, t *balance.Target, o runRequest, rc *runCopy) runResult {
 	g, c := r.gateway, r.call
 	runCtx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	patience := time.AfterFunc(r.headWait(o), func() { cancel(nil) })
+	timeout := time.AfterFunc(r.firstEventTimeout(o), func() { cancel(nil) })
 	pending := g.pending.add(c, t, cancel)
 	defer pending.drop()
 	c.sentAt = uptime.Now()
-	answer, err := g.ask(runCtx, t, c.purpose(), o.request)
+	answer, err := g.send(runCtx, t, c.purpose(), o.request)
 	if notSent(err) {
-		g.noteNotSent(c, t)
-		return endTurned
+		g.recordNotSent(c, t)
+		return runRejected
 	}
 	if err != nil {
-		if !g.givenUp(runCtx, c, t) {
-			g.noteFailure(ctx, c, t, err)
+		if !g.canceledByGateway(runCtx, c, t) {
+			g.recordFailure(ctx, c, t, err)
 		}
-		return endBroken
+		return runFailed
 	}
 	defer answer.Close()
 	if g.notRun(answer) {
-		g.noteNotRun(c, t, answer)
-		return endTurned
+		g.recordRejection(c, t, answer)
+		return runRejected
 	}
-	c.ran(t)
-	if !patience.Stop() {
-		return endBroken
+	c.recordRun(t)
+	if !timeout.Stop() {
+		return runFailed
 	}
 	if !isEventStream(answer) {
-		return r.passOther(ctx, answer, t)
+		return r.forwardNonStream(ctx, answer, t)
 	}
-	return r.pass(runCtx, answer, kept, pending.drop)
+	return r.forwardEvents(runCtx, answer, rc, pending.drop)
 }
 
-// mayMove reports whether another target may still be asked in this one's
-// place, before the first event has come.
-func (c *call) mayMove() bool {
-	return c.route.Idempotent() && c.sent+1 < c.route.MaxAttempts
+// canRetryElsewhere reports whether a run without a first event may be replaced by one
+// at another target.
+func (c *call) canRetryElsewhere() bool {
+	return c.route.Idempotent() && c.dispatched+1 < c.route.MaxAttempts
 }
 
-// noteMoved notes that a run was given up before its first event because its
-// target has fallen silent to others.
-func (g *Gateway) noteMoved(c *call, t *balance.Target) {
-	c.ran(t)
-	c.failed[t.DataHall]++
-	g.noteLost(c, t)
-	g.counters.moved.Inc()
+// recordMove records a run that was canceled because its target stopped answering others.
+func (g *Gateway) recordMove(c *call, t *balance.Target) {
+	c.recordRun(t)
+	c.failedHalls[t.DataHall]++
+	g.recordLostAnswer(c, t)
+	g.counters.movedRuns.Inc()
 	klog.InfoS("Run moved: its target is silent to others", "request", c.id, "target", t.ID, "ms", uptime.Since(c.arrived).Milliseconds())
 }
 
-// overdue is how many times its predicted wait a run must have been silent
-// before its first event to be given up so that another target can begin in
-// time: a sound target is rarely that wrong.
-const overdue = 2
+// overdueFactor is how many times its predicted wait a run must have waited for its
+// first event before it is replaced; predictions are rarely that wrong.
+const overdueFactor = 2
 
-// headWait is how long a run may be silent before its first event, when
-// another target may still answer; the last target is waited for. A run that
-// is overdue is given up at the last moment at which another one can begin in
-// time.
-func (r *relay) headWait(o order) time.Duration {
+// firstEventTimeout returns how long to wait for a run's first event. If another target
+// may be tried, an overdue run is canceled at the last moment at which a new one can
+// still start in time; the last permitted attempt may use the whole deadline.
+func (r *relay) firstEventTimeout(o runRequest) time.Duration {
 	g, c := r.gateway, r.call
-	if !c.mayMove() {
+	if !c.canRetryElsewhere() {
 		return uptime.Until(c.deadline)
 	}
 	read := g.targets.RunTime(c.service, c.work.Read, 0)
-	if latest := uptime.Until(c.beginBy()) - read; !r.started && latest > overdue*o.expected {
+	if latest := uptime.Until(c.latestStart()) - read; !r.started && latest > overdueFactor*o.expected {
 		return latest
 	}
 	return g.cfg.FirstEvent + read
@@ -276,37 +271,38 @@
 		a.Header.Get("Content-Encoding") == ""
 }
 
-// passOther passes on an answer that is no event stream, if the client has no
-// head yet.
-func (r *relay) passOther(ctx context.Context, a *targetconn.Answer, t *balance.Target) ending {
+// forwardNonStream forwards an answer that is not an event stream, if the client has
+// not received a head yet.
+func (r *relay) forwardNonStream(ctx context.Context, a *targetconn.Answer, t *balance.Target) runResult {
 	g, c := r.gateway, r.call
 	if a.Status >= http.StatusInternalServerError {
-		g.noteFailed(c, t)
+		g.recordErrorAnswer(c, t)
 		t.Erred()
-		klog.InfoS("Target failed", "request", c.id, "target", t.ID, "status", a.Status)
-		return endBroken
+		klog.InfoS("Target answered with a server error", "request", c.id, "target", t.ID, "status", a.Status)
+		return runFailed
 	}
 	if r.started {
-		return endBroken
+		return runFailed
 	}
-	whole, err := g.readWhole(a)
+	resp, err := g.readResponse(a)
 	if err != nil {
-		g.noteBreak(c, t, quarantine.Begun)
-		return endBroken
+		g.recordConnectionLoss(c, t, quarantine.Begun)
+		return runFailed
 	}
-	g.cfg.Quarantine.Sound(c.content)
-	g.passWhole(ctx, r.w, c, whole)
-	return endOther
+	g.cfg.Quarantine.Sound(c.fingerprint)
+	g.writeResponse(ctx, r.w, c, resp)
+	return runNotStream
 }
 
-// pass passes events on. First is called at the run's first event.
-func (r *relay) pass(ctx context.Context, a *targetconn.Answer, kept *runCopy, first func()) ending {
-	g, c, t := r.gateway, r.call, kept.target
+// forwardEvents forwards the events of an answer. First is called at the run's first
+// event.
+func (r *relay) forwardEvents(ctx context.Context, a *targetconn.Answer, rc *runCopy, first func()) runResult {
+	g, c, t := r.gateway, r.call, rc.target
 	events := eventstream.NewReader(a)
 	seen := false
 	for {
 		if !events.Buffered() {
-			wait := g.stall(c.route)
+			wait := g.stallTimeout(c.route)
 			if !seen {
 				wait = g.cfg.FirstEvent
 			}
@@ -314,30 +310,30 @@
 		}
 		e, err := events.Next()
 		if err != nil {
-			return r.ended(ctx, a, t, events, err)
+			return r.classifyEnd(ctx, a, t, events, err)
 		}
 		r.events++
 		if !seen {
 			seen = true
 			first()
-			kept.run.FirstEvent()
+			rc.run.FirstEvent()
 			t.Succeeded()
-			r.noteFirst()
-			r.begun = time.Now()
-			c.watched.First()
+			r.recordFirstEvent()
+			r.firstEventAt = time.Now()
+			c.rolloutRequest.First()
 			g.meterFirst(c)
 		}
-		if r.events == paceEvents {
-			c.watched.Pace(time.Since(r.begun) / (paceEvents - 1))
+		if r.events == paceSampleEvents {
+			c.rolloutRequest.Pace(time.Since(r.firstEventAt) / (paceSampleEvents - 1))
 		}
-		r.noteSettled()
-		kept.watch(ctx)
+		r.recordSettled()
+		rc.maintain(ctx)
 		if e.HasID && c.hasLast && e.ID <= c.lastID {
-			continue // the client has it
+			continue // the client already has it
 		}
 		if !r.write(ctx, a, e.Raw) {
-			c.watched.Dropped()
-			return endLeft
+			c.rolloutRequest.Dropped()
+			return runClientLeft
 		}
 		if e.HasID {
 			c.lastID, c.hasLast = e.ID, true
@@ -345,84 +341,83 @@
 	}
 }
 
-// paceEvents is after how many events of a run its pace is measured: enough to
-// even out the prompts that are read between them, and few enough to tell a
-// slow version within a second.
-const paceEvents = 6
+// paceSampleEvents is the number of events over which a run's pace is measured: enough
+// to average out interleaved prefills, and few enough to detect a slow version within a
+// second.
+const paceSampleEvents = 6
 
-// stallShare is the part of the longest pause that keeps a stream in time
-// after which its target is given up: the rest is left for another to go on.
+// stallShare is the fraction of a route's maximum event gap after which a target is
+// given up; the rest is left for resuming at another.
 const stallShare = 0.64
 
-// stall is the silence within a route's stream after which its target is given
-// up.
-func (g *Gateway) stall(r *Route) time.Duration {
+// stallTimeout returns the timeout between the events of a route's stream.
+func (g *Gateway) stallTimeout(r *Route) time.Duration {
 	if r.GapAim > 0 {
 		return time.Duration(stallShare * float64(r.GapAim))
 	}
 	return g.cfg.Stall
 }
 
-// noteFirst measures the wait for a run's first event.
-func (r *relay) noteFirst() {
+// recordFirstEvent measures the time to a run's first event.
+func (r *relay) recordFirstEvent() {
 	if !r.started {
-		r.gateway.counters.first.Update(uptime.Since(r.call.arrived).Seconds())
+		r.gateway.counters.firstEventSeconds.Update(uptime.Since(r.call.arrived).Seconds())
 		return
 	}
-	gap := time.Since(r.newest)
-	r.gateway.counters.gap.Update(gap.Seconds())
+	gap := time.Since(r.lastEventAt)
+	r.gateway.counters.resumeGapSeconds.Update(gap.Seconds())
 	klog.InfoS("Stream goes on", "request", r.call.id, "last", r.call.lastID, "gap_ms", gap.Milliseconds())
 }
 
-// ended tells a whole stream from one that broke off.
-func (r *relay) ended(ctx context.Context, a *targetconn.Answer, t *balance.Target, events *eventstream.Reader, err error) ending {
+// classifyEnd distinguishes a complete stream from a truncated one.
+func (r *relay) classifyEnd(ctx context.Context, a *targetconn.Answer, t *balance.Target, events *eventstream.Reader, err error) runResult {
 	g, c := r.gateway, r.call
 	if err == io.EOF && a.Framed {
-		if rest := events.Rest(); (len(rest) > 0 || !r.started) && !r.write(ctx, a, rest) {
-			return endLeft
+		if rest := events.Remainder(); (len(rest) > 0 || !r.started) && !r.write(ctx, a, rest) {
+			return runClientLeft
 		}
-		c.watched.Ended(rollout.Served)
-		g.cfg.Quarantine.Sound(c.content)
-		return endWhole
+		c.rolloutRequest.Ended(rollout.Served)
+		g.cfg.Quarantine.Sound(c.fingerprint)
+		return runComplete
 	}
 	if ctx.Err() != nil {
-		c.watched.Dropped()
-		return endBroken // this side ended it: the client left, or time is up
+		c.rolloutRequest.Dropped()
+		return runFailed // the client left, or the deadline passed
 	}
-	g.noteLost(c, t)
-	g.counters.broken.Inc()
+	g.recordLostAnswer(c, t)
+	g.counters.brokenAnswers.Inc()
 	g.counters.resumes.Inc()
-	c.failed[t.DataHall]++
-	if silence(err) {
+	c.failedHalls[t.DataHall]++
+	if isTimeout(err) {
 		g.counters.stalls.Inc()
-		t.FellSilent(false) // it may only have put this run back
+		t.FellSilent(false) // the engine may only have preempted this run
 	} else {
 		t.Broke()
-		g.noteBreak(c, t, r.standing())
+		g.recordConnectionLoss(c, t, r.standing())
 	}
 	klog.InfoS("Stream broke off", "request", c.id, "target", t.ID, "last", c.lastID, "err", err,
-		"silent_ms", time.Since(r.newest).Milliseconds())
-	return endBroken
+		"silent_ms", time.Since(r.lastEventAt).Milliseconds())
+	return runFailed
 }
 
-// write passes bytes on, after the head of the first run; false if the client has
-// gone.
+// write forwards bytes, after the head at the first call; false if the client has
+// disconnected.
 func (r *relay) write(ctx context.Context, a *targetconn.Answer, raw []byte) bool {
 	if !r.started {
-		r.gateway.passHead(r.w, a.Header, a.Status, -1)
+		r.gateway.writeHead(r.w, a.Header, a.Status, -1)
 		r.started = true
-		r.out = r.gateway.held.newOutbox(r.call, r.w)
+		r.out = r.gateway.buffers.newResponseBuffer(r.call, r.w)
 	}
 	if err := r.out.Put(ctx, raw); err != nil {
-		r.noteLeft(err)
+		r.logClientLeft(err)
 		return false
 	}
 	now := time.Now()
-	if r.first == 0 {
-		r.first = uptime.Since(r.call.arrived)
+	if r.firstEventAfter == 0 {
+		r.firstEventAfter = uptime.Since(r.call.arrived)
 	} else {
-		r.longest = max(r.longest, now.Sub(r.newest))
+		r.maxGap = max(r.maxGap, now.Sub(r.lastEventAt))
 	}
-	r.newest = now
+	r.lastEventAt = now
 	return true
 }
--- a/gateway/table.go
+++ b/gateway/table.go
@@ -1,7 +1,7 @@
-// Package gateway passes clients' HTTP requests on to the targets of a site's
-// services, opaque and streaming: it finds the route and the account, chooses
-// targets, retries only what may be retried, and lets a stream go on at
-// another target when its target breaks off.
+// Package gateway is a streaming reverse proxy for the targets of a site's services. It
+// resolves the route and the client account, selects targets, retries only what is safe
+// to retry, and resumes a stream at another target when its connection breaks. Bodies
+// are opaque to it.
 package gateway
 
 import (
@@ -16,42 +16,42 @@
 	"github.com/walnutramp/walnutramp/fleet"
 )
 
-// Kind says what may be repeated of a route's requests.
+// Kind says whether a route's requests may be retried.
 type Kind int
 
 // The kinds.
 const (
 	Safe   Kind = iota // may run more than once
 	Unsafe             // may run at most once
-	Stream             // an event stream; as Unsafe unless it may be resumed
+	Stream             // an event stream; as Unsafe unless Resume is set
 )
 
-// Weighted is one service of a split.
+// Weighted is one service of a traffic split.
 type Weighted struct {
 	Service string
 	Weight  int
 }
 
-// Route says where requests for a host and path prefix go, and how.
+// Route says where and how requests for a host and path prefix are forwarded.
 type Route struct {
 	Name        string
 	Host        string
 	Prefix      string
 	Kind        Kind
-	Timeout     time.Duration // longest time a request is held
-	Aim         time.Duration // within which an answer earns its full credit
-	GapAim      time.Duration // longest pause between events that keeps a stream in time
+	Timeout     time.Duration // maximum time until the answer
+	Aim         time.Duration // latency objective
+	GapAim      time.Duration // maximum gap between events; 0 for the gateway's default stall timeout
 	Priority    int           // 0 is highest
-	MaxAttempts int           // most targets one request may go to
-	Open        bool          // no key is asked for
-	Resume      bool          // a stream may go on at another target
+	MaxAttempts int           // maximum number of targets that may run one request
+	Open        bool          // no API key is required
+	Resume      bool          // a stream may be resumed at another target
 	Split       []Weighted
 }
 
 // Idempotent reports whether a request that may have run may be sent again.
 func (r *Route) Idempotent() bool { return r.Kind == Safe || r.Kind == Stream && r.Resume }
 
-// Service draws one service by weight.
+// Service picks a service at random by weight.
 func (r *Route) Service() string {
 	total := 0
 	for _, w := range r.Split {
@@ -66,28 +66,27 @@
 	return r.Split[0].Service
 }
 
-// Account is a client account and its rank.
+// Account is a client account and its priority.
 type Account struct {
 	Name        string
 	Priority    int
 	HasPriority bool
 }
 
-// Service is what the gateway needs to know of a service's targets.
+// Service describes a service's targets to the gateway.
 type Service struct {
 	Name   string
 	Engine bool
-	Copies bool // its engines keep copies of runs at each other
-	// CopyOrders says that its engines take orders to copy a run, and CopyLife
-	// for how long they keep such a copy.
+	Copies bool // its engines replicate the KV cache of runs to each other
+	// CopyOrders says that its engines accept orders to copy a run, and CopyLife
+	// how long they keep such a copy.
 	CopyOrders bool
 	CopyLife   time.Duration
-	Memory     int // of an engine, in tokens; 0 if that is not told
-	Slots      int // runs at once at an engine; 0 if that is not told
-	// EventTokens is how many tokens one event of a stream holds, 0 if that is
-	// not told.
+	Memory     int // KV-cache capacity of an engine, in tokens; 0 if unknown
+	Slots      int // concurrent runs at an engine; 0 if unknown
+	// EventTokens is the number of tokens in one event of a stream, 0 if unknown.
 	EventTokens int
-	// Scaling says how many targets may be ordered; nil where none can be.
+	// Scaling limits the number of targets; nil if the service can't be scaled.
 	Scaling *fleet.Scaling
 }
 
@@ -99,18 +98,17 @@
 	IdleTimeout   time.Duration
 }
 
-// Table is a configuration as the gateway uses it. It is not changed once it
-// is in force.
+// Table is the routing configuration. It is immutable once active.
 type Table struct {
 	Version  uint64
 	Limits   Limits
 	Services map[string]Service
-	Accounts map[string]Account // by key; nil where no keys are asked for
+	Accounts map[string]Account // by API key; nil where no keys are required
 	hosts    map[string][]*Route
-	ranks    map[int]int // of priorities: how many more urgent ones there are
+	ranks    map[int]int // by priority: number of distinct priorities that are more urgent
 }
 
-// engines returns what the table says of the engines, by service.
+// engines returns the configured capacity of engines, by service.
 func (t *Table) engines() map[string]balance.Engine {
 	engines := map[string]balance.Engine{}
 	for name, s := range t.Services {
@@ -121,7 +119,7 @@
 	return engines
 }
 
-// setRanks gives every priority that routes and accounts have its rank.
+// setRanks computes the rank of every priority that routes and accounts use.
 func (t *Table) setRanks() {
 	seen := map[int]bool{}
 	for _, routes := range t.hosts {
@@ -140,7 +138,7 @@
 	}
 }
 
-// SetRoutes files the routes by host, the longest prefix first.
+// SetRoutes indexes the routes by host, longest prefix first.
 func (t *Table) SetRoutes(routes []*Route) {
 	t.hosts = map[string][]*Route{}
 	for _, r := range routes {
@@ -151,7 +149,7 @@
 	}
 }
 
-// Route returns the route of a host and path, or nil.
+// Route returns the route for a host and path, or nil.
 func (t *Table) Route(host, path string) *Route {
 	if name, _, ok := strings.Cut(host, ":"); ok {
 		host = name
--- a/gateway/versions.go
+++ b/gateway/versions.go
@@ -12,23 +12,23 @@
 	"k8s.io/klog/v2"
 )
 
-// While a service is brought to a new version of its targets, the roll-out's
-// agent says which requests go to it, and is told how both versions answer.
+// During a roll-out, the rollout agent decides which requests go to the new version of a
+// service's targets, and receives the outcomes of both versions.
 
-// drawNew decides whether the next try of a call goes to the new version of
-// its service. A try after another is one only once all requests go there:
-// what the new version may have failed is tried again at the old one.
-func (g *Gateway) drawNew(c *call) bool {
+// drawNewVersion decides whether the next attempt of a call goes to the new version.
+// Retries do so only once all requests go there, so that a request that failed at the
+// new version is retried at the old one.
+func (g *Gateway) drawNewVersion(c *call) bool {
 	r := g.cfg.Rollouts
-	if r == nil || c.turns > 0 && !r.Shifted(c.service) {
+	if r == nil || c.attempts > 0 && !r.Shifted(c.service) {
 		return false
 	}
 	return r.Draw(c.service, c.route.Name)
 }
 
-// versions returns what leaves out the targets that a call may not go to for
-// their version; nil if there are none.
-func (g *Gateway) versions(c *call) func(*balance.Target) bool {
+// excludeByVersion returns a filter for the targets that a call may not use because of
+// their version; nil if it excludes none.
+func (g *Gateway) excludeByVersion(c *call) func(*balance.Target) bool {
 	if g.cfg.Rollouts == nil {
 		return nil
 	}
@@ -39,9 +39,9 @@
 	return func(t *balance.Target) bool { return !allowed.Has(t.Version) }
 }
 
-// newTargets returns what leaves out all targets but those of the new version
-// that get its requests now.
-func (g *Gateway) newTargets(c *call) func(*balance.Target) bool {
+// excludeAllButNew returns a filter for all targets except those of the new version that
+// currently receive its requests.
+func (g *Gateway) excludeAllButNew(c *call) func(*balance.Target) bool {
 	allowed := g.cfg.Rollouts.Versions(c.service, true)
 	focus := g.cfg.Rollouts.Focus(c.service)
 	if focus.Part >= 1 {
@@ -51,64 +51,62 @@
 	return func(t *balance.Target) bool { return !slices.Contains(focused, t.ID) }
 }
 
-// inFocus returns the targets of a focus, at least one where there are any.
-// Nodes that know the same targets draw the same ones.
+// inFocus returns the targets in a focus, at least one if there are any. The selection
+// is deterministic: nodes with the same target list select the same targets.
 func inFocus(f rollout.Focus, ids []string) []string {
 	rendezvous.Sort(ids, strconv.FormatUint(f.Round, 10))
 	return ids[:min(len(ids), int(math.Ceil(f.Part*float64(len(ids)))))]
 }
 
-// mayGoOn reports whether a run may go on from a copy at a target.
-func (g *Gateway) mayGoOn(c *call, t *balance.Target) bool {
+// mayResumeAt reports whether a run may resume from a copy at a target.
+func (g *Gateway) mayResumeAt(c *call, t *balance.Target) bool {
 	return g.cfg.Rollouts == nil || g.cfg.Rollouts.MayUse(c.service, t.Version)
 }
 
-// answerKey says with what others the answers of a target to a call are
-// counted.
-func (c *call) answerKey(t *balance.Target) rollout.Key {
+// rolloutKey returns the key under which a target's answers to a call are counted.
+func (c *call) rolloutKey(t *balance.Target) rollout.Key {
 	return rollout.Key{Service: c.service, Route: c.route.Name, Version: t.Version, DataHall: t.DataHall, Target: t.ID}
 }
 
-// watch notes a call on its way to a target, while its service has a roll-out.
-func (g *Gateway) watch(c *call, t *balance.Target) {
+// beginRolloutRequest starts tracking an attempt while its service has a roll-out.
+func (g *Gateway) beginRolloutRequest(c *call, t *balance.Target) {
 	if g.cfg.Rollouts != nil {
-		c.watched = g.cfg.Rollouts.Begin(c.answerKey(t))
+		c.rolloutRequest = g.cfg.Rollouts.Begin(c.rolloutKey(t))
 	}
 }
 
-// noteFailed notes that a target's answer tells of a failure.
-func (g *Gateway) noteFailed(c *call, t *balance.Target) {
-	logAgainst(c, t, "failed")
-	c.watched.Ended(rollout.Failed)
+// recordErrorAnswer records that a target answered with a failure.
+func (g *Gateway) recordErrorAnswer(c *call, t *balance.Target) {
+	logNewVersionFailure(c, t, "failed")
+	c.rolloutRequest.Ended(rollout.Failed)
 }
 
-// logAgainst logs what speaks against a new version: its share of the requests
-// is small, and so are these lines.
-func logAgainst(c *call, t *balance.Target, how string) {
-	if c.watched.New() {
+// logNewVersionFailure logs an answer that counts against a new version.
+func logNewVersionFailure(c *call, t *balance.Target, how string) {
+	if c.rolloutRequest.New() {
 		klog.InfoS("Answer against a new version", "request", c.id, "service", c.service, "route", c.route.Name,
 			"version", t.Version, "target", t.ID, "how", how)
 	}
 }
 
-// lossSettle is how long a lost answer waits to be counted: by then a data hall
-// that was lost is known to be in doubt.
-const lossSettle = 300 * time.Millisecond
+// lossConfirmDelay is how long counting a lost answer is delayed, so that the loss of
+// a whole data hall is detected first.
+const lossConfirmDelay = 300 * time.Millisecond
 
-// noteLost notes that a target's answer was lost, unless that befalls its data
-// hall as a whole, which says nothing of a version.
-func (g *Gateway) noteLost(c *call, t *balance.Target) {
-	watched := c.watched
-	if watched == nil {
+// recordLostAnswer records a lost answer, unless the target's whole data hall is failing, which
+// says nothing about a version.
+func (g *Gateway) recordLostAnswer(c *call, t *balance.Target) {
+	request := c.rolloutRequest
+	if request == nil {
 		return
 	}
-	logAgainst(c, t, "lost")
-	c.watched = nil
-	time.AfterFunc(lossSettle, func() {
+	logNewVersionFailure(c, t, "lost")
+	c.rolloutRequest = nil
+	time.AfterFunc(lossConfirmDelay, func() {
 		if g.targets.HallInDoubt(t) {
-			watched.Dropped()
+			request.Dropped()
 			return
 		}
-		watched.Ended(rollout.Lost)
+		request.Ended(rollout.Lost)
 	})
 }
--- a/gateway/versions_test.go
+++ b/gateway/versions_test.go
@@ -12,17 +12,16 @@
 	"github.com/walnutramp/walnutramp/rollout"
 )
 
-// versionSite is a service with a target of each of two versions.
+// versionSite is a service with targets of two versions.
 type versionSite struct {
-	*site
+	*testSite
 	agent *rollout.Agent
 }
 
-// newVersionSite lists the first target under the old version and the others
-// under the new one.
+// newVersionSite lists the first target with the old version and the others with the new.
 func newVersionSite(t *testing.T, service string, targets ...*fakeTarget) *versionSite {
 	v := &versionSite{agent: rollout.NewAgent(1)}
-	v.site = newSite(t, targets, WithRollouts(v.agent))
+	v.testSite = newTestSite(t, targets, WithRollouts(v.agent))
 	var list []discovery.Target
 	for i, f := range targets {
 		listed := f.listed()
@@ -33,11 +32,11 @@
 		list = append(list, listed)
 	}
 	v.tracker.Update(list)
-	v.view(service, rollout.Running)
+	v.setView(service, rollout.Running)
 	return v
 }
 
-func (v *versionSite) view(service string, state rollout.State) {
+func (v *versionSite) setView(service string, state rollout.State) {
 	inForce := "v1"
 	if state == rollout.Completed {
 		inForce = "v2"
@@ -47,7 +46,7 @@
 	}})
 }
 
-func (v *versionSite) permit(service string, share float64) {
+func (v *versionSite) setPermit(service string, share float64) {
 	v.agent.SetPermits([]rollout.Permit{{Service: service, Number: 1, Other: share, Focus: rollout.Focus{Part: share}, For: time.Minute}}, time.Now())
 }
 
@@ -55,7 +54,7 @@
 
 func failing(_ *fakeTarget, r *http.Request, c net.Conn) { reply(c, r.Header.Get("X-Id"), 500, "") }
 
-func TestNewVersionGetsThePermittedShareOnly(t *testing.T) {
+func TestNewVersionGetsOnlyThePermittedShare(t *testing.T) {
 	old, new := newFakeTarget(t, "i-1", "lookup", "north", serving), newFakeTarget(t, "i-2", "lookup", "north", serving)
 	v := newVersionSite(t, "lookup", old, new)
 	get := func(n int) {
@@ -66,25 +65,25 @@
 		}
 	}
 	get(20)
-	require.Empty(t, new.seen(), "there is no permit")
-	v.permit("lookup", 0.2)
+	require.Empty(t, new.seen(), "no permit yet")
+	v.setPermit("lookup", 0.2)
 	get(50)
 	require.InDelta(t, 10, len(new.seen()), 1)
-	v.permit("lookup", 1)
+	v.setPermit("lookup", 1)
 	before := len(old.seen())
 	get(10)
 	require.Len(t, old.seen(), before)
-	v.view("lookup", rollout.RolledBack)
+	v.setView("lookup", rollout.RolledBack)
 	taken := len(new.seen())
 	get(10)
 	require.Len(t, new.seen(), taken)
 }
 
-// What the new version fails is answered by the old one, and counted.
-func TestFailureOfTheNewVersionIsTriedAtTheOld(t *testing.T) {
+// A request that fails at the new version must be retried at the old one, and counted.
+func TestFailureOfTheNewVersionIsRetriedAtTheOld(t *testing.T) {
 	old, new := newFakeTarget(t, "i-1", "lookup", "north", serving), newFakeTarget(t, "i-2", "lookup", "north", failing)
 	v := newVersionSite(t, "lookup", old, new)
-	v.permit("lookup", 0.5)
+	v.setPermit("lookup", 0.5)
 	for range 10 {
 		r, body, err := do(t, v.request(t, "GET", "/safe/x", ""))
 		require.NoError(t, err)
@@ -102,36 +101,34 @@
 	}
 }
 
-// A request that may run once is not sent to the old version after the new one
-// may have run it.
-func TestOnceIsOnceInARollout(t *testing.T) {
+// An unsafe request must not go to the old version after the new one may have run it.
+func TestUnsafeRequestIsNotRetriedDuringARollout(t *testing.T) {
 	old, new := newFakeTarget(t, "i-1", "lookup", "north", serving), newFakeTarget(t, "i-2", "lookup", "north", failing)
 	v := newVersionSite(t, "lookup", old, new)
-	v.permit("lookup", 1)
+	v.setPermit("lookup", 1)
 	r, _, err := do(t, v.request(t, "POST", "/once/x", ""))
 	require.NoError(t, err)
 	require.Equal(t, 500, r.StatusCode)
 	require.Empty(t, old.seen())
 }
 
-// While no target of the new version is there, its requests go to the old one.
-func TestRolloutWithoutTargetsServes(t *testing.T) {
+func TestRolloutWithoutNewTargetsUsesTheOldVersion(t *testing.T) {
 	old := newFakeTarget(t, "i-1", "lookup", "north", serving)
 	v := newVersionSite(t, "lookup", old)
-	v.permit("lookup", 1)
+	v.setPermit("lookup", 1)
 	_, body, err := do(t, v.request(t, "GET", "/safe/x", ""))
 	require.NoError(t, err)
 	require.Equal(t, "i-1", body)
 }
 
-// The old targets stop when a roll-out completes: a stream at one of them goes
-// on at the new version, whole, and memory is copied within a version only.
-func TestStreamGoesOnAtTheNewVersionWhenTheOldStops(t *testing.T) {
+// The old targets stop when a roll-out completes: their streams must resume at the new
+// version. KV caches are copied only within a version.
+func TestStreamResumesAtTheNewVersion(t *testing.T) {
 	var stopped atomic.Bool
 	var v *versionSite
 	old := newFakeTarget(t, "i-1", "draft", "north", draft(func(_ *fakeTarget, c net.Conn, n int) bool {
 		if n == 5 {
-			v.view("draft", rollout.Completed)
+			v.setView("draft", rollout.Completed)
 			stopped.Store(true)
 			return false
 		}
@@ -146,27 +143,27 @@
 	require.Equal(t, wholeDraft(1), body)
 	require.Len(t, new.seen(), 1)
 	require.Equal(t, "4", new.seen()[0].Header.Get("X-Last"))
-	require.Empty(t, old.seen()[0].Header.Get("X-Copy-To"), "there is no other target of its version")
+	require.Empty(t, old.seen()[0].Header.Get("X-Copy-To"), "no other target has its version")
 }
 
-func TestFocusIsPartOfTheTargets(t *testing.T) {
+func TestFocusSelectsAShareOfTheTargets(t *testing.T) {
 	ids := func() []string { return []string{"a", "b", "c", "d", "e", "f", "g", "h"} }
 	first := inFocus(rollout.Focus{Round: 1, Part: 0.2}, ids())
 	require.Len(t, first, 2)
-	require.Equal(t, first, inFocus(rollout.Focus{Round: 1, Part: 0.2}, ids()), "all nodes draw the same")
+	require.Equal(t, first, inFocus(rollout.Focus{Round: 1, Part: 0.2}, ids()), "the selection is deterministic")
 	seen := map[string]bool{}
 	for round := range uint64(40) {
 		for _, id := range inFocus(rollout.Focus{Round: round, Part: 0.01}, ids()) {
 			seen[id] = true
 		}
 	}
-	require.Len(t, seen, 8, "each has its turn")
+	require.Len(t, seen, 8, "each target is selected in some round")
 	require.Empty(t, inFocus(rollout.Focus{Part: 0.5}, nil))
 }
 
-// What ends in a way that is not counted does not wait for its first event for
-// ever: it would be held to be late.
-func TestNothingWaitsOnOnceItHasEnded(t *testing.T) {
+// A request that ends without a counted outcome must not stay open: it would be counted
+// as late.
+func TestEndedRequestIsNotCountedAsLate(t *testing.T) {
 	odd := func(_ *fakeTarget, r *http.Request, c net.Conn) {
 		c.Write([]byte("HTTP/1.1 200 OK\r\nX-Id: " + r.Header.Get("X-Id") + "\r\nContent-Length: 900\r\n\r\nshort"))
 		c.Close()
