--- a/code.go
+++ b/code.go
@@ -2,9 +2,9 @@
 
 import "fmt"
 
-// Code is a numbered result. The thousands give the part that answers:
-// 2 the caller's request, 3 capacity, 4 generations, 5 plain services,
-// 6 peers, 7 bundles, 9 the node itself. docs/CODES.md tables them.
+// Code is a numbered result. The thousands digit is the area: 2 caller requests,
+// 3 capacity, 4 generations, 5 plain services, 6 peers, 7 bundles, 9 the node itself.
+// docs/CODES.md documents them.
 type Code int
 
 // The result codes. Numbers are never reused.
@@ -66,22 +66,22 @@
 	CodeInternal Code = 9001
 )
 
-// Outcome says what became of the request an answer is about.
+// Outcome says whether a request was executed.
 type Outcome string
 
-// The outcomes. NotRun is a promise: no target began the request and none
-// will. Where that cannot be shown the outcome is Unknown.
+// The outcomes. NotRun guarantees that no target has begun the request or will; if that is
+// uncertain, the outcome is Unknown.
 const (
 	Ran     Outcome = "ran"
 	NotRun  Outcome = "not-run"
 	Unknown Outcome = "unknown"
 )
 
-// CodeInfo describes a code for people and for the HTTP surface.
+// CodeInfo describes a code.
 type CodeInfo struct {
 	Code   Code
 	Name   string
-	Status int // HTTP status sent with it
+	Status int // HTTP status
 	Text   string
 }
 
@@ -146,10 +146,10 @@
 	return m
 }
 
-// Codes returns every code in order of number.
+// Codes returns all codes in numeric order.
 func Codes() []CodeInfo { return append([]CodeInfo(nil), codeTable...) }
 
-// Info returns the description of c; an unlisted code is described as internal.
+// Info returns the description of c; an unknown code is described as internal.
 func (c Code) Info() CodeInfo {
 	if info, ok := codeIndex[c]; ok {
 		return info
@@ -157,8 +157,8 @@
 	return codeIndex[CodeInternal]
 }
 
-// Final reports whether the control group answers the same, whichever member
-// is asked again.
+// Final reports whether the code is the same from every member of the control group, so
+// that asking another one is useless.
 func (c Code) Final() bool {
 	switch c {
 	case CodeBundleInvalid, CodeBundleSignature, CodeRolloutInvalid, CodeRolloutUnknown:
@@ -167,5 +167,5 @@
 	return false
 }
 
-// String gives the number and the name.
+// String returns the number and the name.
 func (c Code) String() string { return fmt.Sprintf("%d %s", int(c), c.Info().Name) }
--- a/code_test.go
+++ b/code_test.go
@@ -10,8 +10,8 @@
 	"github.com/walnutramp/walnutramp"
 )
 
-// TestCodesAreTabled holds docs/CODES.md to the codes of the program.
-func TestCodesAreTabled(t *testing.T) {
+// TestCodesMatchDocumentation compares docs/CODES.md with the codes of the program.
+func TestCodesMatchDocumentation(t *testing.T) {
 	page, err := os.ReadFile("docs/CODES.md")
 	require.NoError(t, err)
 	var rows []string
@@ -45,7 +45,7 @@
 	f.Fuzz(func(t *testing.T, s string) {
 		p, err := walnutramp.ParsePosition(s)
 		if err == nil && p.String() != s {
-			t.Fatalf("%q reads as %q", s, p)
+			t.Fatalf("%q was parsed as %q", s, p)
 		}
 	})
 }
--- a/doc.go
+++ b/doc.go
@@ -1,7 +1,5 @@
-// Package walnutramp holds the few types that every part of the serving
-// system shares: names, identities, tokens, numbered result codes and the
-// error that carries them.
+// Package walnutramp defines the types shared by all parts of the serving system: names,
+// IDs, tokens, result codes and the error type that carries them.
 //
-// The parts themselves live in sub-packages, one for each concern; package
-// node wires them into an entry node.
+// Each part is a package of its own; package node assembles them into an entry node.
 package walnutramp
--- a/error.go
+++ b/error.go
@@ -7,13 +7,12 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Error is a result a caller or peer is told: a numbered code, what became of
-// the request, a sentence, and when to come back if that helps.
+// Error is a result reported to a caller or peer.
 type Error struct {
 	Code       Code
 	Outcome    Outcome
 	Message    string
-	RetryAfter time.Duration // zero where coming back would not help
+	RetryAfter time.Duration // zero if retrying would not help
 }
 
 // Error implements the error interface.
@@ -26,15 +25,15 @@
 	return &Error{Code: code, Outcome: outcome, Message: fmt.Sprintf(format, args...)}
 }
 
-// WithRetryAfter returns a copy of e that says when to come back.
+// WithRetryAfter returns a copy of e with RetryAfter set.
 func (e *Error) WithRetryAfter(d time.Duration) *Error {
 	c := *e
 	c.RetryAfter = d
 	return &c
 }
 
-// AsError finds the Error in err's chain, or wraps err as an internal one
-// whose outcome is Unknown.
+// AsError returns the Error in err's chain, or wraps err as an internal error whose
+// outcome is Unknown.
 func AsError(err error) *Error {
 	var e *Error
 	if errors.As(err, &e) {
@@ -43,7 +42,7 @@
 	return NewError(CodeInternal, Unknown, "%v", err)
 }
 
-// HasCode reports whether err carries code.
+// HasCode reports whether err is an Error with the given code.
 func HasCode(err error, code Code) bool {
 	var e *Error
 	return errors.As(err, &e) && e.Code == code
--- a/generation.go
+++ b/generation.go
@@ -9,46 +9,45 @@
 	"strings"
 )
 
-// GenerationID identifies one generation; it is never reused. It begins with
-// the place of the node that opened the generation, so that its replicas can
-// be found; the rest is random.
+// GenerationID identifies a generation and is never reused. It consists of the hash-ring
+// position of the node that opened the generation, by which its replicas are found, and
+// random bytes.
 type GenerationID string
 
 // Lengths of a GenerationID, in bytes before they are written as hex.
 const (
-	placeBytes        = 4
+	positionBytes     = 4
 	generationIDBytes = 16
 )
 
-// NewGenerationID returns a fresh identity for a generation that a node with
-// the given place opens.
-func NewGenerationID(place uint32) GenerationID {
+// NewGenerationID returns a new ID for a generation opened by the node at ringPosition.
+func NewGenerationID(ringPosition uint32) GenerationID {
 	var b [generationIDBytes]byte
-	rand.Read(b[placeBytes:])
-	binary.BigEndian.PutUint32(b[:placeBytes], place)
+	rand.Read(b[positionBytes:])
+	binary.BigEndian.PutUint32(b[:positionBytes], ringPosition)
 	return GenerationID(hex.EncodeToString(b[:]))
 }
 
-// Place returns the place the identity begins with, or 0 if it is malformed.
-func (id GenerationID) Place() uint32 {
-	if len(id) < 2*placeBytes {
+// RingPosition returns the hash-ring position in the ID, or 0 if the ID is malformed.
+func (id GenerationID) RingPosition() uint32 {
+	if len(id) < 2*positionBytes {
 		return 0
 	}
-	b, err := hex.DecodeString(string(id[:2*placeBytes]))
+	b, err := hex.DecodeString(string(id[:2*positionBytes]))
 	if err != nil {
 		return 0
 	}
 	return binary.BigEndian.Uint32(b)
 }
 
-// TokenID is a token as its engine numbers it.
+// TokenID is a token's ID in the vocabulary of its engine.
 type TokenID int64
 
-// NoTokenID marks a token whose engine gave text but no number.
+// NoTokenID marks a token for which the engine returned text without an ID.
 const NoTokenID TokenID = -1
 
-// Token is one generated token. Text is empty while the engine holds back
-// half a character or a possible stop sequence.
+// Token is one generated token. Text is empty while the engine withholds an incomplete
+// character or a potential stop sequence.
 type Token struct {
 	ID   TokenID
 	Text string
@@ -57,8 +56,8 @@
 // Offset counts tokens from the start of a generation.
 type Offset int
 
-// Position is a place in a generation's output: everything before Offset has
-// been delivered. It is what callers see as the id of a server-sent event.
+// Position is an offset in a generation's output: everything before it has been delivered.
+// Callers see it as the ID of a server-sent event.
 type Position struct {
 	Generation GenerationID
 	Offset     Offset
@@ -69,16 +68,16 @@
 	return string(p.Generation) + ":" + strconv.Itoa(int(p.Offset))
 }
 
-// ParsePosition reads what Position.String writes; it accepts nothing else.
+// ParsePosition parses the format of Position.String, and nothing else.
 func ParsePosition(s string) (Position, error) {
-	id, num, ok := strings.Cut(s, ":")
+	id, offset, ok := strings.Cut(s, ":")
 	if !ok {
 		return Position{}, fmt.Errorf("position %q: want generation:offset", s)
 	}
 	if !validGenerationID(id) {
 		return Position{}, fmt.Errorf("position %q: generation must be %d hex digits", s, 2*generationIDBytes)
 	}
-	n, err := strconv.ParseUint(num, 10, 31)
+	n, err := strconv.ParseUint(offset, 10, 31)
 	if err != nil {
 		return Position{}, fmt.Errorf("position %q: offset must be a whole number", s)
 	}
--- a/generation/columns.go
+++ b/generation/columns.go
@@ -4,24 +4,23 @@
 	"github.com/walnutramp/walnutramp"
 )
 
-// Columns carries appends that hold nothing but tokens, which nearly all do,
-// column by column: that is several times cheaper to encode than a list of
-// structures.
+// Columns encodes token-only appends, which are nearly all, column by column. This is
+// several times cheaper to encode than a list of structures.
 type Columns struct {
 	Handles []uint64
 	Froms   []uint64
-	Counts  []uint64 // tokens of each append
-	IDs     []int64  // of all tokens in order
-	Sizes   []uint64 // bytes of each token's text
-	Text    []byte   // of all tokens in order
+	Counts  []uint64 // number of tokens of each append
+	IDs     []int64  // of all tokens, concatenated
+	Sizes   []uint64 // length of each token's text in bytes
+	Text    []byte   // of all tokens, concatenated
 }
 
-// plain reports whether an append fits into columns.
-func (a *Append) plain() bool {
+// tokensOnly reports whether an append can be encoded in Columns.
+func (a *Append) tokensOnly() bool {
 	return a.Open == nil && a.PromptTokens == nil && a.Source == nil && a.Final == nil
 }
 
-// add puts a plain append behind the others.
+// add appends a token-only append.
 func (c *Columns) add(a *Append) {
 	c.Handles = append(c.Handles, uint64(a.Handle))
 	c.Froms = append(c.Froms, uint64(a.From))
@@ -33,11 +32,11 @@
 	}
 }
 
-// whole reports whether the columns fit each other.
-func (c *Columns) whole() bool {
+// valid reports whether the lengths of the columns are consistent.
+func (c *Columns) valid() bool {
 	var tokens, bytes uint64
 	for _, n := range c.Counts {
-		tokens += min(n, uint64(len(c.IDs))+1) // no sum may wrap around
+		tokens += min(n, uint64(len(c.IDs))+1) // clamped, so that the sum can't overflow
 	}
 	for _, n := range c.Sizes {
 		bytes += min(n, uint64(len(c.Text))+1)
@@ -46,7 +45,7 @@
 		tokens == uint64(len(c.IDs)) && len(c.Sizes) == len(c.IDs) && bytes == uint64(len(c.Text))
 }
 
-// appends returns the appends again; the columns must be whole.
+// appends decodes the columns, which must be valid.
 func (c *Columns) appends() []Append {
 	list := make([]Append, len(c.Handles))
 	tokens := make([]walnutramp.Token, len(c.IDs))
--- a/generation/columns_test.go
+++ b/generation/columns_test.go
@@ -21,7 +21,7 @@
 			want = append(want, a)
 			c.add(&a)
 		}
-		require.True(t, c.whole())
+		require.True(t, c.valid())
 		got := c.appends()
 		require.Len(t, got, len(want))
 		for i := range want {
@@ -30,26 +30,26 @@
 	}
 }
 
-func TestBrokenColumnsAreRefused(t *testing.T) {
+func TestInvalidColumnsAreRejected(t *testing.T) {
 	var c Columns
 	c.add(&Append{Handle: 1, Tokens: []walnutramp.Token{{ID: 7, Text: "x"}}})
-	for name, breakIt := range map[string]func(*Columns){
+	for name, corrupt := range map[string]func(*Columns){
 		"too many tokens": func(c *Columns) { c.Counts[0] = 2 },
-		"too long a text": func(c *Columns) { c.Sizes[0] = 9 },
-		"a column short":  func(c *Columns) { c.Froms = nil },
+		"text too long":   func(c *Columns) { c.Sizes[0] = 9 },
+		"missing column":  func(c *Columns) { c.Froms = nil },
 	} {
-		broken := Columns{
+		invalid := Columns{
 			Handles: append([]uint64(nil), c.Handles...), Froms: append([]uint64(nil), c.Froms...),
 			Counts: append([]uint64(nil), c.Counts...), IDs: c.IDs, Sizes: append([]uint64(nil), c.Sizes...), Text: c.Text,
 		}
-		breakIt(&broken)
-		require.False(t, broken.whole(), name)
+		corrupt(&invalid)
+		require.False(t, invalid.valid(), name)
 		s := NewStore(Member{Node: "n", Incarnation: 1}, 0)
-		require.Error(t, s.Replicate(ReplicateArgs{To: 1, Plain: broken}, &ReplicateReply{}), name)
+		require.Error(t, s.Replicate(ReplicateArgs{To: 1, Plain: invalid}, &ReplicateReply{}), name)
 	}
 }
 
-// BenchmarkReplicate applies batches of plain appends at a replica.
+// BenchmarkReplicate applies batches of token-only appends at a replica.
 func BenchmarkReplicate(b *testing.B) {
 	const open = 32
 	owner := Member{Node: "o", Incarnation: 1}
--- a/generation/ends.go
+++ b/generation/ends.go
@@ -9,45 +9,45 @@
 	"github.com/walnutramp/walnutramp/target"
 )
 
-// content names what the generation's request asks for.
-func (g *Generation) content() quarantine.Fingerprint {
+// fingerprint identifies the content of the generation's request.
+func (g *Generation) fingerprint() quarantine.Fingerprint {
 	g.rec.mu.Lock()
 	defer g.rec.mu.Unlock()
 	return g.rec.state.Spec.Content
 }
 
-// standing says how far an attempt had come at its engine.
+// standing returns how far an attempt had progressed at its engine.
 func (a *attempt) standing() quarantine.Standing {
-	if !a.first.IsZero() && time.Since(a.first) >= quarantine.Onset {
+	if !a.firstTokenAt.IsZero() && time.Since(a.firstTokenAt) >= quarantine.Onset {
 		return quarantine.Settled
 	}
 	return quarantine.Begun
 }
 
-// noteSettled notes that tokens came, and with that whether the engine can run
-// the request.
-func (g *Generation) noteSettled(a *attempt) {
+// recordSettled records the arrival of tokens. An attempt that goes on for
+// quarantine.Onset shows that the request is harmless.
+func (g *Generation) recordSettled(a *attempt) {
 	now := time.Now()
-	if a.first.IsZero() {
-		a.first = now
+	if a.firstTokenAt.IsZero() {
+		a.firstTokenAt = now
 	}
-	if !a.settled && now.Sub(a.first) >= quarantine.Onset {
+	if !a.settled && now.Sub(a.firstTokenAt) >= quarantine.Onset {
 		a.settled = true
-		g.m.cfg.Quarantine.Sound(g.content())
+		g.m.cfg.Quarantine.Sound(g.fingerprint())
 	}
 }
 
-// noteBreak notes that an engine's connection broke off under an attempt.
-func (g *Generation) noteBreak(a *attempt, s quarantine.Standing) {
-	g.look = g.m.cfg.Quarantine.Broke(quarantine.Break{
-		Request: string(g.id), Content: g.content(), Target: string(a.grant.Target.Name), Address: a.grant.Target.Address,
-		Standing: s, Sent: a.sent,
+// recordConnectionLoss records that an engine's connection broke during an attempt.
+func (g *Generation) recordConnectionLoss(a *attempt, s quarantine.Standing) {
+	g.crashProbe = g.m.cfg.Quarantine.Broke(quarantine.Break{
+		Request: string(g.id), Content: g.fingerprint(), Target: string(a.grant.Target.Name), Address: a.grant.Target.Address,
+		Standing: s, Sent: a.sentAt,
 	})
 }
 
-// brokeOff reports whether an attempt was not opened since the engine broke the
-// connection off after it may have had the request.
-func brokeOff(ctx context.Context, err error) bool {
+// connectionLost reports whether an attempt failed to open because the engine closed
+// the connection after it may have received the request.
+func connectionLost(ctx context.Context, err error) bool {
 	var unsent *target.NotSentError
 	var status *target.StatusError
 	return err != nil && ctx.Err() == nil && !errors.As(err, &unsent) && !errors.As(err, &status)
--- a/generation/link.go
+++ b/generation/link.go
@@ -10,132 +10,131 @@
 	"github.com/walnutramp/walnutramp/internal/pause"
 )
 
-// Timing and size of messages to replicas.
+// Limits of the calls to replicas.
 const (
 	callTimeout    = 1 * time.Second
-	firstRetry     = 20 * time.Millisecond
-	lastRetry      = 500 * time.Millisecond
+	minRetryDelay  = 20 * time.Millisecond
+	maxRetryDelay  = 500 * time.Millisecond
 	maxBatchTokens = 1 << 16
 )
 
-// link is the one task that replicates to one node. While a call is under
-// way, what else comes up waits and shares the next one.
-type link struct {
+// replicator replicates to one node. At most one call is in flight; changes made
+// meanwhile share the next one.
+type replicator struct {
 	m    *Manager
 	node walnutramp.NodeName
 	wake chan struct{}
 
-	mu    sync.Mutex
-	dirty map[*Generation]struct{}
-	order []*Generation
+	mu     sync.Mutex
+	queued map[*Generation]struct{}
+	queue  []*Generation
 }
 
-func newLink(m *Manager, node walnutramp.NodeName) *link {
-	return &link{m: m, node: node, wake: make(chan struct{}, 1), dirty: map[*Generation]struct{}{}}
+func newReplicator(m *Manager, node walnutramp.NodeName) *replicator {
+	return &replicator{m: m, node: node, wake: make(chan struct{}, 1), queued: map[*Generation]struct{}{}}
 }
 
-// mark says that g has something for the node.
-func (l *link) mark(g *Generation) {
-	l.mu.Lock()
-	if _, ok := l.dirty[g]; !ok {
-		l.dirty[g] = struct{}{}
-		l.order = append(l.order, g)
+// enqueue schedules g for replication to the node.
+func (r *replicator) enqueue(g *Generation) {
+	r.mu.Lock()
+	if _, ok := r.queued[g]; !ok {
+		r.queued[g] = struct{}{}
+		r.queue = append(r.queue, g)
 	}
-	l.mu.Unlock()
+	r.mu.Unlock()
 	select {
-	case l.wake <- struct{}{}:
+	case r.wake <- struct{}{}:
 	default:
 	}
 }
 
-func (l *link) run(ctx context.Context) {
-	retry := firstRetry
+func (r *replicator) run(ctx context.Context) {
+	retry := minRetryDelay
 	for {
 		select {
-		case <-l.wake:
+		case <-r.wake:
 		case <-ctx.Done():
 			return
 		}
-		if !l.coalesce(ctx) {
+		if !r.coalesce(ctx) {
 			return
 		}
-		if l.send(ctx) {
-			retry = firstRetry
+		if r.send(ctx) {
+			retry = minRetryDelay
 			continue
 		}
 		if !pause.For(ctx, retry) {
 			return
 		}
-		retry = min(2*retry, lastRetry)
+		retry = min(2*retry, maxRetryDelay)
 	}
 }
 
-// coalesce lets more come up before a call, as long as the bundle allows;
-// false means ctx ended.
-func (l *link) coalesce(ctx context.Context) bool {
-	wait := l.m.cfg.Guard().Coalesce
+// coalesce delays a call by the configured time, so that it carries more; false if ctx
+// ended.
+func (r *replicator) coalesce(ctx context.Context) bool {
+	wait := r.m.cfg.Guard().Coalesce
 	return wait <= 0 || pause.For(ctx, wait)
 }
 
-// send replicates all that is marked; false means the node didn't answer.
-func (l *link) send(ctx context.Context) bool {
+// send replicates everything that is queued; false if the node did not answer.
+func (r *replicator) send(ctx context.Context) bool {
 	for {
-		batch := l.collect()
+		batch := r.collect()
 		if batch.empty() {
 			return true
 		}
-		if !l.call(ctx, batch) {
+		if !r.call(ctx, batch) {
 			return false
 		}
-		if !l.coalesce(ctx) {
+		if !r.coalesce(ctx) {
 			return false
 		}
 	}
 }
 
-// batch is what one call carries to one run of the node.
+// batch is the content of one call to one incarnation of the node.
 type batch struct {
-	to      walnutramp.Incarnation
-	gens    []*Generation // of appends
-	appends []Append
-	plain   Columns
-	owners  []*Generation // of plain
-	tokens  int
+	to        walnutramp.Incarnation
+	gens      []*Generation // of appends, in order
+	appends   []Append
+	plain     Columns
+	plainGens []*Generation // of plain, in order
+	tokens    int
 }
 
-func (b *batch) empty() bool { return len(b.gens)+len(b.owners) == 0 }
+func (b *batch) empty() bool { return len(b.gens)+len(b.plainGens) == 0 }
 
 func (b *batch) add(g *Generation, a *Append) {
 	b.tokens += len(a.Tokens) + len(a.PromptTokens)
-	if a.plain() {
+	if a.tokensOnly() {
 		b.plain.add(a)
-		b.owners = append(b.owners, g)
+		b.plainGens = append(b.plainGens, g)
 		return
 	}
 	b.gens = append(b.gens, g)
 	b.appends = append(b.appends, *a)
 }
 
-// collect takes what is marked, as far as one call carries it; the rest stays
-// marked.
-func (l *link) collect() batch {
-	l.mu.Lock()
-	marked := l.order
-	l.order = nil
-	clear(l.dirty)
-	l.mu.Unlock()
+// collect dequeues as much as one call carries.
+func (r *replicator) collect() batch {
+	r.mu.Lock()
+	queue := r.queue
+	r.queue = nil
+	clear(r.queued)
+	r.mu.Unlock()
 	var b batch
-	for i, g := range marked {
+	for i, g := range queue {
 		if b.tokens > maxBatchTokens {
-			l.markAgain(marked[i:])
+			r.requeue(queue[i:])
 			break
 		}
-		a, replica, ok := g.appendFor(l.node)
+		a, replica, ok := g.appendFor(r.node)
 		if !ok {
 			continue
 		}
 		if !b.empty() && replica.Incarnation != b.to {
-			l.mark(g)
+			r.enqueue(g)
 			continue
 		}
 		b.to = replica.Incarnation
@@ -144,31 +143,31 @@
 	return b
 }
 
-func (l *link) markAgain(gens []*Generation) {
+func (r *replicator) requeue(gens []*Generation) {
 	for _, g := range gens {
-		l.mark(g)
+		r.enqueue(g)
 	}
 }
 
-func (l *link) call(ctx context.Context, b batch) bool {
+func (r *replicator) call(ctx context.Context, b batch) bool {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	args := ReplicateArgs{From: l.m.store.self, To: b.to, Appends: b.appends, Plain: b.plain}
+	args := ReplicateArgs{From: r.m.store.self, To: b.to, Appends: b.appends, Plain: b.plain}
 	var reply ReplicateReply
-	err := l.m.cfg.Peers.Call(ctx, l.node, Service+".Replicate", args, &reply)
-	if err != nil || len(reply.Acks) != len(b.gens) || len(reply.Plain) != len(b.owners) {
+	err := r.m.cfg.Peers.Call(ctx, r.node, Service+".Replicate", args, &reply)
+	if err != nil || len(reply.Acks) != len(b.gens) || len(reply.Plain) != len(b.plainGens) {
 		now := time.Now()
-		for _, g := range slices.Concat(b.gens, b.owners) {
-			g.unreachable(l.node, now)
-			l.mark(g)
+		for _, g := range slices.Concat(b.gens, b.plainGens) {
+			g.handleUnreachable(r.node, now)
+			r.enqueue(g)
 		}
 		return false
 	}
 	for i, held := range reply.Plain {
-		b.owners[i].held(l.node, Handle(b.plain.Handles[i]), held)
+		b.plainGens[i].handleTokenAck(r.node, Handle(b.plain.Handles[i]), held)
 	}
 	for i, ack := range reply.Acks {
-		b.gens[i].acked(l.node, b.appends[i].Handle, ack)
+		b.gens[i].handleAck(r.node, b.appends[i].Handle, ack)
 	}
 	return true
 }
--- a/generation/manager.go
+++ b/generation/manager.go
@@ -22,126 +22,126 @@
 	DataHall walnutramp.DataHall
 }
 
-// Directory tells which nodes live.
+// Directory provides the membership of the cluster.
 type Directory interface {
 	// Self returns this node.
 	Self() Node
-	// Live returns the other nodes that are believed alive.
+	// Live returns the other nodes believed to be alive.
 	Live() []Node
-	// Known returns the other nodes that may be alive: those not yet heard of
-	// since this node started, and suspects, as well.
+	// Known returns the other nodes that may be alive: live and suspect ones, and
+	// those not heard from since this node started.
 	Known() []Node
 }
 
-// Router gives places at targets.
+// Router allocates slots at targets.
 type Router interface {
-	// Pick waits for a place.
+	// Pick waits for a slot at any suitable target.
 	Pick(ctx context.Context, req route.Request) (*route.Grant, error)
-	// Hold takes a place at a target where the work already runs.
+	// Hold takes a slot at a target that already runs the work.
 	Hold(name walnutramp.TargetName, req route.Request) (*route.Grant, bool)
-	// Forecast predicts the wait of a request, if any target is live.
+	// Forecast predicts the wait of a request; false if no target is live.
 	Forecast(req route.Request) (time.Duration, bool)
-	// SpendRetry reports whether something may be sent again now.
+	// SpendRetry consumes one retry from the budget; false if it is exhausted.
 	SpendRetry() bool
 }
 
-// Engines opens the adapter of a target.
+// Engines provides the adapters of targets.
 type Engines interface {
-	// Engine returns the engine at a target.
+	// Engine returns the adapter of the engine at a target.
 	Engine(t bundle.Target) target.Engine
 }
 
-// Config sets what a Manager works with.
+// Config configures a Manager.
 type Config struct {
-	Peers        Peers
-	Directory    Directory
-	Router       Router
-	Engines      Engines
-	Guard        func() bundle.Guard
-	Leaning      func() bundle.Leaning
-	Observe      Observer
-	OrphanGrace  time.Duration // how long a generation without key runs unfollowed
-	ReplaceAfter time.Duration // silence after which a replica is replaced
-	Retain       time.Duration // how long records nobody touches are kept
-	Patience     time.Duration // how long a majority is waited for
-	Resumers     []Prioritized
-	Broken       BrokenRule // a safety rule that is broken on purpose
-
-	// Quarantine knows which requests end the engines that run them.
+	Peers           Peers
+	Directory       Directory
+	Router          Router
+	Engines         Engines
+	Guard           func() bundle.Guard
+	Leaning         func() bundle.Leaning
+	Observe         Observer
+	OrphanGrace     time.Duration // how long a generation without a key runs without followers
+	ReplaceAfter    time.Duration // how long a replica may fail before it is replaced
+	Retain          time.Duration // retention of unused records
+	MajorityTimeout time.Duration // how long to wait for a majority
+	Resumers        []Prioritized
+	Broken          BrokenRule // safety rule to violate, in tests
+
+	// Quarantine detects requests that crash the engines that run them.
 	Quarantine *quarantine.Witness
 }
 
-// Observer takes counts of what happens to generations.
+// Observer receives events for metrics.
 type Observer interface {
-	// Resumed notes how a broken generation was taken up again, how long the
-	// search for a stream took, and how many tokens are computed again.
+	// Resumed reports the resumer that continued an interrupted generation, how long
+	// it took to open a stream, and how many tokens are recomputed.
 	Resumed(id walnutramp.GenerationID, how string, took time.Duration, recomputed int)
-	// ResumeGap notes how long a generation's output stood still in a resume.
+	// ResumeGap reports how long a generation's output was interrupted.
 	ResumeGap(account walnutramp.ClientAccount, model walnutramp.ModelName, gap time.Duration)
-	// TookOver notes a takeover from another node.
+	// TookOver reports the result of a takeover from another node.
 	TookOver(err error)
 }
 
 // Option sets a field of Config.
 type Option func(*Config)
 
-// WithPeers gives the calls to other nodes and who they are.
+// WithPeers sets the client for calls to other nodes and the membership.
 func WithPeers(p Peers, d Directory) Option {
 	return func(c *Config) { c.Peers, c.Directory = p, d }
 }
 
-// WithTargets gives the router and the engines' adapters.
+// WithTargets sets the router and the engine adapters.
 func WithTargets(r Router, e Engines) Option {
 	return func(c *Config) { c.Router, c.Engines = r, e }
 }
 
-// WithLeanings gives the bundle's words on guarding and resuming.
+// WithLeanings sets the sources of the bundle's replication settings and of its
+// preference between latency and cost.
 func WithLeanings(guard func() bundle.Guard, leaning func() bundle.Leaning) Option {
 	return func(c *Config) { c.Guard, c.Leaning = guard, leaning }
 }
 
-// WithObserver gives who is told of resumes and takeovers.
+// WithObserver sets the receiver of resume and takeover events.
 func WithObserver(o Observer) Option { return func(c *Config) { c.Observe = o } }
 
-// WithQuarantine sets what knows which requests end the engines that run them.
+// WithQuarantine sets the detector of requests that crash engines.
 func WithQuarantine(w *quarantine.Witness) Option { return func(c *Config) { c.Quarantine = w } }
 
-// WithResumer adds a way to resume; among equal forecasts the lower priority
-// number goes first.
+// WithResumer adds a resumer. Among equal forecasts the lower priority number wins.
 func WithResumer(r Resumer, priority int) Option {
 	return func(c *Config) { c.Resumers = append(c.Resumers, Prioritized{r, priority}) }
 }
 
-// WithoutResumers leaves broken generations broken, as a baseline.
+// WithoutResumers disables resuming, as a baseline for experiments.
 func WithoutResumers() Option { return func(c *Config) { c.Resumers = nil } }
 
-// BrokenRule names a safety rule that a Manager breaks, so that tests can show
-// that their checks catch it.
+// BrokenRule selects a safety rule that a Manager violates, so that tests can show that
+// their checks detect it.
 type BrokenRule int
 
-// The rules that can be broken.
+// The rules that can be violated.
 const (
 	BreakNothing BrokenRule = iota
-	BreakRelease            // tokens are released before the majority holds them
-	BreakAmnesia            // a replica that has forgotten counts as one that promises
+	BreakRelease            // tokens are released before a majority holds them
+	BreakAmnesia            // a replica that lost its state counts as having promised
 )
 
-// WithBrokenRule breaks a safety rule on purpose; it is for tests only.
+// WithBrokenRule violates a safety rule; for tests only.
 func WithBrokenRule(r BrokenRule) Option { return func(c *Config) { c.Broken = r } }
 
-// WithOrphanGrace sets how long a generation without key runs unfollowed.
+// WithOrphanGrace sets how long a generation without a key runs without followers.
 func WithOrphanGrace(d time.Duration) Option { return func(c *Config) { c.OrphanGrace = d } }
 
 func defaultConfig() Config {
 	return Config{
-		Guard:        func() bundle.Guard { return bundle.Guard{Replicas: 1} },
-		Leaning:      func() bundle.Leaning { return bundle.LeanLatency },
-		Observe:      ignore{},
-		OrphanGrace:  15 * time.Second,
-		ReplaceAfter: time.Second,
-		Retain:       2 * time.Minute,
-		Patience:     10 * time.Second,
-		Quarantine:   quarantine.NewWitness(quarantine.New(), nil),
+		Guard:           func() bundle.Guard { return bundle.Guard{Replicas: 1} },
+		Leaning:         func() bundle.Leaning { return bundle.LeanLatency },
+		Observe:         noopObserver{},
+		OrphanGrace:     15 * time.Second,
+		ReplaceAfter:    time.Second,
+		Retain:          2 * time.Minute,
+		MajorityTimeout: 10 * time.Second,
+		Quarantine:      quarantine.NewWitness(quarantine.New(), nil),
 		Resumers: []Prioritized{
 			{Reattach{}, 100},
 			{ImportKV{}, 200},
@@ -150,13 +150,13 @@
 	}
 }
 
-type ignore struct{}
+type noopObserver struct{}
 
-func (ignore) Resumed(walnutramp.GenerationID, string, time.Duration, int)             {}
-func (ignore) ResumeGap(walnutramp.ClientAccount, walnutramp.ModelName, time.Duration) {}
-func (ignore) TookOver(error)                                                          {}
+func (noopObserver) Resumed(walnutramp.GenerationID, string, time.Duration, int)             {}
+func (noopObserver) ResumeGap(walnutramp.ClientAccount, walnutramp.ModelName, time.Duration) {}
+func (noopObserver) TookOver(error)                                                          {}
 
-// poolSize bounds side jobs: cancels, exports, searches.
+// poolSize bounds concurrent background jobs, such as cancels.
 const poolSize = 64
 
 // Manager owns generations on one node and holds replicas for others.
@@ -170,16 +170,16 @@
 	stopPool context.CancelFunc
 	tasks    sync.WaitGroup
 
-	handles atomic.Uint64
-	kick    chan struct{} // the directory has changed
+	handles        atomic.Uint64
+	membersChanged chan struct{} // signals that the directory has changed
 
-	mu        sync.Mutex
-	closed    bool
-	links     map[walnutramp.NodeName]*link
-	takeovers map[walnutramp.GenerationID]*takeover
+	mu          sync.Mutex
+	closed      bool
+	replicators map[walnutramp.NodeName]*replicator
+	takeovers   map[walnutramp.GenerationID]*takeover
 }
 
-// NewManager returns a Manager whose tasks run until Close.
+// NewManager returns a Manager that runs until Close.
 func NewManager(opts ...Option) *Manager {
 	cfg := defaultConfig()
 	for _, opt := range opts {
@@ -187,26 +187,26 @@
 	}
 	slices.SortStableFunc(cfg.Resumers, func(a, b Prioritized) int { return a.Priority - b.Priority })
 	m := &Manager{
-		cfg:       cfg,
-		store:     NewStore(cfg.Directory.Self().Member, cfg.Retain),
-		kick:      make(chan struct{}, 1),
-		links:     map[walnutramp.NodeName]*link{},
-		takeovers: map[walnutramp.GenerationID]*takeover{},
+		cfg:            cfg,
+		store:          NewStore(cfg.Directory.Self().Member, cfg.Retain),
+		membersChanged: make(chan struct{}, 1),
+		replicators:    map[walnutramp.NodeName]*replicator{},
+		takeovers:      map[walnutramp.GenerationID]*takeover{},
 	}
 	m.ctx, m.cancel = context.WithCancel(context.Background())
-	// The pool ends with its context: its own Stop runs on a pool that all
+	// The pool is stopped through its context: pond's Stop runs on a pool that all
 	// pools of the process share.
 	poolCtx, stopPool := context.WithCancel(context.Background())
 	m.pool = pond.NewPool(poolSize, pond.WithContext(poolCtx))
 	m.stopPool = stopPool
-	m.spawn(m.sweep)
+	m.spawn(m.maintain)
 	return m
 }
 
-// Store returns the replicas this node holds, to be served to peers.
+// Store returns the replicas that this node holds.
 func (m *Manager) Store() *Store { return m.store }
 
-// Close ends all work at once.
+// Close cancels all work and waits for it to end.
 func (m *Manager) Close() {
 	m.mu.Lock()
 	m.closed = true
@@ -216,8 +216,8 @@
 	m.stopPool()
 }
 
-// aside runs a side job on the pool; Close waits for it.
-func (m *Manager) aside(job func()) {
+// background runs a job on the pool; Close waits for it.
+func (m *Manager) background(job func()) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.closed {
@@ -230,7 +230,7 @@
 	})
 }
 
-// spawn runs a task that Close waits for.
+// spawn starts a task that Close waits for; false if the manager is closed.
 func (m *Manager) spawn(task func()) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -245,50 +245,50 @@
 	return true
 }
 
-// Times of upkeep.
+// Maintenance intervals.
 const (
-	upkeepInterval = 1 * time.Second
-	sweepEvery     = 5 // upkeeps
+	maintenanceInterval = 1 * time.Second
+	maintenancePerSweep = 5 // maintenance runs
 )
 
-// sweep drops old records and looks after the replica sets of what this node
-// owns.
-func (m *Manager) sweep() {
-	upkeep := time.NewTicker(upkeepInterval)
-	defer upkeep.Stop()
+// maintain periodically checks the replica sets of owned generations and drops expired
+// records.
+func (m *Manager) maintain() {
+	ticker := time.NewTicker(maintenanceInterval)
+	defer ticker.Stop()
 	for n := 1; ; n++ {
 		select {
-		case <-upkeep.C:
-		case <-m.kick:
+		case <-ticker.C:
+		case <-m.membersChanged:
 		case <-m.ctx.Done():
 			return
 		}
 		for _, g := range m.store.owned() {
-			g.checkSet(time.Now())
+			g.checkReplicaSet(time.Now())
 		}
-		if n%sweepEvery == 0 {
+		if n%maintenancePerSweep == 0 {
 			m.store.Sweep(time.Now())
 		}
 	}
 }
 
-// MembersChanged says that the directory has changed.
+// MembersChanged triggers a check of the replica sets.
 func (m *Manager) MembersChanged() {
 	select {
-	case m.kick <- struct{}{}:
+	case m.membersChanged <- struct{}{}:
 	default:
 	}
 }
 
-func (m *Manager) link(node walnutramp.NodeName) *link {
+func (m *Manager) replicator(node walnutramp.NodeName) *replicator {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	l := m.links[node]
+	l := m.replicators[node]
 	if l != nil {
 		return l
 	}
-	l = newLink(m, node)
-	m.links[node] = l
+	l = newReplicator(m, node)
+	m.replicators[node] = l
 	if !m.closed {
 		m.tasks.Add(1)
 		go func() {
@@ -299,16 +299,17 @@
 	return l
 }
 
-// Open starts a generation and gives it its identity. The error is a *walnutramp.Error; then nothing ran.
+// Open starts a generation and assigns its ID. The error is a *walnutramp.Error and
+// means that nothing ran.
 func (m *Manager) Open(ctx context.Context, spec Spec) (*Generation, error) {
-	spec.ID = walnutramp.NewGenerationID(Place(m.store.self.Node))
-	grant, err := m.cfg.Router.Pick(ctx, request(&spec, spec.PromptSize()))
+	spec.ID = walnutramp.NewGenerationID(RingPosition(m.store.self.Node))
+	grant, err := m.cfg.Router.Pick(ctx, routeRequest(&spec, spec.PromptSize()))
 	if err != nil {
 		return nil, err
 	}
-	g := m.own(spec, Epoch{Number: 1, Node: m.store.self.Node}, m.chooseMembers(spec.ID, nil, nil))
+	g := m.createOwned(spec, Epoch{Number: 1, Node: m.store.self.Node}, m.chooseMembers(spec.ID, nil, nil))
 	g.rec.mu.Lock()
-	g.markAll()
+	g.replicateAll()
 	g.rec.mu.Unlock()
 	if !g.launch(grant) {
 		grant.Done(route.Unused)
@@ -319,8 +320,8 @@
 
 func (m *Manager) newHandle() Handle { return Handle(m.handles.Add(1)) }
 
-// own makes this node the owner in its own record.
-func (m *Manager) own(spec Spec, epoch Epoch, members []Member) *Generation {
+// createOwned creates a generation and its local record with this node as the owner.
+func (m *Manager) createOwned(spec Spec, epoch Epoch, members []Member) *Generation {
 	rec := m.store.getOrAdd(spec)
 	g := &Generation{m: m, rec: rec, id: spec.ID, epoch: epoch, handle: m.newHandle(), changed: make(chan struct{})}
 	rec.mu.Lock()
@@ -328,13 +329,13 @@
 	rec.promised = epoch
 	rec.state = State{Spec: spec, Epoch: epoch, Members: members}
 	rec.owner = g
-	rec.touched = time.Now()
+	rec.lastUsed = time.Now()
 	g.cursors = m.cursors(members)
 	return g
 }
 
-// cursors returns a cursor for each other node among the members. Where two
-// runs of a node are named, the first counts: the other is gone for good.
+// cursors returns a cursor for each other node among the members. If two incarnations
+// of a node are listed, the first counts: the other no longer exists.
 func (m *Manager) cursors(members []Member) map[walnutramp.NodeName]*cursor {
 	cs := make(map[walnutramp.NodeName]*cursor, len(members))
 	for _, mem := range members {
@@ -345,7 +346,7 @@
 	return cs
 }
 
-func request(spec *Spec, promptTokens int) route.Request {
+func routeRequest(spec *Spec, promptTokens int) route.Request {
 	return route.Request{
 		Account:      spec.Account,
 		Priority:     spec.Priority,
@@ -356,10 +357,10 @@
 	}
 }
 
-// bytesPerToken turns prompt text into a rough count of tokens.
+// bytesPerToken approximates the number of tokens in prompt text.
 const bytesPerToken = 4
 
-// PromptSize is roughly how many tokens the prompt has.
+// PromptSize returns the approximate number of prompt tokens.
 func (s *Spec) PromptSize() int {
 	if s.Prompt.Tokens != nil {
 		return len(s.Prompt.Tokens)
--- a/generation/owner.go
+++ b/generation/owner.go
@@ -10,56 +10,56 @@
 	"github.com/walnutramp/walnutramp/quarantine"
 )
 
-// Generation is a generation this node owns. Its replicated state lives in
-// the node's own record, whose mutex guards every field here as well.
+// Generation is a generation that this node owns. Its replicated state is in the node's
+// record, whose mutex also guards the fields here.
 type Generation struct {
 	m   *Manager
 	rec *record
 	id  walnutramp.GenerationID
 
-	epoch    Epoch
-	handle   Handle // of the epoch, between this run and its replicas
-	cursors  map[walnutramp.NodeName]*cursor
-	previous []Member // set whose majority must still accept the epoch; nil once in force
-	changing bool     // a change of the replica set is under way
+	epoch           Epoch
+	handle          Handle // identifies the epoch to this node's replicas
+	cursors         map[walnutramp.NodeName]*cursor
+	previousMembers []Member // former set, whose majority must still accept the epoch; nil once accepted
+	reconfiguring   bool     // a change of the replica set is in progress
 
 	released      walnutramp.Offset
 	finalReleased bool
-	err           *walnutramp.Error // why nothing more is released here
-	sent          bool              // something went to an engine
-	look          *quarantine.Look  // whether the engine that broke off last has ended; the feeding task's
-	changed       chan struct{}     // closed at every change a follower may wait for
-
-	followers int
-	orphan    *time.Timer
-	running   bool
-	stop      context.CancelFunc
+	err           *walnutramp.Error // why this node releases no more
+	dispatched    bool              // an engine may have started the request
+	crashProbe    *quarantine.Look  // checks whether the engine whose connection broke last has crashed; used by feed only
+	changed       chan struct{}     // closed and replaced at every change that followers wait for
+
+	followers   int
+	orphanTimer *time.Timer
+	running     bool
+	stop        context.CancelFunc
 }
 
-// cursor is how far one replica has followed.
+// cursor is the replication progress of one replica.
 type cursor struct {
-	member  Member
-	opened  bool
-	held    walnutramp.Offset
-	prompt  bool
-	source  int
-	final   bool
-	failing time.Time // since when it doesn't answer; zero while it does
-	lost    bool      // it restarted and will never count again
+	member       Member
+	opened       bool
+	held         walnutramp.Offset
+	prompt       bool
+	source       int
+	final        bool
+	failingSince time.Time // zero while the replica answers
+	restarted    bool      // the incarnation is gone and never counts again
 }
 
 // Batch is output that is released together.
 type Batch struct {
-	To     walnutramp.Offset // offset after the text
+	To     walnutramp.Offset // offset after Text
 	Text   string
 	Tokens int
-	Final  *Final // set with the end of the generation
+	Final  *Final // set at the end of the generation
 }
 
 // ID returns the generation's identity.
 func (g *Generation) ID() walnutramp.GenerationID { return g.id }
 
-// BodyDigest returns the digest of the request that opened the generation.
+// BodyDigest returns the digest of the opening request's body.
 func (g *Generation) BodyDigest() string {
 	g.rec.mu.Lock()
 	defer g.rec.mu.Unlock()
@@ -73,29 +73,29 @@
 	return g.rec.state.Spec.Chat
 }
 
-// Model returns the model that generates.
+// Model returns the model of the generation.
 func (g *Generation) Model() walnutramp.ModelName {
 	g.rec.mu.Lock()
 	defer g.rec.mu.Unlock()
 	return g.rec.state.Spec.Model
 }
 
-// Account returns the client account that asked.
+// Account returns the client account of the generation.
 func (g *Generation) Account() walnutramp.ClientAccount {
 	g.rec.mu.Lock()
 	defer g.rec.mu.Unlock()
 	return g.rec.state.Spec.Account
 }
 
-// Follow counts a follower in; the returned function counts it out. A
-// generation without a key that nobody follows for a while is stopped.
+// Follow registers a follower; the returned function removes it. A generation without a
+// key is stopped after OrphanGrace without followers.
 func (g *Generation) Follow() (leave func()) {
 	g.rec.mu.Lock()
 	defer g.rec.mu.Unlock()
 	g.followers++
-	if g.orphan != nil {
-		g.orphan.Stop()
-		g.orphan = nil
+	if g.orphanTimer != nil {
+		g.orphanTimer.Stop()
+		g.orphanTimer = nil
 	}
 	return g.unfollow
 }
@@ -104,27 +104,27 @@
 	g.rec.mu.Lock()
 	defer g.rec.mu.Unlock()
 	g.followers--
-	g.rec.touched = time.Now()
+	g.rec.lastUsed = time.Now()
 	if g.followers > 0 || g.rec.state.Spec.Key != "" || !g.running {
 		return
 	}
-	g.orphan = time.AfterFunc(g.m.cfg.OrphanGrace, g.abandon)
+	g.orphanTimer = time.AfterFunc(g.m.cfg.OrphanGrace, g.abandon)
 }
 
-// abandon stops work that nobody follows; it can be taken up again.
+// abandon stops a generation without followers; it can be resumed later.
 func (g *Generation) abandon() {
 	g.rec.mu.Lock()
 	defer g.rec.mu.Unlock()
 	if g.followers > 0 || !g.running {
 		return
 	}
-	g.end(walnutramp.NewError(walnutramp.CodeOutOfTargets, walnutramp.Unknown, "nobody followed the generation"))
+	g.terminate(walnutramp.NewError(walnutramp.CodeOutOfTargets, walnutramp.Unknown, "the generation was stopped: no client followed it"))
 }
 
-// Next returns what is released beyond from, waiting for it if need be.
+// Next returns the output released after from, and waits until there is some.
 func (g *Generation) Next(ctx context.Context, from walnutramp.Offset) (Batch, error) {
 	for {
-		b, changed, err := g.read(from)
+		b, changed, err := g.readReleased(from)
 		if err != nil || b.Tokens > 0 || b.Final != nil {
 			return b, err
 		}
@@ -136,11 +136,11 @@
 	}
 }
 
-func (g *Generation) read(from walnutramp.Offset) (Batch, <-chan struct{}, error) {
+func (g *Generation) readReleased(from walnutramp.Offset) (Batch, <-chan struct{}, error) {
 	g.rec.mu.Lock()
 	defer g.rec.mu.Unlock()
 	st := &g.rec.state
-	if from > g.released && g.previous == nil && from > walnutramp.Offset(len(st.Tokens)) {
+	if from > g.released && g.previousMembers == nil && from > walnutramp.Offset(len(st.Tokens)) {
 		return Batch{}, nil, walnutramp.NewError(walnutramp.CodeBadPosition, walnutramp.Unknown,
 			"offset %d is beyond what was released", from)
 	}
@@ -171,15 +171,14 @@
 	return b.String()
 }
 
-// notify wakes followers; the caller holds the record's mutex, as for every
-// method below that says so.
+// notify wakes followers. The caller holds the record's mutex.
 func (g *Generation) notify() {
 	close(g.changed)
 	g.changed = make(chan struct{})
 }
 
-// end stops the work here for a reason. The caller holds the mutex.
-func (g *Generation) end(err *walnutramp.Error) {
+// terminate stops the work on this node with an error. The caller holds the mutex.
+func (g *Generation) terminate(err *walnutramp.Error) {
 	if g.err != nil || g.finalReleased {
 		return
 	}
@@ -190,18 +189,19 @@
 	g.notify()
 }
 
-// deposed notes that a newer epoch exists. The caller holds the mutex.
-func (g *Generation) deposed() {
+// depose ends this node's ownership after a newer epoch was seen. The caller holds the
+// mutex.
+func (g *Generation) depose() {
 	g.rec.owner = nil
-	g.end(walnutramp.NewError(walnutramp.CodeMoved, walnutramp.Unknown, "another node owns the generation now"))
+	g.terminate(walnutramp.NewError(walnutramp.CodeMoved, walnutramp.Unknown, "another node owns the generation now"))
 }
 
-// busy reports whether the generation is worked on or read. The caller holds
-// the mutex.
-func (g *Generation) busy() bool { return g.running || g.followers > 0 }
+// active reports whether the generation runs or has followers. The caller holds the
+// mutex.
+func (g *Generation) active() bool { return g.running || g.followers > 0 }
 
-// extend appends tokens and starts their replication.
-func (g *Generation) extend(tokens []walnutramp.Token, final *Final) {
+// appendTokens appends to the log and starts replication.
+func (g *Generation) appendTokens(tokens []walnutramp.Token, final *Final) {
 	g.rec.mu.Lock()
 	defer g.rec.mu.Unlock()
 	if g.err != nil {
@@ -212,18 +212,18 @@
 	if final != nil {
 		st.Final = final
 	}
-	g.rec.touched = time.Now()
+	g.rec.lastUsed = time.Now()
 	g.release()
-	g.markAll()
+	g.replicateAll()
 }
 
-func (g *Generation) setPrompt(ids []walnutramp.TokenID) {
+func (g *Generation) setPromptTokens(ids []walnutramp.TokenID) {
 	g.rec.mu.Lock()
 	defer g.rec.mu.Unlock()
 	st := &g.rec.state
 	if st.PromptTokens == nil && g.err == nil {
 		st.PromptTokens = ids
-		g.markAll()
+		g.replicateAll()
 	}
 }
 
@@ -232,23 +232,22 @@
 	defer g.rec.mu.Unlock()
 	if g.err == nil {
 		g.rec.state.Source = src
-		g.markAll()
+		g.replicateAll()
 	}
 }
 
-// markAll tells every replica's link that there is something to send. The
-// caller holds the mutex.
-func (g *Generation) markAll() {
+// replicateAll queues the generation for every replica. The caller holds the mutex.
+func (g *Generation) replicateAll() {
 	for node, c := range g.cursors {
-		if !c.lost {
-			g.m.link(node).mark(g)
+		if !c.restarted {
+			g.m.replicator(node).enqueue(g)
 		}
 	}
 }
 
-// release lets out what a majority holds. The caller holds the mutex.
+// release releases to followers what a majority holds. The caller holds the mutex.
 func (g *Generation) release() {
-	if !g.inForce() {
+	if !g.epochAccepted() {
 		return
 	}
 	st := &g.rec.state
@@ -265,21 +264,21 @@
 	g.notify()
 }
 
-// inForce reports whether the epoch was accepted by the replica set and by
-// the one before it. The caller holds the mutex.
-func (g *Generation) inForce() bool {
-	if g.previous == nil {
+// epochAccepted reports whether majorities of the replica set and of the previous one
+// have accepted the epoch. The caller holds the mutex.
+func (g *Generation) epochAccepted() bool {
+	if g.previousMembers == nil {
 		return true
 	}
-	if g.countOpened(g.previous) < majority(len(g.previous)) {
+	if g.countOpened(g.previousMembers) < majority(len(g.previousMembers)) {
 		return false
 	}
 	members := g.rec.state.Members
 	if g.countOpened(members) < majority(len(members)) {
 		return false
 	}
-	g.previous = nil
-	g.dropFormer()
+	g.previousMembers = nil
+	g.dropFormerReplicas()
 	g.notify()
 	return true
 }
@@ -291,15 +290,15 @@
 			n++
 			continue
 		}
-		if c := g.cursors[m.Node]; c != nil && c.member == m && c.opened && !c.lost {
+		if c := g.cursors[m.Node]; c != nil && c.member == m && c.opened && !c.restarted {
 			n++
 		}
 	}
 	return n
 }
 
-// dropFormer forgets replicas that are no longer in the set.
-func (g *Generation) dropFormer() {
+// dropFormerReplicas removes the cursors of nodes that left the replica set.
+func (g *Generation) dropFormerReplicas() {
 	for node, c := range g.cursors {
 		if !slices.Contains(g.rec.state.Members, c.member) {
 			delete(g.cursors, node)
@@ -322,7 +321,7 @@
 		return walnutramp.Offset(len(g.rec.state.Tokens))
 	}
 	c := g.cursors[m.Node]
-	if c == nil || c.member != m || !c.opened || c.lost {
+	if c == nil || c.member != m || !c.opened || c.restarted {
 		return 0
 	}
 	return c.held
@@ -332,59 +331,59 @@
 	n := 0
 	for _, m := range members {
 		c := g.cursors[m.Node]
-		if m == g.m.store.self || c != nil && c.member == m && c.final && !c.lost {
+		if m == g.m.store.self || c != nil && c.member == m && c.final && !c.restarted {
 			n++
 		}
 	}
 	return n >= majority(len(members))
 }
 
-// appendFor returns what a replica still needs, if anything, and which run of
-// the replica is meant.
+// appendFor returns what a replica is missing, if anything, and the incarnation that it
+// is for.
 func (g *Generation) appendFor(node walnutramp.NodeName) (Append, Member, bool) {
 	g.rec.mu.Lock()
 	defer g.rec.mu.Unlock()
 	c := g.cursors[node]
-	if c == nil || c.lost || g.rec.owner != g {
+	if c == nil || c.restarted || g.rec.owner != g {
 		return Append{}, Member{}, false
 	}
 	st := &g.rec.state
 	a := Append{Handle: g.handle, From: c.held}
-	some := false
+	needed := false
 	if !c.opened {
 		a.Open = &Opening{Spec: st.Spec, Epoch: g.epoch, Members: slices.Clone(st.Members)}
 		a.From = 0
-		some = true
+		needed = true
 	}
 	if int(a.From) < len(st.Tokens) {
 		a.Tokens = slices.Clone(st.Tokens[a.From:])
-		some = true
+		needed = true
 	}
 	if !c.prompt && st.PromptTokens != nil {
 		a.PromptTokens = st.PromptTokens
-		some = true
+		needed = true
 	}
 	if c.source < st.Source.Seq {
 		src := st.Source
 		a.Source = &src
-		some = true
+		needed = true
 	}
 	if !c.final && st.Final != nil {
 		a.Final = st.Final
-		some = true
+		needed = true
 	}
-	return a, c.member, some
+	return a, c.member, needed
 }
 
-// acked takes a replica's answer to an append with the given handle.
-func (g *Generation) acked(node walnutramp.NodeName, handle Handle, ack Ack) {
+// handleAck processes a replica's answer to an append.
+func (g *Generation) handleAck(node walnutramp.NodeName, handle Handle, ack Ack) {
 	g.rec.mu.Lock()
 	defer g.rec.mu.Unlock()
 	c := g.cursors[node]
 	if c == nil || handle != g.handle || g.rec.owner != g {
 		return
 	}
-	c.failing = time.Time{}
+	c.failingSince = time.Time{}
 	switch ack.Code {
 	case walnutramp.CodeOK:
 		c.opened = true
@@ -394,25 +393,24 @@
 		c.final = ack.Final
 		g.release()
 	case walnutramp.CodeStaleEpoch:
-		if !g.changing {
-			g.deposed()
+		if !g.reconfiguring {
+			g.depose()
 		}
 	case walnutramp.CodeNotHeld:
-		// The run of the node is the same but it dropped the record: what it
-		// held no longer counts.
+		// The node did not restart but dropped the record: replicate from the start.
 		*c = cursor{member: c.member}
-		g.m.link(node).mark(g)
+		g.m.replicator(node).enqueue(g)
 	case walnutramp.CodeWrongIncarnation:
-		c.lost = true
-		g.wantReplacement()
+		c.restarted = true
+		g.startReconfiguration()
 	}
 }
 
-// held takes a replica's answer to a plain append: what it holds, or a code
-// below 0. What it knew beside tokens has not changed.
-func (g *Generation) held(node walnutramp.NodeName, handle Handle, held int64) {
+// handleTokenAck processes a replica's answer to a token-only append: the offset held,
+// or a negated result code.
+func (g *Generation) handleTokenAck(node walnutramp.NodeName, handle Handle, held int64) {
 	if held < 0 {
-		g.acked(node, handle, Ack{Code: walnutramp.Code(-held)})
+		g.handleAck(node, handle, Ack{Code: walnutramp.Code(-held)})
 		return
 	}
 	g.rec.mu.Lock()
@@ -421,23 +419,23 @@
 	if c == nil || handle != g.handle || g.rec.owner != g {
 		return
 	}
-	c.failing = time.Time{}
+	c.failingSince = time.Time{}
 	c.held = walnutramp.Offset(held)
 	g.release()
 }
 
-// unreachable notes that a replica did not answer.
-func (g *Generation) unreachable(node walnutramp.NodeName, now time.Time) {
+// handleUnreachable records that a replica did not answer.
+func (g *Generation) handleUnreachable(node walnutramp.NodeName, now time.Time) {
 	g.rec.mu.Lock()
 	defer g.rec.mu.Unlock()
 	c := g.cursors[node]
 	if c == nil || g.rec.owner != g {
 		return
 	}
-	if c.failing.IsZero() {
-		c.failing = now
+	if c.failingSince.IsZero() {
+		c.failingSince = now
 	}
-	if now.Sub(c.failing) >= g.m.cfg.ReplaceAfter {
-		g.wantReplacement()
+	if now.Sub(c.failingSince) >= g.m.cfg.ReplaceAfter {
+		g.startReconfiguration()
 	}
 }
--- a/generation/place.go
+++ b/generation/place.go
@@ -8,9 +8,8 @@
 	"github.com/walnutramp/walnutramp"
 )
 
-// chooseMembers makes a replica set: this node first, then those of keep that
-// live, then others by rank for the identity, preferring data halls not yet
-// used. Members in avoid are left out.
+// chooseMembers returns a replica set: this node, then the live members of keep, then
+// others by Rank, preferring unused data halls. Members of avoid are excluded.
 func (m *Manager) chooseMembers(id walnutramp.GenerationID, keep, avoid []Member) []Member {
 	size := m.cfg.Guard().Replicas
 	self := m.cfg.Directory.Self()
@@ -35,18 +34,17 @@
 	return set
 }
 
-// Rank orders nodes by their distance on a hash ring behind the place where
-// the identity begins: the place of the node that opened the generation. All
-// generations of a node so share their replicas, and messages to them; and
-// each node is a replica for about as many others as they are for it.
+// Rank orders nodes by their distance on a hash ring from the position that prefixes the
+// ID, that of the node that opened the generation. A node's generations thus share their
+// replicas and the calls to them, and replicas are spread evenly over the nodes.
 func Rank(id walnutramp.GenerationID, nodes []Node) []Node {
-	origin := id.Place()
+	origin := id.RingPosition()
 	ranked := slices.Clone(nodes)
 	slices.SortFunc(ranked, func(a, b Node) int {
-		return cmp.Compare(Place(a.Node)-origin-1, Place(b.Node)-origin-1)
+		return cmp.Compare(RingPosition(a.Node)-origin-1, RingPosition(b.Node)-origin-1)
 	})
 	return ranked
 }
 
-// Place is where a node stands on the ring.
-func Place(n walnutramp.NodeName) uint32 { return uint32(xxhash.Sum64String(string(n))) }
+// RingPosition returns a node's position on the hash ring.
+func RingPosition(n walnutramp.NodeName) uint32 { return uint32(xxhash.Sum64String(string(n))) }
--- a/generation/prepare.go
+++ b/generation/prepare.go
@@ -8,19 +8,18 @@
 	"github.com/walnutramp/walnutramp/internal/pause"
 )
 
-// promise is a majority's promise of an epoch.
+// promise is an epoch promised by a majority.
 type promise struct {
 	epoch   Epoch
 	members []Member // the replica set that promised
-	best    Member   // the one that is furthest
+	best    Member   // the most up-to-date one
 }
 
-// prepare makes a majority of the newest replica set promise an epoch to this
-// node.
+// prepare obtains a promise of a new epoch from a majority of the newest replica set.
 func (m *Manager) prepare(ctx context.Context, id walnutramp.GenerationID, newest Epoch, members []Member) (promise, error) {
 	epoch := Epoch{Number: newest.Number + 1, Node: m.store.self.Node}
 	for range prepareRounds {
-		round := m.promises(ctx, id, epoch, members)
+		round := m.collectPromises(ctx, id, epoch, members)
 		if newest.Less(round.best.Epoch) {
 			newest, members = round.best.Epoch, round.best.Members
 			epoch.Number = max(epoch.Number, newest.Number+1)
@@ -30,20 +29,20 @@
 			return promise{epoch: epoch, members: members, best: round.bestMember}, nil
 		}
 		epoch.Number = max(epoch.Number, round.refusedBy.Number) + 1
-		if !pause.For(ctx, roundPause) {
+		if !pause.For(ctx, roundDelay) {
 			break
 		}
 	}
 	return promise{}, walnutramp.NewError(walnutramp.CodeNotProvable, walnutramp.Unknown,
-		"too few of the %d replicas answer", len(members)).WithRetryAfter(time.Second)
+		"no majority of the %d replicas answered", len(members)).WithRetryAfter(time.Second)
 }
 
-// promiseRound is what one round of prepare calls brought.
+// promiseRound is the result of one round of prepare calls.
 type promiseRound struct {
 	granted    int
-	best       PrepareReply // of the newest epoch, and there the furthest
+	best       PrepareReply // the most up-to-date one
 	bestMember Member
-	refusedBy  Epoch // newest epoch named by a refusal
+	refusedBy  Epoch // newest epoch in a rejection
 	broken     BrokenRule
 }
 
@@ -52,15 +51,15 @@
 	reply  PrepareReply
 }
 
-// promises asks every member and returns as soon as a majority has promised.
-func (m *Manager) promises(ctx context.Context, id walnutramp.GenerationID, epoch Epoch, members []Member) promiseRound {
+// collectPromises asks all members and returns once a majority has promised.
+func (m *Manager) collectPromises(ctx context.Context, id walnutramp.GenerationID, epoch Epoch, members []Member) promiseRound {
 	ctx, cancel := context.WithTimeout(ctx, findTimeout)
 	defer cancel()
 	replies := make(chan memberReply, len(members))
 	for _, mem := range members {
 		m.spawn(func() {
 			args := PrepareArgs{ID: id, Epoch: epoch, To: mem.Incarnation}
-			replies <- memberReply{mem, m.askPromise(ctx, mem, args)}
+			replies <- memberReply{mem, m.requestPromise(ctx, mem, args)}
 		})
 	}
 	round := promiseRound{broken: m.cfg.Broken}
@@ -78,7 +77,7 @@
 	return round
 }
 
-func (m *Manager) askPromise(ctx context.Context, mem Member, args PrepareArgs) PrepareReply {
+func (m *Manager) requestPromise(ctx context.Context, mem Member, args PrepareArgs) PrepareReply {
 	var r PrepareReply
 	if mem.Node == m.store.self.Node {
 		m.store.Prepare(args, &r)
@@ -109,7 +108,7 @@
 	}
 }
 
-// newer reports whether a comes after b: a newer epoch, or more of the same.
+// newer reports whether a is more up to date than b: by epoch, then by log.
 func (a PrepareReply) newer(b PrepareReply) bool {
 	if a.Epoch != b.Epoch {
 		return b.Epoch.Less(a.Epoch)
@@ -123,7 +122,7 @@
 	return a.Final && !b.Final || a.Prompt && !b.Prompt
 }
 
-// fetch reads the state of the replica that is furthest.
+// fetch reads the state of the most up-to-date replica.
 func (m *Manager) fetch(ctx context.Context, id walnutramp.GenerationID, p promise) (State, error) {
 	args := FetchArgs{ID: id, Epoch: p.epoch, To: p.best.Incarnation}
 	var r FetchReply
@@ -135,7 +134,7 @@
 	}
 	if err != nil || r.Code != walnutramp.CodeOK {
 		return State{}, walnutramp.NewError(walnutramp.CodeNotProvable, walnutramp.Unknown,
-			"the furthest replica went away").WithRetryAfter(time.Second)
+			"the most up-to-date replica did not answer").WithRetryAfter(time.Second)
 	}
 	return r.State, nil
 }
--- a/generation/replace.go
+++ b/generation/replace.go
@@ -9,42 +9,42 @@
 	"github.com/walnutramp/walnutramp/internal/pause"
 )
 
-// checkSet replaces members that are gone, fills a set that was opened while
-// too few nodes lived, and ends a generation whose majority is lost.
-func (g *Generation) checkSet(now time.Time) {
+// checkReplicaSet starts replacing dead members and completing an undersized set, and
+// terminates a generation that has lost its majority.
+func (g *Generation) checkReplicaSet(now time.Time) {
 	live := g.m.cfg.Directory.Live()
 	g.rec.mu.Lock()
 	defer g.rec.mu.Unlock()
-	if g.rec.owner != g || !g.busy() || g.err != nil {
+	if g.rec.owner != g || !g.active() || g.err != nil {
 		return
 	}
 	if !g.majorityPossible(now) {
-		g.end(walnutramp.NewError(walnutramp.CodeNotProvable, walnutramp.Unknown,
-			"too few of the %d replicas are left", len(g.rec.state.Members)))
+		g.terminate(walnutramp.NewError(walnutramp.CodeNotProvable, walnutramp.Unknown,
+			"the majority of the %d replicas is lost", len(g.rec.state.Members)))
 		return
 	}
-	if len(g.rec.state.Members) < g.m.cfg.Guard().Replicas || len(g.failing()) > 0 || g.someoneGone(live) {
-		g.wantReplacement()
+	if len(g.rec.state.Members) < g.m.cfg.Guard().Replicas || len(g.failingMembers()) > 0 || g.hasDeadMember(live) {
+		g.startReconfiguration()
 	}
 }
 
-// majorityPossible reports whether enough members may still answer. The
-// caller holds the mutex.
+// majorityPossible reports whether enough members may still answer. The caller holds the
+// mutex.
 func (g *Generation) majorityPossible(now time.Time) bool {
-	left := 0
+	usable := 0
 	for _, mem := range g.rec.state.Members {
 		c := g.cursors[mem.Node]
-		gone := c != nil && (c.lost || !c.failing.IsZero() && now.Sub(c.failing) > g.m.cfg.Patience)
-		if !gone {
-			left++
+		failed := c != nil && (c.restarted || !c.failingSince.IsZero() && now.Sub(c.failingSince) > g.m.cfg.MajorityTimeout)
+		if !failed {
+			usable++
 		}
 	}
-	return left >= majority(len(g.rec.state.Members))
+	return usable >= majority(len(g.rec.state.Members))
 }
 
-// someoneGone reports whether a member is not among the live nodes. The
-// caller holds the mutex.
-func (g *Generation) someoneGone(live []Node) bool {
+// hasDeadMember reports whether a member is not among the live nodes. The caller holds
+// the mutex.
+func (g *Generation) hasDeadMember(live []Node) bool {
 	for _, mem := range g.rec.state.Members {
 		alive := slices.ContainsFunc(live, func(n Node) bool { return n.Member == mem })
 		if mem != g.m.store.self && !alive {
@@ -54,35 +54,34 @@
 	return false
 }
 
-// wantReplacement starts a change of the replica set if that gives a better
-// one: as many members as the bundle asks for, none of them failing. The
-// caller holds the mutex.
-func (g *Generation) wantReplacement() {
-	if g.changing || g.previous != nil || !g.busy() || g.rec.owner != g {
+// startReconfiguration starts a change of the replica set if a better one is available:
+// of the configured size and without failing members. The caller holds the mutex.
+func (g *Generation) startReconfiguration() {
+	if g.reconfiguring || g.previousMembers != nil || !g.active() || g.rec.owner != g {
 		return
 	}
-	better := g.m.chooseMembers(g.id, g.rec.state.Members, g.failing())
+	better := g.m.chooseMembers(g.id, g.rec.state.Members, g.failingMembers())
 	if len(better) < max(len(g.rec.state.Members), g.m.cfg.Guard().Replicas) {
 		return
 	}
-	g.changing = true
-	if !g.m.spawn(g.replaceLost) {
-		g.changing = false
+	g.reconfiguring = true
+	if !g.m.spawn(g.reconfigure) {
+		g.reconfiguring = false
 	}
 }
 
-// replaceLost gives the generation a new epoch and a replica set without the
-// nodes that are lost. The old set's majority must first promise the epoch;
-// while it can't, output stands still, and after a while the caller is told.
-func (g *Generation) replaceLost() {
-	ctx, cancel := context.WithTimeout(g.m.ctx, g.m.cfg.Patience)
+// reconfigure moves the generation to a new epoch and a replica set without failing
+// nodes. A majority of the old set must first promise the epoch; output stalls until
+// then, and the generation is terminated after MajorityTimeout.
+func (g *Generation) reconfigure() {
+	ctx, cancel := context.WithTimeout(g.m.ctx, g.m.cfg.MajorityTimeout)
 	defer cancel()
 	err := g.changeMembers(ctx)
 	g.rec.mu.Lock()
 	defer g.rec.mu.Unlock()
-	g.changing = false
+	g.reconfiguring = false
 	if err != nil && g.rec.owner == g && g.m.ctx.Err() == nil {
-		g.end(walnutramp.AsError(err))
+		g.terminate(walnutramp.AsError(err))
 	}
 }
 
@@ -95,41 +94,41 @@
 		if err == nil {
 			return g.reopen(ctx, p.epoch, p.members)
 		}
-		if !pause.For(ctx, roundPause) {
+		if !pause.For(ctx, roundDelay) {
 			return err
 		}
 	}
 }
 
-// reopen starts the promised epoch with this node's own log, which as the
-// sole owner's is the longest, on a replica set of live nodes.
+// reopen starts the promised epoch on a new replica set, with this node's log: it is the
+// longest, since only the owner appends.
 func (g *Generation) reopen(ctx context.Context, epoch Epoch, former []Member) error {
 	g.rec.mu.Lock()
 	if g.rec.owner != g || epoch.Less(g.rec.promised) || g.err != nil {
 		g.rec.mu.Unlock()
 		return nil
 	}
-	members := g.m.chooseMembers(g.id, former, g.failing())
+	members := g.m.chooseMembers(g.id, former, g.failingMembers())
 	g.epoch = epoch
 	g.handle = g.m.newHandle()
-	g.previous = former
+	g.previousMembers = former
 	g.rec.promised = epoch
 	g.rec.state.Epoch = epoch
 	g.rec.state.Members = members
 	g.cursors = g.m.cursors(union(members, former))
-	g.changing = false
-	g.markAll()
+	g.reconfiguring = false
+	g.replicateAll()
 	g.release()
 	g.rec.mu.Unlock()
-	return g.waitInForce(ctx)
+	return g.waitEpochAccepted(ctx)
 }
 
-// failing returns the members that do not answer or will never count again.
-// The caller holds the mutex.
-func (g *Generation) failing() []Member {
+// failingMembers returns the members that do not answer or have restarted. The caller
+// holds the mutex.
+func (g *Generation) failingMembers() []Member {
 	var members []Member
 	for _, c := range g.cursors {
-		if c.lost || !c.failing.IsZero() {
+		if c.restarted || !c.failingSince.IsZero() {
 			members = append(members, c.member)
 		}
 	}
--- a/generation/resume.go
+++ b/generation/resume.go
@@ -13,63 +13,63 @@
 	"github.com/walnutramp/walnutramp/target"
 )
 
-// Broken is a generation whose stream ended early, as resumers see it.
-type Broken struct {
+// Interrupted is a generation whose stream ended early, as resumers see it.
+type Interrupted struct {
 	State   State
-	Stalled bool // the target fell silent; its stream is not to be read again
+	Stalled bool // the target stopped sending; its stream must not be read again
 	Alive   bool // the target may still run the stream
 	g       *Generation
 }
 
-// Forecast is what a way to resume is predicted to take.
+// Forecast is the predicted cost of a resume.
 type Forecast struct {
 	Gap    time.Duration // until the next token
-	Tokens int           // tokens to compute again
+	Tokens int           // number of tokens to recompute
 }
 
-// Resumer is one way to take a broken generation up again.
+// Resumer is a method of resuming an interrupted generation.
 type Resumer interface {
-	// Name names the way in logs and metrics.
+	// Name identifies the method in logs and metrics.
 	Name() string
-	// Forecast predicts the way's gap and cost; false means it can't serve.
-	Forecast(b *Broken) (Forecast, bool)
-	// Resume opens a stream that goes on right behind the log.
-	Resume(ctx context.Context, b *Broken) (*attempt, error)
+	// Forecast predicts gap and cost; false means that the method is not applicable.
+	Forecast(b *Interrupted) (Forecast, bool)
+	// Resume opens a stream that continues at the end of the log.
+	Resume(ctx context.Context, b *Interrupted) (*attempt, error)
 }
 
-// Prioritized is a Resumer and its rank among equals, lower first.
+// Prioritized is a Resumer and its rank among equal forecasts, lower first.
 type Prioritized struct {
 	Resumer
 	Priority int
 }
 
-// What a recomputed token weighs against a millisecond of gap.
+// Cost of a recomputed token, expressed as an equivalent gap.
 const (
 	tokenWeightLatency = 2 * time.Microsecond
 	tokenWeightCost    = 500 * time.Microsecond
 )
 
-const reattachLimit = 300 * time.Millisecond
+const reattachTimeout = 300 * time.Millisecond
 
-// resume takes the broken generation up again by the way with the best
-// forecast, falling back to the next. The error says why none serves.
+// resume continues the interrupted generation with the resumer of the best forecast, and
+// falls back to the next one. The error is that of the last one.
 func (g *Generation) resume(ctx context.Context, why cause) (*attempt, error) {
 	began := time.Now()
-	b := g.broken(why)
-	if g.complete() {
+	b := g.interrupted(why)
+	if g.finished() {
 		return nil, nil
 	}
 	for ctx.Err() == nil {
 		err := walnutramp.NewError(walnutramp.CodeSeamRefused, walnutramp.Unknown,
 			"the stream ended and options %v can't be carried on by another engine", b.State.Spec.Bound)
 		var last error = err
-		for _, w := range g.m.ways(b) {
-			if stop := g.m.cfg.Quarantine.Stop(g.look, g.content()); stop != nil {
+		for _, c := range g.m.resumeCandidates(b) {
+			if stop := g.m.cfg.Quarantine.Stop(g.crashProbe, g.fingerprint()); stop != nil {
 				return nil, stop
 			}
-			a, err := w.resumer.Resume(ctx, b)
+			a, err := c.resumer.Resume(ctx, b)
 			if err == nil {
-				g.m.cfg.Observe.Resumed(g.id, w.resumer.Name(), time.Since(began), w.forecast.Tokens)
+				g.m.cfg.Observe.Resumed(g.id, c.resumer.Name(), time.Since(began), c.forecast.Tokens)
 				return a, nil
 			}
 			last = err
@@ -77,19 +77,19 @@
 		if !retryable(last) {
 			return nil, last
 		}
-		b = g.broken(causeStalled)
-		if !pause.For(ctx, retryPause) {
+		b = g.interrupted(causeStalled)
+		if !pause.For(ctx, resumeRetryDelay) {
 			break
 		}
 	}
 	return nil, ctx.Err()
 }
 
-// retryPause separates rounds in which every target failed but some live.
-const retryPause = 20 * time.Millisecond
+// resumeRetryDelay separates rounds in which every target failed but some live.
+const resumeRetryDelay = 20 * time.Millisecond
 
-// retryable reports whether another round may go better: an attempt failed,
-// as against the router or an engine having said no.
+// retryable reports whether another round may succeed: the failure was not a decision of
+// the router or an engine.
 func retryable(err error) bool {
 	var e *walnutramp.Error
 	if errors.As(err, &e) {
@@ -99,16 +99,16 @@
 	return !errors.As(err, &status) || !status.Final()
 }
 
-func (g *Generation) complete() bool {
+func (g *Generation) finished() bool {
 	g.rec.mu.Lock()
 	defer g.rec.mu.Unlock()
 	return g.rec.state.Final != nil
 }
 
-func (g *Generation) broken(why cause) *Broken {
+func (g *Generation) interrupted(why cause) *Interrupted {
 	g.rec.mu.Lock()
 	defer g.rec.mu.Unlock()
-	return &Broken{
+	return &Interrupted{
 		State:   g.rec.copyState(),
 		Stalled: why == causeStalled,
 		Alive:   why == causeClosed || why == causeTakenOver,
@@ -116,29 +116,29 @@
 	}
 }
 
-type way struct {
+type resumeCandidate struct {
 	resumer  Resumer
 	forecast Forecast
 	score    time.Duration
 }
 
-// ways returns the resumers that can serve, best forecast first.
-func (m *Manager) ways(b *Broken) []way {
+// resumeCandidates returns the applicable resumers, best forecast first.
+func (m *Manager) resumeCandidates(b *Interrupted) []resumeCandidate {
 	weight := tokenWeightLatency
 	if m.cfg.Leaning() == bundle.LeanCost {
 		weight = tokenWeightCost
 	}
-	var ways []way
+	var candidates []resumeCandidate
 	for _, r := range m.cfg.Resumers {
 		if f, ok := r.Forecast(b); ok {
-			ways = append(ways, way{r.Resumer, f, f.Gap + time.Duration(f.Tokens)*weight})
+			candidates = append(candidates, resumeCandidate{r.Resumer, f, f.Gap + time.Duration(f.Tokens)*weight})
 		}
 	}
-	slices.SortStableFunc(ways, func(a, b way) int { return int(a.score - b.score) })
-	return ways
+	slices.SortStableFunc(candidates, func(a, b resumeCandidate) int { return int(a.score - b.score) })
+	return candidates
 }
 
-// Reattach reads the same stream on at the same engine.
+// Reattach continues the same stream at the same engine.
 type Reattach struct{}
 
 // Name implements Resumer.
@@ -148,15 +148,15 @@
 const reattachGap = 5 * time.Millisecond
 
 // Forecast implements Resumer.
-func (Reattach) Forecast(b *Broken) (Forecast, bool) {
+func (Reattach) Forecast(b *Interrupted) (Forecast, bool) {
 	return Forecast{Gap: reattachGap}, b.Alive && b.State.Source.Seq > 0
 }
 
 // Resume implements Resumer.
-func (Reattach) Resume(ctx context.Context, b *Broken) (*attempt, error) {
+func (Reattach) Resume(ctx context.Context, b *Interrupted) (*attempt, error) {
 	g := b.g
 	src := b.State.Source
-	req := request(&b.State.Spec, 0)
+	req := routeRequest(&b.State.Spec, 0)
 	req.Resume = true
 	grant, ok := g.m.cfg.Router.Hold(src.Target, req)
 	if !ok {
@@ -164,23 +164,23 @@
 	}
 	a := &attempt{grant: grant, engine: g.m.cfg.Engines.Engine(grant.Target), source: src}
 	a.next = walnutramp.Offset(len(b.State.Tokens)) - src.Base
-	return g.openStream(ctx, a, reattachLimit, func(ctx context.Context) (target.Stream, error) {
+	return g.openStream(ctx, a, reattachTimeout, func(ctx context.Context) (target.Stream, error) {
 		return a.engine.Attach(ctx, src.StreamID, a.next)
 	})
 }
 
-// Prefill gives the prompt and every token so far to another engine.
+// Prefill restarts at another engine with the prompt and all tokens so far.
 type Prefill struct{}
 
 // Name implements Resumer.
 func (Prefill) Name() string { return "prefill" }
 
 // Forecast implements Resumer.
-func (Prefill) Forecast(b *Broken) (Forecast, bool) {
-	if _, ok := b.sequence(); !ok {
+func (Prefill) Forecast(b *Interrupted) (Forecast, bool) {
+	if _, ok := b.resumePrompt(); !ok {
 		return Forecast{}, false
 	}
-	tokens := b.size()
+	tokens := b.contextTokens()
 	gap, ok := b.g.m.cfg.Router.Forecast(b.request())
 	if !ok {
 		gap = noTargetGap
@@ -188,17 +188,17 @@
 	return Forecast{Gap: gap, Tokens: tokens}, true
 }
 
-// noTargetGap ranks a way last while no target is live; trying it gives the
-// router's own word on that.
+// noTargetGap ranks a resumer last while no target is live; trying it returns the
+// router's error.
 const noTargetGap = time.Hour
 
 // Resume implements Resumer.
-func (Prefill) Resume(ctx context.Context, b *Broken) (*attempt, error) {
-	prompt, _ := b.sequence()
+func (Prefill) Resume(ctx context.Context, b *Interrupted) (*attempt, error) {
+	prompt, _ := b.resumePrompt()
 	return b.restart(ctx, prompt, nil)
 }
 
-func (b *Broken) restart(ctx context.Context, prompt target.Prompt, kv *target.KVHandle) (*attempt, error) {
+func (b *Interrupted) restart(ctx context.Context, prompt target.Prompt, kv *target.KVHandle) (*attempt, error) {
 	grant, err := b.g.m.cfg.Router.Pick(ctx, b.request())
 	if err != nil {
 		return nil, err
@@ -206,8 +206,8 @@
 	return b.g.start(ctx, grant, prompt, kv)
 }
 
-func (b *Broken) request() (req route.Request) {
-	req = request(&b.State.Spec, b.size())
+func (b *Interrupted) request() (req route.Request) {
+	req = routeRequest(&b.State.Spec, b.contextTokens())
 	req.Resume = true
 	if b.State.Source.Seq > 0 {
 		req.Avoid = []walnutramp.TargetName{b.State.Source.Target}
@@ -215,17 +215,17 @@
 	return req
 }
 
-// size is how many tokens stand before the next one.
-func (b *Broken) size() int {
+// contextTokens returns the number of prompt and output tokens so far.
+func (b *Interrupted) contextTokens() int {
 	if b.State.PromptTokens != nil {
 		return len(b.State.PromptTokens) + len(b.State.Tokens)
 	}
 	return b.State.Spec.PromptSize() + len(b.State.Tokens)
 }
 
-// sequence returns the prompt that makes another engine go on exactly behind
-// the log. It exists only as token numbers, except before the first token.
-func (b *Broken) sequence() (target.Prompt, bool) {
+// resumePrompt returns the prompt with which another engine continues exactly at the end
+// of the log. Once there is output, it requires the token IDs of prompt and output.
+func (b *Interrupted) resumePrompt() (target.Prompt, bool) {
 	if len(b.State.Tokens) == 0 {
 		return b.State.Spec.Prompt, true
 	}
@@ -242,40 +242,40 @@
 	return target.Prompt{Tokens: ids}, true
 }
 
-// ImportKV moves a stream with its KV cache to another engine, while the
-// first still answers.
+// ImportKV transfers the KV cache of a stream to another engine, while the first engine
+// still answers.
 type ImportKV struct{}
 
 // Name implements Resumer.
 func (ImportKV) Name() string { return "kv-import" }
 
 // Forecast implements Resumer.
-func (ImportKV) Forecast(b *Broken) (Forecast, bool) {
-	if _, ok := b.sequence(); !ok || !b.Alive || b.State.Source.Seq == 0 {
+func (ImportKV) Forecast(b *Interrupted) (Forecast, bool) {
+	if _, ok := b.resumePrompt(); !ok || !b.Alive || b.State.Source.Seq == 0 {
 		return Forecast{}, false
 	}
-	gap, ok := b.g.m.cfg.Router.Forecast(b.emptyRequest())
+	gap, ok := b.g.m.cfg.Router.Forecast(b.requestWithoutPrefill())
 	return Forecast{Gap: gap + exportGap}, ok
 }
 
 // exportGap is the forecast for one export call.
 const exportGap = 10 * time.Millisecond
 
-func (b *Broken) emptyRequest() route.Request {
+func (b *Interrupted) requestWithoutPrefill() route.Request {
 	req := b.request()
 	req.PromptTokens = 0
 	return req
 }
 
 // Resume implements Resumer.
-func (ImportKV) Resume(ctx context.Context, b *Broken) (*attempt, error) {
-	prompt, _ := b.sequence()
-	grant, ok := b.g.m.cfg.Router.Hold(b.State.Source.Target, b.emptyRequest())
+func (ImportKV) Resume(ctx context.Context, b *Interrupted) (*attempt, error) {
+	prompt, _ := b.resumePrompt()
+	grant, ok := b.g.m.cfg.Router.Hold(b.State.Source.Target, b.requestWithoutPrefill())
 	if !ok {
 		return nil, errors.Newf("target %s is not in the bundle", b.State.Source.Target)
 	}
 	defer grant.Done(route.Left)
-	exportCtx, cancel := context.WithTimeout(ctx, reattachLimit)
+	exportCtx, cancel := context.WithTimeout(ctx, reattachTimeout)
 	defer cancel()
 	old := b.g.m.cfg.Engines.Engine(grant.Target)
 	kv, err := old.Export(exportCtx, b.State.Source.StreamID)
--- a/generation/run.go
+++ b/generation/run.go
@@ -16,16 +16,16 @@
 
 // attempt is one engine stream that feeds the generation.
 type attempt struct {
-	grant   *route.Grant
-	engine  target.Engine
-	stream  target.Stream
-	source  Source
-	release context.CancelFunc
-	next    walnutramp.Offset  // place in the stream of the token that comes next
-	pending []walnutramp.Token // tokens whose text the engine still holds back
-	sent    time.Time          // when it was sent to the engine
-	first   time.Time          // when its first token came
-	settled bool               // it has gone on for a while
+	grant        *route.Grant
+	engine       target.Engine
+	stream       target.Stream
+	source       Source
+	release      context.CancelFunc
+	next         walnutramp.Offset  // offset of the next token in the stream
+	pending      []walnutramp.Token // tokens whose text the engine still withholds
+	sentAt       time.Time          // when the request was sent to the engine
+	firstTokenAt time.Time
+	settled      bool // it has gone on for quarantine.Onset
 }
 
 // cause is why an attempt ended.
@@ -34,38 +34,38 @@
 const (
 	causeFinished  cause = iota
 	causeClosed          // the connection broke or was refused
-	causeStalled         // the target fell silent
-	causeStopped         // this side ended it
-	causeTakenOver       // another node owned the generation before
+	causeStalled         // the target stopped sending
+	causeStopped         // canceled by this node
+	causeTakenOver       // the previous owner was another node
 )
 
-// launch starts the task that feeds the generation; grant is nil when it
-// resumes. False means the node is closing.
+// launch starts the task that feeds the generation; grant is nil to resume. It returns
+// false if the node is closing.
 func (g *Generation) launch(grant *route.Grant) bool {
 	ctx, stop := context.WithCancel(g.m.ctx)
 	g.rec.mu.Lock()
 	g.running = true
 	g.stop = stop
 	g.rec.mu.Unlock()
-	if g.m.spawn(func() { g.run(ctx, grant) }) {
+	if g.m.spawn(func() { g.feed(ctx, grant) }) {
 		return true
 	}
 	stop()
-	g.halted()
+	g.markStopped()
 	return false
 }
 
-func (g *Generation) halted() {
+func (g *Generation) markStopped() {
 	g.rec.mu.Lock()
 	defer g.rec.mu.Unlock()
 	g.running = false
 	g.stop = nil
-	g.rec.touched = time.Now()
+	g.rec.lastUsed = time.Now()
 }
 
-// run feeds the generation from one attempt after another.
-func (g *Generation) run(ctx context.Context, grant *route.Grant) {
-	defer g.halted()
+// feed runs one attempt after another until the generation ends.
+func (g *Generation) feed(ctx context.Context, grant *route.Grant) {
+	defer g.markStopped()
 	var a *attempt
 	var err error
 	why := causeTakenOver
@@ -83,7 +83,7 @@
 		if why == causeFinished || ctx.Err() != nil {
 			return
 		}
-		if final := g.refused(err); final != nil {
+		if final := g.engineRejection(err); final != nil {
 			g.fail(final)
 			return
 		}
@@ -95,8 +95,9 @@
 	}
 }
 
-// refused returns the answer for an error that another engine would repeat.
-func (g *Generation) refused(err error) error {
+// engineRejection returns the error to report if an engine rejected the request in a way
+// that other engines would repeat.
+func (g *Generation) engineRejection(err error) error {
 	var status *target.StatusError
 	if errors.As(err, &status) && status.Final() {
 		return walnutramp.NewError(walnutramp.CodeEngineRefused, walnutramp.NotRun, "%v", status)
@@ -108,13 +109,13 @@
 	g.rec.mu.Lock()
 	defer g.rec.mu.Unlock()
 	e := walnutramp.AsError(err)
-	if g.sent && e.Outcome == walnutramp.NotRun && e.Code != walnutramp.CodeEngineRefused {
+	if g.dispatched && e.Outcome == walnutramp.NotRun && e.Code != walnutramp.CodeEngineRefused {
 		e = &walnutramp.Error{Code: walnutramp.CodeOutOfTargets, Outcome: walnutramp.Unknown, Message: e.Message, RetryAfter: e.RetryAfter}
 	}
-	g.end(e)
+	g.terminate(e)
 }
 
-// begin starts the first attempt, with the prompt as the caller gave it.
+// begin starts the first attempt, with the caller's prompt.
 func (g *Generation) begin(ctx context.Context, grant *route.Grant) (*attempt, error) {
 	g.rec.mu.Lock()
 	spec := g.rec.state.Spec
@@ -122,7 +123,7 @@
 	return g.start(ctx, grant, spec.Prompt, nil)
 }
 
-// start sends a prompt to the granted target and makes it the source.
+// start sends a prompt to the granted target and makes it the generation's source.
 func (g *Generation) start(ctx context.Context, grant *route.Grant, prompt target.Prompt, kv *target.KVHandle) (*attempt, error) {
 	g.rec.mu.Lock()
 	st := &g.rec.state
@@ -152,44 +153,44 @@
 	})
 }
 
-// noteSent notes that an engine may have begun the request: from here on it
-// is not told as not-run.
-func (g *Generation) noteSent() {
+// markDispatched records that an engine may have started the request, so that it is no
+// longer reported as not run.
+func (g *Generation) markDispatched() {
 	g.rec.mu.Lock()
 	defer g.rec.mu.Unlock()
-	g.sent = true
+	g.dispatched = true
 }
 
-// resumePriority puts resumed streams before new ones in an engine's queue.
+// resumePriority puts resumed streams ahead of new ones in an engine's queue.
 const resumePriority = 1000
 
-// streamID names an attempt at its engine; no two attempts share one.
+// streamID returns the ID of an attempt at its engine, unique to the attempt.
 func streamID(id walnutramp.GenerationID, e Epoch, seq int) string {
 	return string(id) + "-" + strconv.FormatUint(e.Number, 10) + "-" + string(e.Node) + "-" + strconv.Itoa(seq)
 }
 
-// openStream opens the attempt's stream within a limit on the wait for the
-// engine's first answer.
+// openStream opens the attempt's stream. The limit bounds the wait for the engine's first
+// answer.
 func (g *Generation) openStream(ctx context.Context, a *attempt, limit time.Duration, open func(context.Context) (target.Stream, error)) (*attempt, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	timer := time.AfterFunc(limit, cancel)
-	a.sent = uptime.Now()
+	a.sentAt = uptime.Now()
 	stream, err := open(ctx)
 	var unsent *target.NotSentError
 	if !errors.As(err, &unsent) {
-		g.noteSent()
+		g.markDispatched()
 	}
 	if err != nil || !timer.Stop() {
-		if brokeOff(ctx, err) {
-			g.noteBreak(a, quarantine.Waiting)
+		if connectionLost(ctx, err) {
+			g.recordConnectionLoss(a, quarantine.Waiting)
 		}
 		cancel()
 		if err == nil {
 			stream.Close()
-			err = errors.New("no answer in time")
+			err = errors.New("no answer from the engine within the time limit")
 		}
 		a.grant.Done(route.NoAnswer(err))
-		klog.V(1).InfoS("Attempt not opened", "generation", g.id, "target", a.source.Target, "err", err)
+		klog.V(1).InfoS("Failed to open engine stream", "generation", g.id, "target", a.source.Target, "err", err)
 		return nil, err
 	}
 	a.stream = stream
@@ -197,7 +198,7 @@
 	return a, nil
 }
 
-func (g *Generation) noteGap(gap time.Duration) {
+func (g *Generation) observeResumeGap(gap time.Duration) {
 	g.rec.mu.Lock()
 	account, model := g.rec.state.Spec.Account, g.rec.state.Spec.Model
 	g.rec.mu.Unlock()
@@ -209,8 +210,8 @@
 	err   error
 }
 
-// pump moves tokens from the attempt into the log until the attempt ends.
-// began is when output last stood still.
+// pump copies tokens from the attempt to the log until the attempt ends. Began is when
+// output was last interrupted.
 func (g *Generation) pump(ctx context.Context, a *attempt, began time.Time) cause {
 	in := make(chan received)
 	quit := make(chan struct{})
@@ -223,22 +224,22 @@
 		select {
 		case r := <-in:
 			if r.err != nil {
-				g.noteBreak(a, a.standing())
+				g.recordConnectionLoss(a, a.standing())
 				return causeClosed
 			}
-			took, finished, ok := g.take(a, r.chunk)
+			took, finished, ok := g.appendChunk(a, r.chunk)
 			if !ok {
 				return causeClosed
 			}
 			if finished {
-				g.m.cfg.Quarantine.Sound(g.content())
+				g.m.cfg.Quarantine.Sound(g.fingerprint())
 				return causeFinished
 			}
 			if took > 0 {
 				now := time.Now()
-				g.noteSettled(a)
+				g.recordSettled(a)
 				if last.Equal(began) && a.source.Base > 0 {
-					g.noteGap(now.Sub(began))
+					g.observeResumeGap(now.Sub(began))
 				}
 				a.grant.Tokens(now.Sub(last))
 				last = now
@@ -266,11 +267,11 @@
 	}
 }
 
-// take puts a chunk into the log. Tokens that came before are dropped; a gap
-// means the stream can't be trusted and ok is false.
-func (g *Generation) take(a *attempt, c target.Chunk) (took int, finished, ok bool) {
+// appendChunk appends the new tokens of a chunk to the log and drops duplicates. A gap
+// means that the stream is unusable; ok is then false.
+func (g *Generation) appendChunk(a *attempt, c target.Chunk) (took int, finished, ok bool) {
 	if c.PromptTokens != nil && a.source.Base == 0 {
-		g.setPrompt(c.PromptTokens)
+		g.setPromptTokens(c.PromptTokens)
 	}
 	if c.First > a.next {
 		return 0, false, false
@@ -282,27 +283,27 @@
 	fresh := c.Tokens[min(int(known), len(c.Tokens)):]
 	a.next += walnutramp.Offset(len(fresh))
 	a.pending = append(a.pending, fresh...)
-	whole := a.complete(c.Finish != "")
+	complete := a.takeComplete(c.Finish != "")
 	var final *Final
 	if c.Finish != "" {
 		final = &Final{Reason: c.Finish, PromptTokens: g.promptTokens()}
 	}
-	if len(whole) > 0 || final != nil {
-		g.extend(whole, final)
+	if len(complete) > 0 || final != nil {
+		g.appendTokens(complete, final)
 	}
 	return len(fresh), final != nil, true
 }
 
-// complete cuts off the pending tokens up to the last one with text: a log
-// never ends inside a character or a held-back stop sequence.
-func (a *attempt) complete(all bool) []walnutramp.Token {
+// takeComplete removes and returns the pending tokens up to the last one with text, so
+// that the log never ends inside a character or a potential stop sequence.
+func (a *attempt) takeComplete(all bool) []walnutramp.Token {
 	end := len(a.pending)
 	for !all && end > 0 && a.pending[end-1].Text == "" {
 		end--
 	}
-	whole := a.pending[:end]
+	complete := a.pending[:end]
 	a.pending = append([]walnutramp.Token(nil), a.pending[end:]...)
-	return whole
+	return complete
 }
 
 func (g *Generation) promptTokens() int {
@@ -314,28 +315,28 @@
 	return g.rec.state.Spec.PromptSize()
 }
 
-// retire closes an attempt and, unless it finished, cancels it at the engine.
+// retire closes an attempt and cancels it at the engine if nobody can use it any more.
 func (g *Generation) retire(a *attempt, why cause) {
 	a.release()
 	a.stream.Close()
 	a.grant.Done(result(why))
-	if why == causeStalled || why == causeStopped && !g.movedAway() {
+	if why == causeStalled || why == causeStopped && !g.ownedElsewhere() {
 		g.cancelAt(a)
 	}
 }
 
-// movedAway reports whether another node has the generation now; then its
-// stream is left for that node.
-func (g *Generation) movedAway() bool {
+// ownedElsewhere reports whether another node may own the generation now; its stream
+// is then left running for that node.
+func (g *Generation) ownedElsewhere() bool {
 	g.rec.mu.Lock()
 	defer g.rec.mu.Unlock()
 	return g.rec.owner != g || g.m.ctx.Err() != nil
 }
 
 func (g *Generation) cancelAt(a *attempt) {
-	g.m.aside(func() {
+	g.m.background(func() {
 		if err := a.engine.Cancel(context.Background(), a.source.StreamID); err != nil {
-			klog.V(2).InfoS("Cancel failed", "generation", g.id, "target", a.source.Target, "err", err)
+			klog.V(2).InfoS("Failed to cancel engine stream", "generation", g.id, "target", a.source.Target, "err", err)
 		}
 	})
 }
--- a/generation/spec.go
+++ b/generation/spec.go
@@ -8,45 +8,45 @@
 	"github.com/walnutramp/walnutramp/target"
 )
 
-// Spec is a request as it is replicated when its generation opens.
+// Spec is the request of a generation, as replicated when the generation opens.
 type Spec struct {
 	ID         walnutramp.GenerationID
 	Account    walnutramp.ClientAccount
 	Key        string // the caller's Idempotency-Key, or empty
-	BodyDigest string // of the request body, to tell a reused key
+	BodyDigest string // of the request body, to detect a reused key
 	Chat       bool
 	Model      walnutramp.ModelName
 	Prompt     target.Prompt
-	PromptKey  uint64 // hash of the prompt's beginning
+	PromptKey  uint64 // hash of the prompt prefix, for cache affinity
 	MaxTokens  int
 	Priority   int
 	Weight     int
 	Options    json.RawMessage // passed on to engines unchanged
-	Bound      []string        // options that no other engine can carry on from
+	Bound      []string        // options whose state another engine can't restore
 	Content    quarantine.Fingerprint
 }
 
-// Source is the engine stream that now feeds a generation.
+// Source is the engine stream that currently feeds a generation.
 type Source struct {
 	Target   walnutramp.TargetName
 	StreamID string
-	Base     walnutramp.Offset // the generation's offset at the stream's first token
-	Seq      int               // grows with every attempt; 0 means none yet
+	Base     walnutramp.Offset // offset in the generation of the stream's first token
+	Seq      int               // attempt number; 0 before the first
 }
 
-// Final is how a generation ended.
+// Final is the end of a generation.
 type Final struct {
 	Reason       string // the engine's finish reason
 	PromptTokens int
 }
 
-// Member is one run of a node in a replica set.
+// Member is one incarnation of a node in a replica set.
 type Member struct {
 	Node        walnutramp.NodeName
 	Incarnation walnutramp.Incarnation
 }
 
-// Epoch orders the owners of a generation. Two nodes never share one.
+// Epoch orders the ownerships of a generation. No two nodes share one.
 type Epoch struct {
 	Number uint64
 	Node   walnutramp.NodeName
--- a/generation/store.go
+++ b/generation/store.go
@@ -10,14 +10,14 @@
 	"github.com/walnutramp/walnutramp"
 )
 
-// record is one generation at one node, replica or owner.
+// record is the state of one generation at one node, replica or owner.
 type record struct {
 	id walnutramp.GenerationID
 
 	mu       sync.Mutex
 	state    State
 	promised Epoch
-	touched  time.Time
+	lastUsed time.Time
 	owner    *Generation // set while this node owns it
 }
 
@@ -26,7 +26,7 @@
 	key     string
 }
 
-// Store holds the replicas of one node and answers for them.
+// Store holds the replicas of one node and serves them to peers.
 type Store struct {
 	self   Member
 	retain time.Duration
@@ -34,24 +34,24 @@
 	mu      sync.Mutex
 	records map[walnutramp.GenerationID]*record
 	byKey   map[accountKey]walnutramp.GenerationID
-	handles map[Member]map[Handle]handled // by the owner's run that gave them
+	handles map[Member]map[Handle]epochRef // by the owner's incarnation
 }
 
-// handled is what a handle stands for.
-type handled struct {
+// epochRef is the record and epoch that a handle refers to.
+type epochRef struct {
 	rec   *record
 	epoch Epoch
 }
 
-// NewStore returns an empty store for one run of a node. Records that nobody
-// touched for the time retain are dropped.
+// NewStore returns an empty store for one incarnation of a node. Records are dropped when
+// unused for the time retain.
 func NewStore(self Member, retain time.Duration) *Store {
 	return &Store{
 		self:    self,
 		retain:  retain,
 		records: map[walnutramp.GenerationID]*record{},
 		byKey:   map[accountKey]walnutramp.GenerationID{},
-		handles: map[Member]map[Handle]handled{},
+		handles: map[Member]map[Handle]epochRef{},
 	}
 }
 
@@ -61,13 +61,13 @@
 	return s.records[id]
 }
 
-// getOrAdd returns the record of spec.ID, a fresh one if there is none.
+// getOrAdd returns the record of spec.ID, and creates it if needed.
 func (s *Store) getOrAdd(spec Spec) *record {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	r := s.records[spec.ID]
 	if r == nil {
-		r = &record{id: spec.ID, touched: time.Now()}
+		r = &record{id: spec.ID, lastUsed: time.Now()}
 		s.records[spec.ID] = r
 	}
 	if spec.Key != "" {
@@ -76,7 +76,6 @@
 	return r
 }
 
-// owned returns the generations that this node owns.
 func (s *Store) owned() []*Generation {
 	s.mu.Lock()
 	records := make([]*record, 0, len(s.records))
@@ -95,14 +94,14 @@
 	return gens
 }
 
-// Len returns how many generations the node holds.
+// Len returns the number of generations held.
 func (s *Store) Len() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.records)
 }
 
-// Sweep drops records that nobody touched for the retention time.
+// Sweep drops records that were unused for the retention time.
 func (s *Store) Sweep(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -117,8 +116,8 @@
 		}
 	}
 	for owner, handles := range s.handles {
-		maps.DeleteFunc(handles, func(_ Handle, h handled) bool {
-			return s.records[h.rec.id] != h.rec || h.rec.passed(h.epoch)
+		maps.DeleteFunc(handles, func(_ Handle, h epochRef) bool {
+			return s.records[h.rec.id] != h.rec || h.rec.superseded(h.epoch)
 		})
 		if len(handles) == 0 {
 			delete(s.handles, owner)
@@ -126,8 +125,8 @@
 	}
 }
 
-// passed reports whether the record has gone beyond an epoch.
-func (r *record) passed(e Epoch) bool {
+// superseded reports whether the record is no longer at epoch e.
+func (r *record) superseded(e Epoch) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.state.Epoch != e
@@ -136,20 +135,20 @@
 func (r *record) expired(now time.Time, retain time.Duration) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.owner != nil && r.owner.busy() {
+	if r.owner != nil && r.owner.active() {
 		return false
 	}
 	if r.state.Final != nil && r.state.Spec.Key == "" {
-		retain /= finishedShare
+		retain /= finishedRetainDivisor
 	}
-	return now.Sub(r.touched) > retain
+	return now.Sub(r.lastUsed) > retain
 }
 
-// finishedShare divides the retention of finished generations without a key:
-// their callers may reconnect for a moment yet, and nobody asks again later.
-const finishedShare = 4
+// finishedRetainDivisor shortens the retention of finished generations without a key:
+// only a reconnecting caller can still ask for them.
+const finishedRetainDivisor = 4
 
-// Replicate implements the RPC that owners append with.
+// Replicate is the RPC with which owners append.
 func (s *Store) Replicate(args ReplicateArgs, reply *ReplicateReply) error {
 	reply.Acks = make([]Ack, len(args.Appends))
 	for i := range args.Appends {
@@ -159,8 +158,8 @@
 		}
 		reply.Acks[i] = s.apply(args.From, &args.Appends[i])
 	}
-	if !args.Plain.whole() {
-		return errors.New("appends do not fit each other")
+	if !args.Plain.valid() {
+		return errors.New("inconsistent column lengths in token-only appends")
 	}
 	plain := args.Plain.appends()
 	reply.Plain = make([]int64, len(plain))
@@ -169,13 +168,14 @@
 			reply.Plain[i] = -int64(walnutramp.CodeWrongIncarnation)
 			continue
 		}
-		reply.Plain[i] = s.apply(args.From, &plain[i]).plain()
+		reply.Plain[i] = s.apply(args.From, &plain[i]).compact()
 	}
 	return nil
 }
 
-// plain is the answer to a plain append.
-func (a Ack) plain() int64 {
+// compact returns the answer to a token-only append: the offset held, or a negated result
+// code.
+func (a Ack) compact() int64 {
 	if a.Code != walnutramp.CodeOK {
 		return -int64(a.Code)
 	}
@@ -192,19 +192,19 @@
 	return h.rec.apply(h.epoch, a)
 }
 
-// resolve finds what an append's handle stands for; an opening defines it.
-func (s *Store) resolve(owner Member, a *Append) (handled, bool) {
+// resolve returns what an append's handle refers to; an opening defines it.
+func (s *Store) resolve(owner Member, a *Append) (epochRef, bool) {
 	if a.Open == nil {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		h, ok := s.handles[owner][a.Handle]
 		return h, ok
 	}
-	h := handled{rec: s.getOrAdd(a.Open.Spec), epoch: a.Open.Epoch}
+	h := epochRef{rec: s.getOrAdd(a.Open.Spec), epoch: a.Open.Epoch}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.handles[owner] == nil {
-		s.handles[owner] = map[Handle]handled{}
+		s.handles[owner] = map[Handle]epochRef{}
 	}
 	s.handles[owner][a.Handle] = h
 	return h, true
@@ -220,7 +220,7 @@
 		}
 		r.open(a.Open)
 	}
-	r.touched = time.Now()
+	r.lastUsed = time.Now()
 	r.extend(a)
 	return Ack{
 		Code:      walnutramp.CodeOK,
@@ -231,11 +231,11 @@
 	}
 }
 
-// open starts an epoch; what the record held before is replaced whole.
+// open starts an epoch and replaces the whole state.
 func (r *record) open(o *Opening) {
 	r.promised = o.Epoch
 	if r.owner != nil && r.owner.epoch != o.Epoch {
-		r.owner.deposed()
+		r.owner.depose()
 	}
 	r.state = State{Spec: o.Spec, Epoch: o.Epoch, Members: slices.Clone(o.Members)}
 }
@@ -251,13 +251,13 @@
 	if a.Source != nil && a.Source.Seq > r.state.Source.Seq {
 		r.state.Source = *a.Source
 	}
-	whole := walnutramp.Offset(len(r.state.Tokens)) >= a.From+walnutramp.Offset(len(a.Tokens))
-	if a.Final != nil && whole {
+	complete := walnutramp.Offset(len(r.state.Tokens)) >= a.From+walnutramp.Offset(len(a.Tokens))
+	if a.Final != nil && complete {
 		r.state.Final = a.Final
 	}
 }
 
-// Prepare implements the RPC that candidates ask promises with.
+// Prepare is the RPC with which a candidate requests the promise of an epoch.
 func (s *Store) Prepare(args PrepareArgs, reply *PrepareReply) error {
 	if args.To != s.self.Incarnation {
 		reply.Code = walnutramp.CodeWrongIncarnation
@@ -285,9 +285,9 @@
 		return
 	}
 	r.promised = epoch
-	r.touched = time.Now()
+	r.lastUsed = time.Now()
 	if r.owner != nil && r.owner.epoch.Less(epoch) && epoch.Node != r.owner.epoch.Node {
-		r.owner.deposed()
+		r.owner.depose()
 	}
 	reply.Code = walnutramp.CodeOK
 	reply.Promised = epoch
@@ -299,8 +299,8 @@
 	reply.Final = r.state.Final != nil
 }
 
-// Fetch implements the RPC that a candidate reads a promised state with. As
-// long as the promise is the newest, the state can't have changed since.
+// Fetch is the RPC with which a candidate reads a promised state. The state can't have
+// changed as long as that promise is the newest.
 func (s *Store) Fetch(args FetchArgs, reply *FetchReply) error {
 	r := s.get(args.ID)
 	if r == nil || args.To != s.self.Incarnation {
@@ -318,17 +318,17 @@
 	return nil
 }
 
-// opened reports whether the record has been given a state yet.
+// opened reports whether the record has a state.
 func (r *record) opened() bool { return r.state.Epoch != Epoch{} }
 
-// copyState returns the state so that later appends don't show in it.
+// copyState returns a copy of the state that later appends don't affect.
 func (r *record) copyState() State {
 	st := r.state
 	st.Tokens = slices.Clone(st.Tokens)
 	return st
 }
 
-// Find implements the RPC that looks for a generation.
+// Find is the RPC with which peers look up a generation.
 func (s *Store) Find(args FindArgs, reply *FindReply) error {
 	id := args.ID
 	if args.Key != "" {
--- a/generation/takeover.go
+++ b/generation/takeover.go
@@ -9,27 +9,27 @@
 	"k8s.io/klog/v2"
 )
 
-// Bounds of a search and of a takeover.
+// Limits of lookups and takeovers.
 const (
-	findWidth     = 8 // nodes asked first, by rank
-	findTimeout   = 500 * time.Millisecond
-	takeoverLimit = 5 * time.Second
-	prepareRounds = 8
-	roundPause    = 50 * time.Millisecond
+	findBatch       = 8 // nodes queried at a time, by rank
+	findTimeout     = 500 * time.Millisecond
+	takeoverTimeout = 5 * time.Second
+	prepareRounds   = 8
+	roundDelay      = 50 * time.Millisecond
 )
 
-// takeover is one takeover under way here; others wait for it.
+// takeover is a takeover in progress at this node; concurrent callers share it.
 type takeover struct {
 	done chan struct{}
 	g    *Generation
 	err  error
 }
 
-// Continue returns the generation at position p, owned by this node: it is
-// owned already, or it is taken over. The error is a *walnutramp.Error.
+// Continue returns the generation at position p, after taking it over if this node does
+// not own it. The error is a *walnutramp.Error.
 func (m *Manager) Continue(ctx context.Context, p walnutramp.Position) (*Generation, error) {
 	if g := m.owned(p.Generation); g != nil {
-		return m.revive(g)
+		return m.resumeStopped(g)
 	}
 	found, err := m.find(ctx, FindArgs{ID: p.Generation})
 	if err != nil {
@@ -38,17 +38,17 @@
 	return m.takeOver(ctx, found)
 }
 
-// ByKey returns the generation that an account's key opened, taken over if
-// another node owned it, or nil if no reachable node knows the key.
+// ByKey returns the generation that an account's key opened, after taking it over if this
+// node does not own it, or nil if no reachable node knows the key.
 func (m *Manager) ByKey(ctx context.Context, account walnutramp.ClientAccount, key string) (*Generation, error) {
 	var local FindReply
 	m.store.Find(FindArgs{Account: account, Key: key}, &local)
 	if g := m.owned(local.ID); local.Held && g != nil {
-		return m.revive(g)
+		return m.resumeStopped(g)
 	}
 	found, err := m.find(ctx, FindArgs{Account: account, Key: key})
 	if err != nil {
-		return nil, nil // it is not found, and a generation may be run again
+		return nil, nil // unknown key: generations may be run again
 	}
 	return m.takeOver(ctx, found)
 }
@@ -63,17 +63,18 @@
 	return r.owner
 }
 
-// revive goes on with a generation that stopped here but can be continued.
-func (m *Manager) revive(g *Generation) (*Generation, error) {
+// resumeStopped restarts an owned generation that stopped for lack of targets or
+// followers.
+func (m *Manager) resumeStopped(g *Generation) (*Generation, error) {
 	g.rec.mu.Lock()
 	stopped := g.err != nil && !g.running && g.rec.owner == g
 	if stopped && g.err.Code == walnutramp.CodeOutOfTargets {
 		g.err = nil
 	}
-	stuck := g.err
+	failure := g.err
 	g.rec.mu.Unlock()
-	if stuck != nil {
-		return nil, stuck
+	if failure != nil {
+		return nil, failure
 	}
 	if stopped && !g.launch(nil) {
 		return nil, walnutramp.NewError(walnutramp.CodeStopping, walnutramp.Unknown, "the node is stopping")
@@ -81,7 +82,7 @@
 	return g, nil
 }
 
-// find asks the nodes that rank first, then the rest.
+// find looks up a generation on the other nodes, by rank.
 func (m *Manager) find(ctx context.Context, args FindArgs) (FindReply, error) {
 	var best FindReply
 	m.store.Find(args, &best)
@@ -91,9 +92,9 @@
 	nodes := Rank(args.ID, m.cfg.Directory.Known())
 	silent := 0
 	for len(nodes) > 0 && !best.Held {
-		n := min(findWidth, len(nodes))
+		n := min(findBatch, len(nodes))
 		var answered int
-		best, answered = m.ask(ctx, nodes[:n], args)
+		best, answered = m.queryNodes(ctx, nodes[:n], args)
 		silent += n - answered
 		nodes = nodes[n:]
 	}
@@ -102,17 +103,17 @@
 	}
 	if silent > 0 {
 		return best, walnutramp.NewError(walnutramp.CodeNotProvable, walnutramp.Unknown,
-			"%d nodes that may hold it do not answer", silent).WithRetryAfter(findRetryAfter)
+			"%d nodes that may hold the generation did not answer", silent).WithRetryAfter(findRetryAfter)
 	}
 	return best, walnutramp.NewError(walnutramp.CodeGenerationUnknown, walnutramp.Unknown, "no node holds it")
 }
 
-// findRetryAfter is when a caller may look for a generation again.
+// findRetryAfter is the Retry-After of a failed lookup.
 const findRetryAfter = 500 * time.Millisecond
 
-// ask returns the first answer of a node that holds the generation, and how
-// many answered. It may be old; the takeover then learns of what is newer.
-func (m *Manager) ask(ctx context.Context, nodes []Node, args FindArgs) (FindReply, int) {
+// queryNodes returns the first answer of a node that holds the generation, and how many
+// nodes answered. The answer may be outdated; the takeover detects that.
+func (m *Manager) queryNodes(ctx context.Context, nodes []Node, args FindArgs) (FindReply, int) {
 	ctx, cancel := context.WithTimeout(ctx, findTimeout)
 	defer cancel()
 	replies := make(chan *FindReply, len(nodes))
@@ -144,7 +145,7 @@
 	return FindReply{}, answered
 }
 
-// takeOver makes this node the owner of what was found.
+// takeOver makes this node the owner of a generation that was found.
 func (m *Manager) takeOver(ctx context.Context, found FindReply) (*Generation, error) {
 	m.mu.Lock()
 	t := m.takeovers[found.ID]
@@ -166,12 +167,12 @@
 	case <-t.done:
 		return t.g, t.err
 	case <-ctx.Done():
-		return nil, walnutramp.NewError(walnutramp.CodeNotProvable, walnutramp.Unknown, "the caller left")
+		return nil, walnutramp.NewError(walnutramp.CodeNotProvable, walnutramp.Unknown, "the caller disconnected")
 	}
 }
 
 func (m *Manager) runTakeover(found FindReply) (*Generation, error) {
-	ctx, cancel := context.WithTimeout(m.ctx, takeoverLimit)
+	ctx, cancel := context.WithTimeout(m.ctx, takeoverTimeout)
 	defer cancel()
 	p, err := m.prepare(ctx, found.ID, found.Epoch, found.Members)
 	if err != nil {
@@ -183,41 +184,41 @@
 	}
 	g := m.adopt(st, p.epoch)
 	if g == nil {
-		return nil, walnutramp.NewError(walnutramp.CodeMoved, walnutramp.Unknown, "another node took it over meanwhile")
+		return nil, walnutramp.NewError(walnutramp.CodeMoved, walnutramp.Unknown, "another node took over the generation meanwhile")
 	}
-	if err := g.waitInForce(ctx); err != nil {
+	if err := g.waitEpochAccepted(ctx); err != nil {
 		return nil, err
 	}
 	if !g.launch(nil) {
 		return nil, walnutramp.NewError(walnutramp.CodeStopping, walnutramp.Unknown, "the node is stopping")
 	}
-	klog.V(1).InfoS("Took over", "generation", g.id, "epoch", p.epoch.Number, "tokens", len(st.Tokens))
+	klog.V(1).InfoS("Generation taken over", "generation", g.id, "epoch", p.epoch.Number, "tokens", len(st.Tokens))
 	return g, nil
 }
 
-// adopt installs the state here under the epoch and offers it to the old and
-// the new replica set. It returns nil if a newer epoch was promised meanwhile.
+// adopt installs the state under the epoch and replicates it to the former and the new
+// replica set. It returns nil if a newer epoch has been promised meanwhile.
 func (m *Manager) adopt(st State, epoch Epoch) *Generation {
 	members := m.chooseMembers(st.Spec.ID, st.Members, nil)
 	rec := m.store.getOrAdd(st.Spec)
-	g := &Generation{m: m, rec: rec, id: st.Spec.ID, epoch: epoch, handle: m.newHandle(), sent: true, changed: make(chan struct{})}
+	g := &Generation{m: m, rec: rec, id: st.Spec.ID, epoch: epoch, handle: m.newHandle(), dispatched: true, changed: make(chan struct{})}
 	rec.mu.Lock()
 	defer rec.mu.Unlock()
 	if epoch.Less(rec.promised) {
 		return nil
 	}
 	if rec.owner != nil {
-		rec.owner.deposed()
+		rec.owner.depose()
 	}
-	g.previous = slices.Clone(st.Members)
+	g.previousMembers = slices.Clone(st.Members)
 	st.Epoch = epoch
 	st.Members = members
 	rec.promised = epoch
 	rec.state = st
 	rec.owner = g
-	rec.touched = time.Now()
-	g.cursors = m.cursors(union(members, g.previous))
-	g.markAll()
+	rec.lastUsed = time.Now()
+	g.cursors = m.cursors(union(members, g.previousMembers))
+	g.replicateAll()
 	g.release()
 	return g
 }
@@ -232,10 +233,10 @@
 	return u
 }
 
-func (g *Generation) waitInForce(ctx context.Context) error {
+func (g *Generation) waitEpochAccepted(ctx context.Context) error {
 	for {
 		g.rec.mu.Lock()
-		err, ready, changed := g.err, g.previous == nil, g.changed
+		err, ready, changed := g.err, g.previousMembers == nil, g.changed
 		g.rec.mu.Unlock()
 		if err != nil {
 			return err
--- a/generation/wire.go
+++ b/generation/wire.go
@@ -6,38 +6,38 @@
 	"github.com/walnutramp/walnutramp"
 )
 
-// Service is the name under which replicas answer peers.
+// Service is the name of the RPC service.
 const Service = "Generation"
 
 // Peers calls other nodes.
 type Peers interface {
-	// Call runs a method of a node's service and fills reply.
+	// Call invokes a method of a node's service and fills in reply.
 	Call(ctx context.Context, node walnutramp.NodeName, method string, args, reply any) error
 }
 
 // ReplicateArgs carries appends of many generations to one replica.
 type ReplicateArgs struct {
 	From    Member
-	To      walnutramp.Incarnation // the run of the replica that is meant
-	Appends []Append               // those that hold more than tokens
-	Plain   Columns                // all others
+	To      walnutramp.Incarnation // incarnation of the replica
+	Appends []Append               // those with more than tokens
+	Plain   Columns                // token-only appends
 }
 
-// Handle names one epoch of one generation between an owner's run and its
-// replicas, so that appends need not repeat longer names.
+// Handle is a short ID for one epoch of one generation, scoped to an incarnation of its
+// owner.
 type Handle uint64
 
-// ReplicateReply answers each append in order.
+// ReplicateReply acknowledges each append in order.
 type ReplicateReply struct {
 	Acks  []Ack
-	Plain []int64 // for each plain append what is held, or a code below 0
+	Plain []int64 // for each token-only append the offset held, or a negated result code
 }
 
 // Append extends one generation at a replica.
 type Append struct {
 	Handle       Handle
-	Open         *Opening          // starts an epoch; then Tokens is the whole log
-	From         walnutramp.Offset // place of Tokens[0]
+	Open         *Opening          // starts an epoch; Tokens is then the whole log
+	From         walnutramp.Offset // offset of Tokens[0]
 	Tokens       []walnutramp.Token
 	PromptTokens []walnutramp.TokenID
 	Source       *Source
@@ -51,39 +51,39 @@
 	Members []Member
 }
 
-// Ack says what a replica holds after an append.
+// Ack is what a replica holds after an append.
 type Ack struct {
-	Code      walnutramp.Code // CodeOK, or why nothing was taken
+	Code      walnutramp.Code // CodeOK, or why the append was rejected
 	Held      walnutramp.Offset
 	Prompt    bool
 	SourceSeq int
 	Final     bool
 }
 
-// PrepareArgs asks a replica to promise an epoch to a candidate.
+// PrepareArgs requests the promise of an epoch.
 type PrepareArgs struct {
 	ID    walnutramp.GenerationID
 	Epoch Epoch
 	To    walnutramp.Incarnation
 }
 
-// PrepareReply holds the promise, or why there is none, and how far the
-// replica is.
+// PrepareReply is the promise or the reason for its rejection, and the progress of the
+// replica.
 type PrepareReply struct {
 	Code     walnutramp.Code
-	Promised Epoch // the newest epoch the replica has promised
-	Epoch    Epoch // of the replica set below
+	Promised Epoch // newest epoch that the replica has promised
+	Epoch    Epoch // of Members
 	Members  []Member
 	Tokens   int
-	Source   int  // attempts known
-	Prompt   bool // the prompt's tokens are known
+	Source   int  // number of attempts known
+	Prompt   bool // whether the prompt's token IDs are known
 	Final    bool
 }
 
-// FetchArgs asks for a replica's whole state under an epoch it has promised.
+// FetchArgs requests a replica's whole state under an epoch that it has promised.
 type FetchArgs struct {
 	ID    walnutramp.GenerationID
-	Epoch Epoch // the promised one
+	Epoch Epoch // the promised epoch
 	To    walnutramp.Incarnation
 }
 
@@ -93,10 +93,10 @@
 	State State
 }
 
-// State is everything a replica holds of a generation.
+// State is the replicated state of a generation.
 type State struct {
 	Spec         Spec
-	Epoch        Epoch // of the replica set below
+	Epoch        Epoch // of Members
 	Members      []Member
 	PromptTokens []walnutramp.TokenID
 	Tokens       []walnutramp.Token
@@ -104,15 +104,14 @@
 	Final        *Final
 }
 
-// FindArgs asks whether a node holds a generation, by identity or by the
-// caller's account and key.
+// FindArgs looks up a generation by ID, or by the caller's account and key.
 type FindArgs struct {
 	ID      walnutramp.GenerationID
 	Account walnutramp.ClientAccount
 	Key     string
 }
 
-// FindReply says what the node holds.
+// FindReply is the result of a lookup at one node.
 type FindReply struct {
 	Held       bool
 	ID         walnutramp.GenerationID
--- a/names.go
+++ b/names.go
@@ -1,20 +1,20 @@
 package walnutramp
 
-// NodeName names an entry node; it stays the same across restarts.
+// NodeName names an entry node. It is stable across restarts.
 type NodeName string
 
-// DataHall names the data hall a node or a target stands in.
+// DataHall names the data hall of a node or target.
 type DataHall string
 
-// TargetName names a back end: a model engine or a plain service process.
+// TargetName names a target: a model engine or a plain service process.
 type TargetName string
 
-// ClientAccount names the account a caller's key belongs to.
+// ClientAccount names the client account that an API key belongs to.
 type ClientAccount string
 
-// ModelName names a model as callers ask for it.
+// ModelName names a model in callers' requests.
 type ModelName string
 
-// Incarnation tells one run of a node from the next: a node that restarts
-// under its old name gets a larger one and remembers nothing of the last.
+// Incarnation distinguishes the process lifetimes of a node: it increases with each
+// restart, after which the node has lost its in-memory state.
 type Incarnation uint64
