--- a/caller/complete.go
+++ b/caller/complete.go
@@ -19,16 +19,16 @@
 	h.serveGeneration(w, r, a, true)
 }
 
-// serveGeneration answers one request for a generation, new or continued.
+// serveGeneration serves a request that opens a generation or resumes one.
 func (h *Handler) serveGeneration(w http.ResponseWriter, r *http.Request, account bundle.Account, chat bool) {
 	p, continued, refusal := lastPosition(r)
 	if refusal != nil {
-		h.refuse(w, refusal)
+		h.writeError(w, refusal)
 		return
 	}
 	body, refusal := h.readBody(w, r)
 	if refusal != nil {
-		h.refuse(w, refusal)
+		h.writeError(w, refusal)
 		return
 	}
 	if continued {
@@ -36,33 +36,33 @@
 		return
 	}
 	began := time.Now()
-	a, refusal := h.parse(body, r.Header.Get(headerKey), account, chat)
+	req, refusal := h.parse(body, r.Header.Get(headerKey), account, chat)
 	if refusal != nil {
-		h.refuse(w, refusal)
+		h.writeError(w, refusal)
 		return
 	}
-	g, err := h.open(r.Context(), a)
+	g, err := h.open(r.Context(), req)
 	if err != nil {
-		h.refuse(w, walnutramp.AsError(err))
+		h.writeError(w, walnutramp.AsError(err))
 		return
 	}
 	defer g.Follow()()
-	v := &view{h: h, w: w, r: r, g: g, began: began, includeUsage: a.includeUsage}
-	if a.stream {
-		v.stream(0)
+	v := &responder{h: h, w: w, r: r, g: g, began: began, includeUsage: req.includeUsage}
+	if req.stream {
+		v.sendStream(0)
 		return
 	}
-	v.whole()
+	v.sendWhole()
 }
 
-// open starts the generation, or finds the one that the key opened before.
-func (h *Handler) open(ctx context.Context, a *ask) (*generation.Generation, error) {
-	if a.spec.Key != "" {
-		g, err := h.cfg.Generations.ByKey(ctx, a.spec.Account, a.spec.Key)
+// open starts a generation, or returns the one that the request's key opened before.
+func (h *Handler) open(ctx context.Context, req *generationRequest) (*generation.Generation, error) {
+	if req.spec.Key != "" {
+		g, err := h.cfg.Generations.ByKey(ctx, req.spec.Account, req.spec.Key)
 		if err != nil {
 			return nil, err
 		}
-		if g != nil && g.BodyDigest() != a.spec.BodyDigest {
+		if g != nil && g.BodyDigest() != req.spec.BodyDigest {
 			return nil, walnutramp.NewError(walnutramp.CodeKeyReused, walnutramp.NotRun, "the key was used with another body")
 		}
 		if g != nil {
@@ -72,13 +72,13 @@
 	if h.cfg.Stopping() {
 		return nil, walnutramp.NewError(walnutramp.CodeStopping, walnutramp.NotRun, "this node is stopping").WithRetryAfter(time.Second)
 	}
-	if held := h.cfg.Quarantine.Refuse(a.spec.Content); held != nil {
+	if held := h.cfg.Quarantine.Refuse(req.spec.Content); held != nil {
 		return nil, held
 	}
-	return h.cfg.Generations.Open(ctx, a.spec)
+	return h.cfg.Generations.Open(ctx, req.spec)
 }
 
-// serveContinue streams a generation on from Last-Event-ID, or from its start.
+// serveContinue streams a generation from Last-Event-ID, or from its start.
 func (h *Handler) serveContinue(w http.ResponseWriter, r *http.Request, account bundle.Account) {
 	p, given, refusal := lastPosition(r)
 	id := r.PathValue("id")
@@ -92,7 +92,7 @@
 		refusal = walnutramp.NewError(walnutramp.CodeBadPosition, walnutramp.NotRun, "Last-Event-ID names another generation")
 	}
 	if refusal != nil {
-		h.refuse(w, refusal)
+		h.writeError(w, refusal)
 		return
 	}
 	h.continueAt(w, r, account, p, r.URL.Query().Get("include_usage") == "true")
@@ -101,42 +101,42 @@
 func (h *Handler) continueAt(w http.ResponseWriter, r *http.Request, account bundle.Account, p walnutramp.Position, usage bool) {
 	g, err := h.cfg.Generations.Continue(r.Context(), p)
 	if err != nil {
-		h.refuse(w, walnutramp.AsError(err))
+		h.writeError(w, walnutramp.AsError(err))
 		return
 	}
 	if g.Account() != account.Name {
-		h.refuse(w, walnutramp.NewError(walnutramp.CodeGenerationUnknown, walnutramp.Unknown, "no reachable node holds it"))
+		h.writeError(w, walnutramp.NewError(walnutramp.CodeGenerationUnknown, walnutramp.Unknown, "no reachable node holds the generation"))
 		return
 	}
 	defer g.Follow()()
-	v := &view{h: h, w: w, r: r, g: g, began: time.Now(), includeUsage: usage, continued: p.Offset > 0}
-	v.stream(p.Offset)
+	v := &responder{h: h, w: w, r: r, g: g, began: time.Now(), includeUsage: usage, continued: p.Offset > 0}
+	v.sendStream(p.Offset)
 }
 
 func includesUsage(body []byte) bool {
 	return strings.Contains(string(body), "include_usage")
 }
 
-// view is one caller's view of a generation.
-type view struct {
+// responder sends one generation to one caller.
+type responder struct {
 	h            *Handler
 	w            http.ResponseWriter
 	r            *http.Request
 	g            *generation.Generation
 	began        time.Time
 	includeUsage bool
-	continued    bool // the caller has seen tokens before
+	continued    bool // the caller has received tokens before
 }
 
-// stream sends server-sent events from an offset on.
-func (v *view) stream(from walnutramp.Offset) {
-	out := newStream(v.w, v.g)
+// sendStream sends server-sent events from an offset on.
+func (v *responder) sendStream(from walnutramp.Offset) {
+	out := newEventWriter(v.w, v.g)
 	last := v.began
 	first := !v.continued
 	for {
 		b, err := v.g.Next(v.r.Context(), from)
 		if err != nil {
-			v.streamFailed(out, err)
+			v.failStream(out, err)
 			return
 		}
 		now := time.Now()
@@ -154,7 +154,7 @@
 	}
 }
 
-func (v *view) observe(d time.Duration, tokens int, first bool) {
+func (v *responder) observe(d time.Duration, tokens int, first bool) {
 	if tokens == 0 {
 		return
 	}
@@ -165,13 +165,13 @@
 	v.h.cfg.Observe.Silence(v.g.Account(), v.g.Model(), d, tokens)
 }
 
-func (v *view) streamFailed(out *stream, err error) {
+func (v *responder) failStream(out *eventWriter, err error) {
 	if v.r.Context().Err() != nil {
 		return
 	}
 	e := walnutramp.AsError(err)
-	if !out.begun {
-		v.h.refuse(v.w, e)
+	if !out.started {
+		v.h.writeError(v.w, e)
 		return
 	}
 	v.h.cfg.Observe.Answered(e.Code)
@@ -179,8 +179,8 @@
 	out.fail(e)
 }
 
-// whole gathers the generation and answers with one object.
-func (v *view) whole() {
+// sendWhole collects the generation and sends it as one JSON object.
+func (v *responder) sendWhole() {
 	var text strings.Builder
 	from := walnutramp.Offset(0)
 	last := v.began
@@ -188,7 +188,7 @@
 		b, err := v.g.Next(v.r.Context(), from)
 		if err != nil {
 			if v.r.Context().Err() == nil {
-				v.h.refuse(v.w, walnutramp.AsError(err))
+				v.h.writeError(v.w, walnutramp.AsError(err))
 			}
 			return
 		}
@@ -198,7 +198,7 @@
 		text.WriteString(b.Text)
 		from = b.To
 		if b.Final != nil {
-			writeWhole(v.w, v.g, text.String(), b)
+			writeCompletion(v.w, v.g, text.String(), b)
 			v.h.cfg.Observe.Answered(walnutramp.CodeOK)
 			return
 		}
--- a/caller/ends.go
+++ b/caller/ends.go
@@ -8,15 +8,15 @@
 	"github.com/walnutramp/walnutramp/route"
 )
 
-// contentOf returns the fingerprint of a request of an account.
-func contentOf(body []byte, account bundle.Account, what ...string) quarantine.Fingerprint {
+// fingerprintOf returns the fingerprint of a request of an account.
+func fingerprintOf(body []byte, account bundle.Account, what ...string) quarantine.Fingerprint {
 	return quarantine.FingerprintOf(body, append([]string{string(account.Name)}, what...)...)
 }
 
-// noteBreak notes that a service's target broke its connection off under a call.
-func (s *serviceCall) noteBreak(grant *route.Grant, sent time.Time) {
-	s.look = s.h.cfg.Quarantine.Broke(quarantine.Break{
-		Request: s.key, Content: s.content, Target: string(grant.Target.Name), Address: grant.Target.Address,
+// recordConnectionLoss records that a service's target closed the connection during a call.
+func (s *serviceCall) recordConnectionLoss(grant *route.Grant, sent time.Time) {
+	s.crashProbe = s.h.cfg.Quarantine.Broke(quarantine.Break{
+		Request: s.key, Content: s.fingerprint, Target: string(grant.Target.Name), Address: grant.Target.Address,
 		Standing: quarantine.Begun, Sent: sent,
 	})
 }
--- a/caller/format.go
+++ b/caller/format.go
@@ -13,8 +13,8 @@
 	"github.com/walnutramp/walnutramp/generation"
 )
 
-// object is a completion or a chunk of one, in the OpenAI shape.
-type object struct {
+// completion is a completion, or a chunk of one, in OpenAI format.
+type completion struct {
 	ID      string               `json:"id"`
 	Object  string               `json:"object"`
 	Created int64                `json:"created"`
@@ -51,8 +51,8 @@
 	}
 }
 
-func newObject(g *generation.Generation, kind, chatKind string) object {
-	o := object{ID: "cmpl-" + string(g.ID()), Object: kind, Created: time.Now().Unix(), Model: g.Model()}
+func newCompletion(g *generation.Generation, kind, chatKind string) completion {
+	o := completion{ID: "cmpl-" + string(g.ID()), Object: kind, Created: time.Now().Unix(), Model: g.Model()}
 	if g.Chat() {
 		o.ID = "chatcmpl-" + string(g.ID())
 		o.Object = chatKind
@@ -60,8 +60,8 @@
 	return o
 }
 
-func writeWhole(w http.ResponseWriter, g *generation.Generation, text string, b generation.Batch) {
-	o := newObject(g, "text_completion", "chat.completion")
+func writeCompletion(w http.ResponseWriter, g *generation.Generation, text string, b generation.Batch) {
+	o := newCompletion(g, "text_completion", "chat.completion")
 	c := choice{FinishReason: &b.Final.Reason}
 	if g.Chat() {
 		c.Message = &message{Role: "assistant", Content: text}
@@ -74,36 +74,36 @@
 	json.NewEncoder(w).Encode(o)
 }
 
-// stream writes server-sent events. Headers go out with the first event, so
-// that a request that fails before it gets a proper status.
-type stream struct {
-	w     http.ResponseWriter
-	flush *http.ResponseController
-	g     *generation.Generation
-	chat  bool
-	base  object
-	begun bool
+// eventWriter writes server-sent events. The header is written with the first event, so
+// that a request that fails before can still return an error status.
+type eventWriter struct {
+	w       http.ResponseWriter
+	control *http.ResponseController
+	g       *generation.Generation
+	chat    bool
+	base    completion
+	started bool
 }
 
-func newStream(w http.ResponseWriter, g *generation.Generation) *stream {
-	return &stream{
-		w: w, flush: http.NewResponseController(w), g: g, chat: g.Chat(),
-		base: newObject(g, "text_completion", "chat.completion.chunk"),
+func newEventWriter(w http.ResponseWriter, g *generation.Generation) *eventWriter {
+	return &eventWriter{
+		w: w, control: http.NewResponseController(w), g: g, chat: g.Chat(),
+		base: newCompletion(g, "text_completion", "chat.completion.chunk"),
 	}
 }
 
-func (s *stream) begin() {
-	if s.begun {
+func (s *eventWriter) begin() {
+	if s.started {
 		return
 	}
-	s.begun = true
+	s.started = true
 	s.w.Header().Set("Content-Type", "text/event-stream")
 	s.w.Header().Set("Cache-Control", "no-store")
 }
 
 // batch sends released output.
-func (s *stream) batch(b generation.Batch) error {
-	first := !s.begun
+func (s *eventWriter) batch(b generation.Batch) error {
+	first := !s.started
 	s.begin()
 	c := choice{}
 	if s.chat {
@@ -122,8 +122,8 @@
 	return s.send(walnutramp.Position{Generation: s.g.ID(), Offset: b.To}.String(), o)
 }
 
-// end sends the usage, if asked for, and the end marker.
-func (s *stream) end(b generation.Batch, includeUsage bool) {
+// end sends the usage, if requested, and the end marker.
+func (s *eventWriter) end(b generation.Batch, includeUsage bool) {
 	if includeUsage {
 		o := s.base
 		o.Choices = []choice{}
@@ -131,12 +131,12 @@
 		s.send("", o)
 	}
 	fmt.Fprint(s.w, "data: [DONE]\n\n")
-	s.flush.Flush()
+	s.control.Flush()
 }
 
-func (s *stream) fail(e *walnutramp.Error) { s.send("", newErrorBody(e)) }
+func (s *eventWriter) fail(e *walnutramp.Error) { s.send("", newErrorBody(e)) }
 
-func (s *stream) send(id string, v any) error {
+func (s *eventWriter) send(id string, v any) error {
 	data, err := json.Marshal(v)
 	if err != nil {
 		return err
@@ -147,10 +147,10 @@
 	if _, err := fmt.Fprintf(s.w, "data: %s\n\n", data); err != nil {
 		return err
 	}
-	return s.flush.Flush()
+	return s.control.Flush()
 }
 
-// errorBody is how an error is told, in the OpenAI shape with our fields.
+// errorBody is an error in OpenAI format with additional fields.
 type errorBody struct {
 	Error errorInfo `json:"error"`
 }
@@ -174,16 +174,16 @@
 	}}
 }
 
-// refuse answers with an error at once.
-func (h *Handler) refuse(w http.ResponseWriter, e *walnutramp.Error) {
+// writeError answers a request with an error.
+func (h *Handler) writeError(w http.ResponseWriter, e *walnutramp.Error) {
 	h.cfg.Observe.Answered(e.Code)
 	w.Header().Set("Content-Type", "application/json")
 	if e.RetryAfter > 0 {
 		seconds := int(math.Ceil(e.RetryAfter.Seconds()))
 		w.Header().Set("Retry-After", strconv.Itoa(seconds))
 	}
-	// Clients of this dialect send again by themselves unless told not to;
-	// only a request that did not run and may come back is worth that.
+	// OpenAI clients retry by default. Allow that only for requests that did not run
+	// and that may succeed later.
 	w.Header().Set("X-Should-Retry", strconv.FormatBool(e.Outcome == walnutramp.NotRun && e.RetryAfter > 0))
 	w.WriteHeader(e.Code.Info().Status)
 	json.NewEncoder(w).Encode(newErrorBody(e))
--- a/caller/openai_test.go
+++ b/caller/openai_test.go
@@ -16,8 +16,7 @@
 	"github.com/walnutramp/walnutramp/standin"
 )
 
-// officialClient runs f with the official client against a site in virtual
-// time.
+// officialClient runs f with OpenAI's Go client against a site in virtual time.
 func officialClient(t *testing.T, f func(t *testing.T, s *site.Site, c openai.Client)) {
 	synctest.Test(t, func(t *testing.T) {
 		cfg := site.Default()
@@ -48,7 +47,7 @@
 
 const chatPrompt = "user: Summarise the incident.\n"
 
-func TestOfficialClientWholeChat(t *testing.T) {
+func TestOfficialClientChatCompletion(t *testing.T) {
 	officialClient(t, func(t *testing.T, _ *site.Site, c openai.Client) {
 		answer, err := c.Chat.Completions.New(t.Context(), chatParams(12))
 		require.NoError(t, err)
@@ -60,7 +59,7 @@
 	})
 }
 
-func TestOfficialClientStreamsAcrossEngineDeath(t *testing.T) {
+func TestOfficialClientStreamSurvivesEngineCrash(t *testing.T) {
 	officialClient(t, func(t *testing.T, s *site.Site, c openai.Client) {
 		for _, e := range s.Engines {
 			e.SetFault(standin.Fault{Kind: standin.FaultDie, AtToken: 15})
@@ -80,7 +79,7 @@
 	})
 }
 
-func TestOfficialClientSeesErrors(t *testing.T) {
+func TestOfficialClientParsesErrors(t *testing.T) {
 	officialClient(t, func(t *testing.T, _ *site.Site, c openai.Client) {
 		params := chatParams(4)
 		params.Model = "nonesuch"
--- a/caller/request.go
+++ b/caller/request.go
@@ -20,21 +20,21 @@
 )
 
 const (
-	defaultMaxTokens = 1024
-	prefixBytes      = 512 // of a prompt that decide which cache it may hit
-	maxKey           = 256 // bytes of an Idempotency-Key
-	headerKey        = "Idempotency-Key"
-	headerLast       = "Last-Event-ID"
+	defaultMaxTokens  = 1024
+	promptPrefixBytes = 512 // length of the prompt prefix used for cache affinity
+	maxKeyBytes       = 256 // length of an Idempotency-Key
+	headerKey         = "Idempotency-Key"
+	headerLast        = "Last-Event-ID"
 )
 
-// ask is what a caller's body asks for.
-type ask struct {
+// generationRequest is a parsed request body.
+type generationRequest struct {
 	spec         generation.Spec
 	stream       bool
 	includeUsage bool
 }
 
-// fields are those this system reads or rules on; all others go to the
+// fields are the options that this system interprets; all others are forwarded to the
 // engine unchanged.
 type fields struct {
 	Model         walnutramp.ModelName `json:"model"`
@@ -48,20 +48,20 @@
 	} `json:"stream_options"`
 }
 
-// ownFields never reach an engine as the caller wrote them.
-var ownFields = []string{
+// reservedFields are set by this system and not forwarded from the caller's request.
+var reservedFields = []string{
 	"model", "prompt", "messages", "max_tokens", "max_completion_tokens", "stream", "stream_options",
 	"priority", "return_token_ids", "kv_transfer_params", "n", "best_of", "echo", "logprobs",
 }
 
-// neutral gives, for options this system can't serve or can't carry over to
-// another engine, the values at which they change nothing.
-type neutral struct {
-	name   string
-	values []string
+// restrictedOption is an option that is accepted only, or can be resumed at another engine
+// only, with one of its neutral values.
+type restrictedOption struct {
+	name          string
+	neutralValues []string
 }
 
-var unsupported = []neutral{
+var unsupportedOptions = []restrictedOption{
 	{"n", []string{"1"}},
 	{"best_of", []string{"1"}},
 	{"echo", []string{"false"}},
@@ -74,9 +74,8 @@
 	{"audio", nil},
 }
 
-// bound options tie a generation to its engine: what they depend on is lost
-// with it.
-var bound = []neutral{
+// engineBoundOptions depend on engine state that can't be transferred to another engine.
+var engineBoundOptions = []restrictedOption{
 	{"presence_penalty", []string{"0", "0.0"}},
 	{"frequency_penalty", []string{"0", "0.0"}},
 	{"repetition_penalty", []string{"1", "1.0"}},
@@ -90,7 +89,7 @@
 	{"structured_outputs", nil},
 }
 
-func (n neutral) set(all map[string]json.RawMessage) bool {
+func (n restrictedOption) isSet(all map[string]json.RawMessage) bool {
 	v, ok := all[n.name]
 	if !ok || string(v) == "null" {
 		return false
@@ -99,17 +98,17 @@
 	if json.Compact(&compact, v) != nil {
 		return true
 	}
-	return !slices.Contains(n.values, compact.String())
+	return !slices.Contains(n.neutralValues, compact.String())
 }
 
-// readBody reads a request's body within the bounds on size and time.
+// readBody reads a request's body within the limits on size and time.
 func (h *Handler) readBody(w http.ResponseWriter, r *http.Request) ([]byte, *walnutramp.Error) {
 	control := http.NewResponseController(w)
-	control.SetReadDeadline(time.Now().Add(h.cfg.BodyTime))
+	control.SetReadDeadline(time.Now().Add(h.cfg.BodyTimeout))
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, h.cfg.MaxBody))
 	if err == nil {
-		// After a failure the deadline stays: net/http reads on to the body's
-		// end before it answers, and would wait for a slow caller again.
+		// After a failure the deadline is kept: net/http drains the body before it
+		// answers, and would wait for a slow caller again.
 		control.SetReadDeadline(time.Time{})
 	}
 	var tooLarge *http.MaxBytesError
@@ -117,15 +116,15 @@
 	case errors.As(err, &tooLarge):
 		return nil, walnutramp.NewError(walnutramp.CodeBodyTooLarge, walnutramp.NotRun, "the body is larger than %d bytes", h.cfg.MaxBody)
 	case errors.Is(err, os.ErrDeadlineExceeded), errors.Is(err, context.DeadlineExceeded):
-		return nil, walnutramp.NewError(walnutramp.CodeBodyTimeout, walnutramp.NotRun, "the body did not arrive within %v", h.cfg.BodyTime)
+		return nil, walnutramp.NewError(walnutramp.CodeBodyTimeout, walnutramp.NotRun, "the body did not arrive within %v", h.cfg.BodyTimeout)
 	case err != nil:
-		return nil, walnutramp.NewError(walnutramp.CodeBadRequest, walnutramp.NotRun, "the body broke off")
+		return nil, walnutramp.NewError(walnutramp.CodeBadRequest, walnutramp.NotRun, "the request body ended early")
 	}
 	return body, nil
 }
 
-// parse turns a body into what it asks for.
-func (h *Handler) parse(body []byte, key string, account bundle.Account, chat bool) (*ask, *walnutramp.Error) {
+// parse parses and validates a request body.
+func (h *Handler) parse(body []byte, key string, account bundle.Account, chat bool) (*generationRequest, *walnutramp.Error) {
 	var f fields
 	var all map[string]json.RawMessage
 	if err := json.Unmarshal(body, &all); err != nil || all == nil {
@@ -138,8 +137,8 @@
 	if !ok {
 		return nil, walnutramp.NewError(walnutramp.CodeUnknownModel, walnutramp.NotRun, "no model %q is in the bundle in force", f.Model)
 	}
-	for _, n := range unsupported {
-		if n.set(all) {
+	for _, n := range unsupportedOptions {
+		if n.isSet(all) {
 			return nil, walnutramp.NewError(walnutramp.CodeUnsupportedOption, walnutramp.NotRun, "%s is not served", n.name)
 		}
 	}
@@ -147,21 +146,21 @@
 	if err != nil {
 		return nil, err
 	}
-	if len(key) > maxKey {
-		return nil, walnutramp.NewError(walnutramp.CodeBadRequest, walnutramp.NotRun, "%s is longer than %d bytes", headerKey, maxKey)
+	if len(key) > maxKeyBytes {
+		return nil, walnutramp.NewError(walnutramp.CodeBadRequest, walnutramp.NotRun, "%s is longer than %d bytes", headerKey, maxKeyBytes)
 	}
-	a := &ask{stream: f.Stream, includeUsage: f.StreamOptions.IncludeUsage}
-	a.spec = generation.Spec{
-		Account: account.Name, Key: key, BodyDigest: bundle.Digest(body), Content: contentOf(body, account, string(f.Model)),
+	req := &generationRequest{stream: f.Stream, includeUsage: f.StreamOptions.IncludeUsage}
+	req.spec = generation.Spec{
+		Account: account.Name, Key: key, BodyDigest: bundle.Digest(body), Content: fingerprintOf(body, account, string(f.Model)),
 		Chat: chat, Model: f.Model, Prompt: prompt, PromptKey: promptKey(prompt),
-		Priority: account.Priority, Weight: account.Weight, Options: passOn(all),
+		Priority: account.Priority, Weight: account.Weight, Options: forwardedOptions(all),
 	}
-	for _, n := range bound {
-		if n.set(all) {
-			a.spec.Bound = append(a.spec.Bound, n.name)
+	for _, n := range engineBoundOptions {
+		if n.isSet(all) {
+			req.spec.Bound = append(req.spec.Bound, n.name)
 		}
 	}
-	return a, f.limitTokens(&a.spec, model)
+	return req, f.limitTokens(&req.spec, model)
 }
 
 func (f *fields) prompt(chat bool) (target.Prompt, *walnutramp.Error) {
@@ -200,12 +199,12 @@
 }
 
 func (f *fields) limitTokens(spec *generation.Spec, model bundle.Model) *walnutramp.Error {
-	room := model.Context - spec.PromptSize()
-	if room <= 0 {
+	available := model.Context - spec.PromptSize()
+	if available <= 0 {
 		return walnutramp.NewError(walnutramp.CodeBadRequest, walnutramp.NotRun,
-			"the prompt has about %d tokens and model %s holds %d", spec.PromptSize(), model.Name, model.Context)
+			"the prompt has about %d tokens; model %s has a context of %d tokens", spec.PromptSize(), model.Name, model.Context)
 	}
-	spec.MaxTokens = min(defaultMaxTokens, room)
+	spec.MaxTokens = min(defaultMaxTokens, available)
 	want := f.MaxTokens
 	if f.MaxCompletion != nil {
 		want = f.MaxCompletion
@@ -216,13 +215,13 @@
 	if *want < 1 {
 		return walnutramp.NewError(walnutramp.CodeBadRequest, walnutramp.NotRun, "max_tokens must be 1 or more")
 	}
-	spec.MaxTokens = min(*want, room)
+	spec.MaxTokens = min(*want, available)
 	return nil
 }
 
-// passOn returns the options that go to the engine as they are.
-func passOn(all map[string]json.RawMessage) json.RawMessage {
-	for _, name := range ownFields {
+// forwardedOptions returns the options that are forwarded to the engine unchanged.
+func forwardedOptions(all map[string]json.RawMessage) json.RawMessage {
+	for _, name := range reservedFields {
 		delete(all, name)
 	}
 	if len(all) == 0 {
@@ -243,10 +242,10 @@
 	if text == "" {
 		return 0
 	}
-	return xxhash.Sum64String(text[:min(len(text), prefixBytes)])
+	return xxhash.Sum64String(text[:min(len(text), promptPrefixBytes)])
 }
 
-// lastPosition reads Last-Event-ID, if the request has one.
+// lastPosition parses Last-Event-ID, if the request has it.
 func lastPosition(r *http.Request) (walnutramp.Position, bool, *walnutramp.Error) {
 	value := strings.TrimSpace(r.Header.Get(headerLast))
 	if value == "" {
--- a/caller/request_test.go
+++ b/caller/request_test.go
@@ -10,9 +10,8 @@
 	"github.com/walnutramp/walnutramp/bundle"
 )
 
-// TestNodeWithoutBundleSaysSo asks a node that has just started: it knows no
-// keys yet, so it must not call one wrong.
-func TestNodeWithoutBundleSaysSo(t *testing.T) {
+// A node without a bundle knows no API keys and must not reject one as invalid.
+func TestNodeWithoutBundleReportsNotInForce(t *testing.T) {
 	h := New(WithBundle(func() *bundle.Bundle { return &bundle.Bundle{} }))
 	w := httptest.NewRecorder()
 	r := httptest.NewRequest(http.MethodGet, "/v1/models", nil)
@@ -30,15 +29,15 @@
 	f.Add([]byte(`{"model":"m","messages":[{"role":"user","content":"x"}]}`), true)
 	f.Add([]byte(`{"model":"m","prompt":[1,2],"n":1,"seed":null}`), false)
 	f.Fuzz(func(t *testing.T, body []byte, chat bool) {
-		a, err := h.parse(body, "", bundle.Account{Name: "a"}, chat)
+		req, err := h.parse(body, "", bundle.Account{Name: "a"}, chat)
 		if err != nil {
 			if err.Outcome != walnutramp.NotRun {
-				t.Fatalf("a refused body is told %s", err.Outcome)
+				t.Fatalf("rejected body has outcome %s", err.Outcome)
 			}
 			return
 		}
-		if a.spec.Model != "m" || a.spec.MaxTokens < 1 || a.spec.MaxTokens > 100 {
-			t.Fatalf("taken: %+v", a.spec)
+		if req.spec.Model != "m" || req.spec.MaxTokens < 1 || req.spec.MaxTokens > 100 {
+			t.Fatalf("accepted: %+v", req.spec)
 		}
 	})
 }
--- a/caller/service.go
+++ b/caller/service.go
@@ -16,82 +16,82 @@
 	"k8s.io/klog/v2"
 )
 
-// Claim names a request that may not be repeated.
+// Claim identifies a request that must not run twice.
 type Claim struct {
 	Account walnutramp.ClientAccount
 	Key     string
 	Digest  string // of method, path and body
 }
 
-// Held is what the ledger knows of a claim.
+// Held is the ledger's state of a claim.
 type Held struct {
-	Mine    bool // this claim is new and its holder may send once
+	Mine    bool // the claim is new, and its owner may send the request once
 	Token   uint64
-	Outcome walnutramp.Outcome // of an older claim; Unknown while it runs
+	Outcome walnutramp.Outcome // of an earlier claim; Unknown while it runs
 	Settled bool
 	Digest  string
-	Answer  target.Answer // kept where Outcome is Ran
+	Answer  target.Answer // recorded if Outcome is Ran
 }
 
-// Ledger keeps who may run a request that may not be repeated, and what came
-// of it. An error means that nothing is known to be claimed.
+// Ledger records claims on requests that must not run twice, and their outcomes. An error
+// means that no claim is known to be recorded.
 type Ledger interface {
-	// Claim makes a claim durable, or returns the one that was first.
+	// Claim records a claim durably, or returns an earlier one with the same key.
 	Claim(ctx context.Context, c Claim) (Held, error)
-	// Settle records the outcome of one's own claim.
+	// Settle records the outcome of the caller's own claim.
 	Settle(ctx context.Context, c Claim, token uint64, outcome walnutramp.Outcome, a target.Answer) error
 }
 
-// attemptsPerCall bounds how often a repeatable call is sent.
-const attemptsPerCall = 3
+// maxAttempts bounds how often a repeatable call is sent.
+const maxAttempts = 3
 
 func (h *Handler) serveService(w http.ResponseWriter, r *http.Request, account bundle.Account) {
 	svc, ok := h.cfg.Bundle().Service(r.PathValue("service"))
 	if !ok {
-		h.refuse(w, walnutramp.NewError(walnutramp.CodeUnknownPath, walnutramp.NotRun, "no service %q is in the bundle in force", r.PathValue("service")))
+		h.writeError(w, walnutramp.NewError(walnutramp.CodeUnknownPath, walnutramp.NotRun, "no service %q is in the bundle in force", r.PathValue("service")))
 		return
 	}
 	body, refusal := h.readBody(w, r)
 	if refusal != nil {
-		h.refuse(w, refusal)
+		h.writeError(w, refusal)
 		return
 	}
-	call := target.Call{Method: r.Method, Path: "/" + r.PathValue("path"), Header: forwarded(r.Header), Body: body}
+	call := target.Call{Method: r.Method, Path: "/" + r.PathValue("path"), Header: forwardedHeader(r.Header), Body: body}
 	if r.URL.RawQuery != "" {
 		call.Path += "?" + r.URL.RawQuery
 	}
 	s := &serviceCall{h: h, account: account, service: svc, call: call, key: r.Header.Get(headerKey),
-		content: contentOf(body, account, svc.Name, call.Method, call.Path)}
-	if held := h.cfg.Quarantine.Refuse(s.content); held != nil {
-		h.refuse(w, held)
+		fingerprint: fingerprintOf(body, account, svc.Name, call.Method, call.Path)}
+	if held := h.cfg.Quarantine.Refuse(s.fingerprint); held != nil {
+		h.writeError(w, held)
 		return
 	}
 	var a target.Answer
 	var err error
 	if svc.Repeatable(r.Method, "/"+r.PathValue("path")) {
-		a, err = s.repeatable(r.Context())
+		a, err = s.sendRepeatable(r.Context())
 	} else {
-		a, err = s.once(r.Context())
+		a, err = s.sendOnce(r.Context())
 	}
 	if err != nil {
-		h.refuse(w, walnutramp.AsError(err))
+		h.writeError(w, walnutramp.AsError(err))
 		return
 	}
 	h.cfg.Observe.Answered(walnutramp.CodeOK)
 	writeAnswer(w, a)
 }
 
-// keptHeaders are those a service gets from the caller and back.
-var keptHeaders = []string{"Content-Type", "Accept", "Accept-Language", headerKey}
+// forwardedHeaders are forwarded from the caller to the service.
+var forwardedHeaders = []string{"Content-Type", "Accept", "Accept-Language", headerKey}
 
-func forwarded(from http.Header) http.Header {
-	kept := http.Header{}
-	for _, name := range keptHeaders {
+func forwardedHeader(from http.Header) http.Header {
+	header := http.Header{}
+	for _, name := range forwardedHeaders {
 		if v := from.Values(name); len(v) > 0 {
-			kept[http.CanonicalHeaderKey(name)] = v
+			header[http.CanonicalHeaderKey(name)] = v
 		}
 	}
-	return kept
+	return header
 }
 
 func writeAnswer(w http.ResponseWriter, a target.Answer) {
@@ -102,15 +102,15 @@
 	w.Write(a.Body)
 }
 
-// serviceCall is one caller's call of a plain service.
+// serviceCall is a caller's call of a plain service.
 type serviceCall struct {
-	h       *Handler
-	account bundle.Account
-	service bundle.Service
-	call    target.Call
-	key     string
-	content quarantine.Fingerprint
-	look    *quarantine.Look // whether the target that broke off last has ended
+	h           *Handler
+	account     bundle.Account
+	service     bundle.Service
+	call        target.Call
+	key         string
+	fingerprint quarantine.Fingerprint
+	crashProbe  *quarantine.Look // checks whether the target whose connection broke last has crashed
 }
 
 func (s *serviceCall) pick(ctx context.Context, avoid []walnutramp.TargetName) (*route.Grant, error) {
@@ -123,14 +123,14 @@
 	})
 }
 
-// repeatable sends a call that may be sent again, within the budget, until
-// one target answers.
-func (s *serviceCall) repeatable(ctx context.Context) (target.Answer, error) {
+// sendRepeatable sends an idempotent call, and retries it within the budget until a target
+// answers.
+func (s *serviceCall) sendRepeatable(ctx context.Context) (target.Answer, error) {
 	var avoid []walnutramp.TargetName
 	var last error
-	for i := range attemptsPerCall {
+	for i := range maxAttempts {
 		if i > 0 {
-			if stop := s.h.cfg.Quarantine.Stop(s.look, s.content); stop != nil {
+			if stop := s.h.cfg.Quarantine.Stop(s.crashProbe, s.fingerprint); stop != nil {
 				return target.Answer{}, stop
 			}
 			if !s.h.cfg.Router.SpendRetry() {
@@ -139,7 +139,7 @@
 		}
 		grant, err := s.pick(ctx, avoid)
 		if err != nil {
-			return target.Answer{}, notRunUnless(last, err)
+			return target.Answer{}, unknownIfSent(last, err)
 		}
 		a, err := s.send(ctx, grant, false)
 		if err == nil {
@@ -152,9 +152,8 @@
 		"no target of service %s answered: %v", s.service.Name, last).WithRetryAfter(time.Second)
 }
 
-// notRunUnless returns err, whose outcome is not-run only if nothing was sent
-// before it.
-func notRunUnless(sent, err error) error {
+// unknownIfSent returns err, with its outcome set to Unknown if a call was sent before.
+func unknownIfSent(sent, err error) error {
 	if sent == nil {
 		return err
 	}
@@ -164,63 +163,62 @@
 }
 
 func (s *serviceCall) send(ctx context.Context, grant *route.Grant, once bool) (target.Answer, error) {
-	ctx, cancel := context.WithTimeout(ctx, s.h.cfg.ServiceTime)
+	ctx, cancel := context.WithTimeout(ctx, s.h.cfg.ServiceTimeout)
 	defer cancel()
 	sent := uptime.Now()
 	a, err := s.h.cfg.Services.Service(grant.Target, once).Do(ctx, s.call)
 	if err != nil {
 		if ctx.Err() == nil && !notSent(err) {
-			s.noteBreak(grant, sent)
+			s.recordConnectionLoss(grant, sent)
 		}
 		grant.Done(route.NoAnswer(err))
 		return a, err
 	}
 	grant.Done(route.Finished)
-	s.h.cfg.Quarantine.Sound(s.content)
+	s.h.cfg.Quarantine.Sound(s.fingerprint)
 	return a, nil
 }
 
-// once sends a call that may not be repeated: it is claimed first, sent once,
-// and its outcome recorded.
-func (s *serviceCall) once(ctx context.Context) (target.Answer, error) {
+// sendOnce executes a non-idempotent call: it records a claim, sends the call at most once,
+// and records the outcome.
+func (s *serviceCall) sendOnce(ctx context.Context) (target.Answer, error) {
 	if s.key == "" {
 		return target.Answer{}, walnutramp.NewError(walnutramp.CodeKeyMissing, walnutramp.NotRun, "this call may not be repeated and has no %s", headerKey)
 	}
-	if len(s.key) > maxKey {
-		return target.Answer{}, walnutramp.NewError(walnutramp.CodeBadRequest, walnutramp.NotRun, "%s is longer than %d bytes", headerKey, maxKey)
+	if len(s.key) > maxKeyBytes {
+		return target.Answer{}, walnutramp.NewError(walnutramp.CodeBadRequest, walnutramp.NotRun, "%s is longer than %d bytes", headerKey, maxKeyBytes)
 	}
 	if s.h.cfg.Ledger == nil {
 		return target.Answer{}, walnutramp.NewError(walnutramp.CodeLedgerAway, walnutramp.NotRun, "this node has no ledger")
 	}
 	claim := Claim{Account: s.account.Name, Key: s.key, Digest: s.digest()}
-	if s.h.cfg.SendFirst {
-		return s.runClaimed(ctx, claim, 0)
+	if s.h.cfg.SendBeforeClaim {
+		return s.sendClaimed(ctx, claim, 0)
 	}
 	held, err := s.claim(ctx, claim)
 	if err != nil {
 		return target.Answer{}, err
 	}
 	if !held.Mine {
-		return earlier(claim, held)
+		return answerDuplicate(claim, held)
 	}
-	return s.runClaimed(ctx, claim, held.Token)
+	return s.sendClaimed(ctx, claim, held.Token)
 }
 
-// How a repeat waits for the one that was claimed before it.
+// Limits of waiting for the outcome of an earlier claim.
 const (
-	twinPatience = 5 * time.Second
-	twinPause    = 200 * time.Millisecond
+	duplicateTimeout      = 5 * time.Second
+	duplicatePollInterval = 200 * time.Millisecond
 )
 
-// claim asks the ledger until the claim is this call's or the earlier one has
-// an outcome, for a while: the earlier may be just ending, or its node may be
-// about to record that it sent nothing.
+// claim claims the call. If an earlier claim has no outcome yet, it polls the ledger until
+// there is one or duplicateTimeout has passed.
 func (s *serviceCall) claim(ctx context.Context, c Claim) (Held, error) {
 	began := time.Now()
 	for {
 		held, err := s.h.cfg.Ledger.Claim(ctx, c)
 		open := err == nil && !held.Mine && !held.Settled && held.Digest == c.Digest
-		if !open || time.Since(began) > twinPatience || !pause.For(ctx, twinPause) {
+		if !open || time.Since(began) > duplicateTimeout || !pause.For(ctx, duplicatePollInterval) {
 			return held, err
 		}
 	}
@@ -230,8 +228,8 @@
 	return bundle.Digest([]byte(s.service.Name + "\n" + s.call.Method + "\n" + s.call.Path + "\n" + string(s.call.Body)))
 }
 
-// earlier answers for a request that was claimed before.
-func earlier(c Claim, held Held) (target.Answer, error) {
+// answerDuplicate returns the answer to a request whose key was claimed before.
+func answerDuplicate(c Claim, held Held) (target.Answer, error) {
 	if held.Digest != c.Digest {
 		return target.Answer{}, walnutramp.NewError(walnutramp.CodeKeyReused, walnutramp.NotRun, "the key was used with another request")
 	}
@@ -248,17 +246,16 @@
 	return target.Answer{}, walnutramp.NewError(walnutramp.CodeOutcomeUnknown, walnutramp.Unknown, "the request was sent and its outcome is not known")
 }
 
-// settleTime bounds the recording of an outcome, which goes on when the
-// caller has left.
-const settleTime = 5 * time.Second
+// settleTimeout bounds recording an outcome, which is not canceled with the request.
+const settleTimeout = 5 * time.Second
 
-func (s *serviceCall) runClaimed(ctx context.Context, claim Claim, token uint64) (target.Answer, error) {
+func (s *serviceCall) sendClaimed(ctx context.Context, claim Claim, token uint64) (target.Answer, error) {
 	grant, err := s.pick(ctx, nil)
 	if err != nil {
 		s.settle(claim, token, walnutramp.NotRun, target.Answer{})
 		return target.Answer{}, err
 	}
-	// The call goes on when its caller leaves: its outcome must be known.
+	// Not canceled with the caller's request: the outcome must be recorded.
 	a, err := s.send(context.WithoutCancel(ctx), grant, true)
 	if err == nil {
 		s.settle(claim, token, walnutramp.Ran, a)
@@ -272,16 +269,16 @@
 	return target.Answer{}, walnutramp.NewError(walnutramp.CodeOutcomeUnknown, walnutramp.Unknown, "the request was sent and no answer came: %v", err)
 }
 
-// notSent reports whether the connection was never made.
+// notSent reports whether no connection to the target was made.
 func notSent(err error) bool {
 	var unsent *target.NotSentError
 	return errors.As(err, &unsent)
 }
 
 func (s *serviceCall) settle(claim Claim, token uint64, outcome walnutramp.Outcome, a target.Answer) {
-	ctx, cancel := context.WithTimeout(context.Background(), settleTime)
+	ctx, cancel := context.WithTimeout(context.Background(), settleTimeout)
 	defer cancel()
 	if err := s.h.cfg.Ledger.Settle(ctx, claim, token, outcome, a); err != nil {
-		klog.ErrorS(err, "Outcome not recorded", "account", claim.Account, "outcome", outcome)
+		klog.ErrorS(err, "Failed to record outcome in the ledger", "account", claim.Account, "outcome", outcome)
 	}
 }
