--- a/target/openai.go
+++ b/target/openai.go
@@ -14,42 +14,42 @@
 	"github.com/walnutramp/walnutramp"
 )
 
-// Limits of the OpenAI-style adapter.
+// Parameters of the OpenAI adapter.
 const (
-	orderTimeout   = 2 * time.Second // cancel, export and load calls
-	maxErrorBody   = 4096            // bytes of an error answer kept
+	controlTimeout = 2 * time.Second // for cancel, export, load and order calls
+	maxErrorBody   = 4096            // bytes kept of an error answer
 	doneMarker     = "[DONE]"
 	headerStreamID = "X-Request-Id"
 	headerLast     = "Last-Event-ID"
 )
 
-// Client is what adapters send requests with.
+// Client sends the requests of adapters.
 type Client struct {
-	rest *resty.Client
-	ends *resty.Client // for calls that only end work
+	rest    *resty.Client
+	cancels *resty.Client // for calls that only release work
 }
 
-// NewClient returns a Client that sends over rt, and calls that only end work over
-// ends: a target that rests still takes those, they take load off it. It never
-// retries: what is sent again is the caller's decision.
-func NewClient(rt, ends http.RoundTripper) *Client {
-	return &Client{rest: newResty(rt), ends: newResty(ends)}
+// NewClient returns a Client that sends over transport, and sends cancels over
+// cancelTransport: those relieve an overloaded target and are sent during its backoff, too.
+// It never retries; that is left to the caller.
+func NewClient(transport, cancelTransport http.RoundTripper) *Client {
+	return &Client{rest: newResty(transport), cancels: newResty(cancelTransport)}
 }
 
 func newResty(rt http.RoundTripper) *resty.Client {
-	return resty.New().SetTransport(rt).SetRetryCount(0).SetLogger(quiet{})
+	return resty.New().SetTransport(rt).SetRetryCount(0).SetLogger(discardLogger{})
 }
 
-// quiet drops resty's own log lines; errors are returned and logged once.
-type quiet struct{}
+// discardLogger drops resty's log lines, since errors are returned and logged once.
+type discardLogger struct{}
 
-func (quiet) Errorf(string, ...interface{}) {}
-func (quiet) Warnf(string, ...interface{})  {}
-func (quiet) Debugf(string, ...interface{}) {}
+func (discardLogger) Errorf(string, ...interface{}) {}
+func (discardLogger) Warnf(string, ...interface{})  {}
+func (discardLogger) Debugf(string, ...interface{}) {}
 
-// OpenAI is the adapter for engines that speak the OpenAI HTTP dialect with
-// token IDs in the stream. Streams are named by X-Request-Id, continued with
-// Last-Event-ID and cancelled by DELETE.
+// OpenAI is the adapter for engines with an OpenAI-compatible API that returns token IDs.
+// Streams are identified by X-Request-Id, resumed with Last-Event-ID and canceled by
+// DELETE.
 type OpenAI struct {
 	client *Client
 	base   string
@@ -86,9 +86,9 @@
 
 // Cancel implements Engine.
 func (e *OpenAI) Cancel(ctx context.Context, streamID string) error {
-	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
+	ctx, cancel := context.WithTimeout(ctx, controlTimeout)
 	defer cancel()
-	resp, err := e.client.ends.R().SetContext(ctx).Delete(e.base + "/v1/streams/" + streamID)
+	resp, err := e.client.cancels.R().SetContext(ctx).Delete(e.base + "/v1/streams/" + streamID)
 	if err != nil {
 		return err
 	}
@@ -100,7 +100,7 @@
 
 // Export implements Engine.
 func (e *OpenAI) Export(ctx context.Context, streamID string) (KVHandle, error) {
-	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
+	ctx, cancel := context.WithTimeout(ctx, controlTimeout)
 	defer cancel()
 	var kv KVHandle
 	resp, err := e.client.rest.R().SetContext(ctx).SetResult(&kv).Post(e.base + "/v1/streams/" + streamID + "/kv")
@@ -115,7 +115,7 @@
 
 // Load implements Engine.
 func (e *OpenAI) Load(ctx context.Context) (LoadReport, error) {
-	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
+	ctx, cancel := context.WithTimeout(ctx, controlTimeout)
 	defer cancel()
 	var report LoadReport
 	resp, err := e.client.rest.R().SetContext(ctx).SetResult(&report).Get(e.base + "/load")
@@ -131,7 +131,7 @@
 
 // Placed implements Orders.
 func (e *OpenAI) Placed(ctx context.Context) (Placed, error) {
-	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
+	ctx, cancel := context.WithTimeout(ctx, controlTimeout)
 	defer cancel()
 	var p Placed
 	resp, err := e.client.rest.R().SetContext(ctx).SetResult(&p).Get(e.base + "/v1/placed")
@@ -143,7 +143,7 @@
 
 // Order implements Orders.
 func (e *OpenAI) Order(ctx context.Context, o Order) error {
-	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
+	ctx, cancel := context.WithTimeout(ctx, controlTimeout)
 	defer cancel()
 	resp, err := e.client.rest.R().SetContext(ctx).SetBody(o).Post(e.base + "/v1/orders")
 	if err == nil && resp.IsError() {
@@ -152,7 +152,7 @@
 	return err
 }
 
-// attemptBody holds the fields this system sets in an engine's request.
+// attemptBody holds the fields of an engine request that this system sets.
 type attemptBody struct {
 	Model          walnutramp.ModelName `json:"model"`
 	Prompt         any                  `json:"prompt,omitempty"`
@@ -179,14 +179,14 @@
 	default:
 		set.Prompt = a.Prompt.Text
 	}
-	ours, err := json.Marshal(set)
+	own, err := json.Marshal(set)
 	if err != nil {
 		return nil, "", err
 	}
-	return joinObjects(ours, a.Options), path, nil
+	return joinObjects(own, a.Options), path, nil
 }
 
-// joinObjects joins two JSON objects that share no field.
+// joinObjects concatenates the fields of two JSON objects that share none.
 func joinObjects(a, b []byte) []byte {
 	b = bytes.TrimSpace(b)
 	if len(b) <= len("{}") {
@@ -210,7 +210,7 @@
 	return &openAIStream{body: body, events: NewEventReader(body), next: from}, nil
 }
 
-// StatusError is an engine's refusal.
+// StatusError is an error status returned by an engine.
 type StatusError struct {
 	Status int
 	Text   string
@@ -221,7 +221,7 @@
 	return "engine answered status " + strconv.Itoa(e.Status) + ": " + e.Text
 }
 
-// Final reports whether another engine would refuse as well.
+// Final reports whether other engines would reject the request as well.
 func (e *StatusError) Final() bool {
 	return e.Status >= 400 && e.Status < 500 &&
 		e.Status != http.StatusTooManyRequests && e.Status != http.StatusNotFound && e.Status != http.StatusRequestTimeout
@@ -263,7 +263,7 @@
 		}
 		var data streamEvent
 		if err := json.Unmarshal([]byte(ev.Data), &data); err != nil {
-			return Chunk{}, errors.Wrap(err, "engine sent a broken event")
+			return Chunk{}, errors.Wrap(err, "invalid event from engine")
 		}
 		if data.Error != nil {
 			return Chunk{}, errors.Newf("engine reported: %s", data.Error)
@@ -293,7 +293,7 @@
 	return c
 }
 
-// choiceTokens gives the text of a chunk to its last token.
+// choiceTokens returns the tokens of a choice, with its whole text at the last one.
 func choiceTokens(choice streamChoice) []walnutramp.Token {
 	text := choice.Text + choice.Delta.Content
 	if len(choice.TokenIDs) == 0 {
--- a/target/pool.go
+++ b/target/pool.go
@@ -10,22 +10,22 @@
 	"github.com/walnutramp/walnutramp/bundle"
 )
 
-// Connection settings towards targets.
+// Connection settings for targets.
 const (
 	targetDialTimeout = 500 * time.Millisecond
 	idlePerTarget     = 32
-	idleTime          = 60 * time.Second
+	idleTimeout       = 60 * time.Second
 )
 
 // DialFunc opens a connection; net.Dialer.DialContext is one.
 type DialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
-// Pool opens and keeps the clients of targets by address.
+// Pool provides the clients of targets.
 type Pool struct {
-	shared *http.Transport // for engines and calls that may be repeated
-	single *http.Transport // a connection for each call
-	client *Client
-	rests  *rests
+	shared   *http.Transport // for engines and calls that may be retried
+	perCall  *http.Transport // opens a connection for each call
+	client   *Client
+	backoffs *backoffTable
 
 	mu      sync.Mutex
 	engines map[string]Engine
@@ -45,20 +45,20 @@
 	shared := &http.Transport{
 		DialContext:         bounded,
 		MaxIdleConnsPerHost: idlePerTarget,
-		IdleConnTimeout:     idleTime,
+		IdleConnTimeout:     idleTimeout,
 		DisableCompression:  true,
 	}
-	single := &http.Transport{DialContext: bounded, DisableKeepAlives: true, DisableCompression: true}
-	kept := &rests{until: map[string]time.Time{}}
+	perCall := &http.Transport{DialContext: bounded, DisableKeepAlives: true, DisableCompression: true}
+	backoffs := &backoffTable{until: map[string]time.Time{}}
 	return &Pool{
-		shared: shared, single: single, rests: kept,
-		client: NewClient(restTransport{shared, kept}, shared), engines: map[string]Engine{},
+		shared: shared, perCall: perCall, backoffs: backoffs,
+		client: NewClient(backoffTransport{shared, backoffs}, shared), engines: map[string]Engine{},
 	}
 }
 
-// RestLeft returns for how long a target still wants nothing from this node, 0 or
-// less for one that wants requests.
-func (p *Pool) RestLeft(t bundle.Target) time.Duration { return p.rests.left(t.Address) }
+// RestLeft returns how much longer this node must not send requests to a target; 0 or
+// less if it may.
+func (p *Pool) RestLeft(t bundle.Target) time.Duration { return p.backoffs.left(t.Address) }
 
 // Engine returns the adapter of an engine target.
 func (p *Pool) Engine(t bundle.Target) Engine {
@@ -72,20 +72,20 @@
 	return e
 }
 
-// Orders returns the way to give a target orders.
+// Orders returns the client for sending orders to a target.
 func (p *Pool) Orders(t bundle.Target) Orders { return NewOpenAI(p.client, t.Address) }
 
-// Service returns the client of a service target; once says that its calls
-// may not be repeated.
+// Service returns the client for a service target. Once requests a client for calls that
+// must not be sent twice.
 func (p *Pool) Service(t bundle.Target, once bool) *Service {
 	if once {
-		return NewService(restTransport{p.single, p.rests}, t.Address)
+		return NewService(backoffTransport{p.perCall, p.backoffs}, t.Address)
 	}
-	return NewService(restTransport{p.shared, p.rests}, t.Address)
+	return NewService(backoffTransport{p.shared, p.backoffs}, t.Address)
 }
 
-// Close drops idle connections.
+// Close closes idle connections.
 func (p *Pool) Close() {
 	p.shared.CloseIdleConnections()
-	p.single.CloseIdleConnections()
+	p.perCall.CloseIdleConnections()
 }
--- a/target/rest.go
+++ b/target/rest.go
@@ -11,77 +11,73 @@
 	"github.com/walnutramp/walnutramp/internal/uptime"
 )
 
-// RestError says that nothing was sent to a target, which had asked for rest.
-type RestError struct {
-	Left time.Duration // until the target wants requests again
+// BackoffError reports that nothing was sent because the target had asked for backoff.
+type BackoffError struct {
+	Left time.Duration // until the target accepts requests
 }
 
 // Error implements the error interface.
-func (e *RestError) Error() string { return fmt.Sprintf("the target rests for %v more", e.Left) }
+func (e *BackoffError) Error() string { return fmt.Sprintf("target in backoff for %v", e.Left) }
 
-// Rests reports whether an error says that a target had asked for rest.
+// Rests reports whether err is a BackoffError.
 func Rests(err error) bool {
-	var rest *RestError
-	return errors.As(err, &rest)
+	var backoff *BackoffError
+	return errors.As(err, &backoff)
 }
 
-// rests are what targets asked this node for, by address.
-type rests struct {
+// backoffTable holds the backoffs that targets requested, by address.
+type backoffTable struct {
 	mu    sync.Mutex
 	until map[string]time.Time
 }
 
-// left returns for how long a target still wants nothing, 0 or less for one that
-// wants requests.
-func (r *rests) left(address string) time.Duration {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	until, ok := r.until[address]
+// left returns the remaining backoff of a target, 0 or less if there is none.
+func (t *backoffTable) left(address string) time.Duration {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	until, ok := t.until[address]
 	if !ok {
 		return 0
 	}
 	left := uptime.Until(until)
 	if left <= 0 {
-		delete(r.until, address)
+		delete(t.until, address)
 	}
 	return left
 }
 
-// note takes what an answer says of its target's wishes.
-func (r *rests) note(address string, answer *http.Response) {
-	rest := retryafter.Of(answer.StatusCode, answer.Header)
-	if rest == 0 {
+// record records the backoff that an answer requests, if any.
+func (t *backoffTable) record(address string, answer *http.Response) {
+	backoff := retryafter.Of(answer.StatusCode, answer.Header)
+	if backoff == 0 {
 		return
 	}
-	until := uptime.Now().Add(rest)
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if until.After(r.until[address]) {
-		r.until[address] = until
+	until := uptime.Now().Add(backoff)
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if until.After(t.until[address]) {
+		t.until[address] = until
 	}
 }
 
-// restTransport is a transport by which targets that asked for rest get nothing,
-// whatever its purpose: of 8 s of requests, with an engine that wants 3 s of rest each
-// time for 4 s, 8 came within its rests before, and 19 of calls to a plain service;
-// none now (TestEngineThatAskedForRestIsLeftAlone, TestServiceThatAskedForRestIsLeftAlone).
-type restTransport struct {
-	next  http.RoundTripper
-	rests *rests
+// backoffTransport sends nothing to targets during their backoff.
+type backoffTransport struct {
+	next     http.RoundTripper
+	backoffs *backoffTable
 }
 
 // RoundTrip implements http.RoundTripper.
-func (t restTransport) RoundTrip(r *http.Request) (*http.Response, error) {
+func (t backoffTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	address := r.URL.Host
-	if left := t.rests.left(address); left > 0 {
+	if left := t.backoffs.left(address); left > 0 {
 		if r.Body != nil {
 			r.Body.Close()
 		}
-		return nil, &NotSentError{Err: &RestError{Left: left}}
+		return nil, &NotSentError{Err: &BackoffError{Left: left}}
 	}
 	answer, err := t.next.RoundTrip(r)
 	if err == nil {
-		t.rests.note(address, answer)
+		t.backoffs.record(address, answer)
 	}
 	return answer, err
 }
--- a/target/service.go
+++ b/target/service.go
@@ -9,38 +9,38 @@
 	"github.com/cockroachdb/errors"
 )
 
-// MaxServiceAnswer is the largest answer of a plain service, in bytes.
+// MaxServiceAnswer bounds the answer of a plain service, in bytes.
 const MaxServiceAnswer = 16 << 20
 
-// Call is one call of a plain service.
+// Call is a call of a plain service.
 type Call struct {
 	Method string
-	Path   string // path and query below the service
+	Path   string // path and query, relative to the service
 	Header http.Header
 	Body   []byte
 }
 
-// Answer is a plain service's whole answer.
+// Answer is the complete answer of a plain service.
 type Answer struct {
 	Status int
 	Header http.Header
 	Body   []byte
 }
 
-// Service is one plain service process.
+// Service is the client of a plain service.
 type Service struct {
 	rt      http.RoundTripper
 	address string
 }
 
-// NewService returns the client for the service at address. For calls that
-// may not be repeated, rt must use each connection once: net/http sends a
-// request again by itself when a reused connection breaks.
+// NewService returns the client for the service at address. For calls that must not be
+// sent twice, rt must not reuse connections: net/http resends a request when a reused
+// connection breaks.
 func NewService(rt http.RoundTripper, address string) *Service {
 	return &Service{rt: rt, address: address}
 }
 
-// NotSentError says that a call failed before any byte of it was sent.
+// NotSentError reports that a call failed before any byte of it was sent.
 type NotSentError struct {
 	Err error
 }
@@ -51,7 +51,7 @@
 // Unwrap returns the cause.
 func (e *NotSentError) Unwrap() error { return e.Err }
 
-// Do sends c once and returns the whole answer.
+// Do sends c once and returns the complete answer.
 func (s *Service) Do(ctx context.Context, c Call) (Answer, error) {
 	req, err := http.NewRequestWithContext(ctx, c.Method, "http://"+s.address+c.Path, onceBody(c.Body))
 	if err != nil {
@@ -67,15 +67,15 @@
 	defer resp.Body.Close()
 	body, err := io.ReadAll(io.LimitReader(resp.Body, MaxServiceAnswer+1))
 	if err != nil {
-		return Answer{}, errors.Wrap(err, "answer cut off")
+		return Answer{}, errors.Wrap(err, "truncated answer")
 	}
 	if len(body) > MaxServiceAnswer {
-		return Answer{}, errors.New("answer too large")
+		return Answer{}, errors.Newf("answer larger than %d bytes", MaxServiceAnswer)
 	}
 	return Answer{Status: resp.StatusCode, Header: resp.Header, Body: body}, nil
 }
 
-// onceBody hides the reader's type, so that net/http can't rewind it.
+// onceBody hides the type of the reader, so that net/http can't rewind and resend it.
 func onceBody(b []byte) io.ReadCloser {
 	return struct{ io.ReadCloser }{io.NopCloser(bytes.NewReader(b))}
 }
--- a/target/sse.go
+++ b/target/sse.go
@@ -28,8 +28,7 @@
 	return &EventReader{lines: lines}
 }
 
-// Next returns the next event that has data, or io.EOF. An event cut off
-// before its blank line is not returned.
+// Next returns the next event with data, or io.EOF. A truncated event is discarded.
 func (r *EventReader) Next() (Event, error) {
 	var e Event
 	var data []string
--- a/target/sse_test.go
+++ b/target/sse_test.go
@@ -16,7 +16,7 @@
 	require.NoError(t, err)
 	require.Equal(t, Event{Name: "x", Data: "c"}, e)
 	_, err = r.Next()
-	require.Error(t, err, "an event cut off must not be taken for whole")
+	require.Error(t, err, "a truncated event is discarded")
 }
 
 func FuzzEventReader(f *testing.F) {
--- a/target/watch.go
+++ b/target/watch.go
@@ -10,18 +10,18 @@
 	"github.com/walnutramp/walnutramp/bundle"
 )
 
-// Sink takes what a watch learns of targets.
-type Sink interface {
-	// Report takes a load report.
+// ReportSink receives the results of a Watch.
+type ReportSink interface {
+	// Report delivers a load report.
 	Report(name walnutramp.TargetName, r LoadReport)
-	// Unreachable notes that a target did not answer.
+	// Unreachable reports that a target did not answer.
 	Unreachable(name walnutramp.TargetName)
 }
 
-// Watch asks each target for its load, one task a target.
+// Watch polls the load of each target, with one goroutine per target.
 type Watch struct {
 	pool     *Pool
-	sink     Sink
+	sink     ReportSink
 	interval time.Duration
 
 	mu     sync.Mutex
@@ -36,15 +36,15 @@
 	cancel context.CancelFunc
 }
 
-// NewWatch returns a watch of no targets; seed draws the spread of questions.
-func NewWatch(pool *Pool, sink Sink, interval time.Duration, seed uint64) *Watch {
+// NewWatch returns a watch of no targets; seed seeds the jitter of the polls.
+func NewWatch(pool *Pool, sink ReportSink, interval time.Duration, seed uint64) *Watch {
 	return &Watch{
 		pool: pool, sink: sink, interval: interval,
 		rng: rand.New(rand.NewPCG(seed, 6)), tasks: map[walnutramp.TargetName]*watchTask{},
 	}
 }
 
-// Apply makes the watch follow exactly these targets.
+// Apply sets the targets to poll.
 func (w *Watch) Apply(targets []bundle.Target) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -81,7 +81,7 @@
 	}()
 }
 
-// Close ends every task.
+// Close stops polling and waits for polls in flight.
 func (w *Watch) Close() {
 	w.mu.Lock()
 	w.closed = true
@@ -94,8 +94,8 @@
 
 func (w *Watch) run(ctx context.Context, t bundle.Target) {
 	for ctx.Err() == nil {
-		w.check(ctx, t)
-		timer := time.NewTimer(w.jittered())
+		w.poll(ctx, t)
+		timer := time.NewTimer(w.jitteredInterval())
 		select {
 		case <-timer.C:
 		case <-ctx.Done():
@@ -104,20 +104,19 @@
 	}
 }
 
-// AsksPerSecond bounds how many load reports a node asks for, all targets
-// together.
+// AsksPerSecond bounds the polls of a node per second, over all targets.
 const AsksPerSecond = 60
 
-func (w *Watch) jittered() time.Duration {
+func (w *Watch) jitteredInterval() time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	interval := max(w.interval, time.Duration(len(w.tasks))*time.Second/AsksPerSecond)
 	return time.Duration(float64(interval) * (0.8 + 0.4*w.rng.Float64()))
 }
 
-func (w *Watch) check(ctx context.Context, t bundle.Target) {
+func (w *Watch) poll(ctx context.Context, t bundle.Target) {
 	if t.Kind == bundle.KindService {
-		w.checkService(ctx, t)
+		w.pollService(ctx, t)
 		return
 	}
 	r, err := w.pool.Engine(t).Load(ctx)
@@ -131,9 +130,9 @@
 	w.sink.Report(t.Name, r)
 }
 
-// checkService only connects: plain services promise no load report.
-func (w *Watch) checkService(ctx context.Context, t bundle.Target) {
-	dialCtx, cancel := context.WithTimeout(ctx, orderTimeout)
+// pollService only connects, since plain services report no load.
+func (w *Watch) pollService(ctx context.Context, t bundle.Target) {
+	dialCtx, cancel := context.WithTimeout(ctx, controlTimeout)
 	defer cancel()
 	c, err := w.pool.shared.DialContext(dialCtx, "tcp", t.Address)
 	if err == nil {
--- a/target/watch_test.go
+++ b/target/watch_test.go
@@ -13,15 +13,13 @@
 	"github.com/walnutramp/walnutramp/target"
 )
 
-// noSink takes reports and forgets them.
-type noSink struct{}
+type discardSink struct{}
 
-func (noSink) Report(walnutramp.TargetName, target.LoadReport) {}
-func (noSink) Unreachable(walnutramp.TargetName)               {}
+func (discardSink) Report(walnutramp.TargetName, target.LoadReport) {}
+func (discardSink) Unreachable(walnutramp.TargetName)               {}
 
-// A dial may succeed just after the watch was ended; its connection is closed
-// all the same.
-func TestWatchThatEndsWhileItDialsClosesTheConnection(t *testing.T) {
+// A dial may succeed just after the watch was closed: its connection must not leak.
+func TestWatchClosedDuringDialClosesTheConnection(t *testing.T) {
 	near, far := net.Pipe()
 	require.NoError(t, far.SetReadDeadline(time.Now().Add(5*time.Second)))
 	dialing := make(chan struct{})
@@ -30,7 +28,7 @@
 		<-ctx.Done()
 		return near, nil
 	}
-	w := target.NewWatch(target.NewPool(dial), noSink{}, time.Hour, 1)
+	w := target.NewWatch(target.NewPool(dial), discardSink{}, time.Hour, 1)
 	w.Apply([]bundle.Target{{Name: "desk", Kind: bundle.KindService, Address: "10.0.0.1:80"}})
 	<-dialing
 	w.Close()
