--- a/gateway/call.go
+++ b/gateway/call.go
@@ -38,7 +38,7 @@
 	hasLast        bool
 	work           balance.Work
 	maxOutput      int                      // upper bound of the output, in tokens
-	prefixKey      string                   // identifies the prompt prefix for cache affinity
+	promptKey      string                   // identifies the prompt, the same whenever the request is sent again
 	resumed        bool                     // the client already has part of the answer
 	tried          map[*balance.Target]bool // targets that may have run it
 	rejected       map[*balance.Target]bool // targets that did not run it
@@ -104,7 +104,7 @@
 	return c, nil
 }
 
-// readWork derives the expected engine load and the cache-affinity key from the headers.
+// readWork derives the expected engine load and the prompt's key from the headers.
 func (g *Gateway) readWork(c *call, h http.Header) {
 	n := &g.cfg.Names
 	if !c.engine.Engine || n.ParseUsage == nil {
@@ -114,7 +114,7 @@
 	c.maxOutput = out
 	c.work = balance.Work{Read: prompt, Hold: prompt + out/2}
 	parts := strings.Split(h.Get(n.Prefix), ",")
-	c.prefixKey = strings.TrimSpace(parts[len(parts)-1])
+	c.promptKey = strings.TrimSpace(parts[len(parts)-1])
 	c.resumed = c.hasLast
 }
 
--- a/gateway/choose.go
+++ b/gateway/choose.go
@@ -85,11 +85,11 @@
 // its client has no part of the answer.
 func (c *call) isNew() bool { return c.engine.Engine && !c.mayHaveRun && !c.hasLast }
 
-// choice returns the selection criteria for the next target. After a failure the
-// prefix key is dropped: many requests may move at once, and affinity by prefix would
-// send them all to the same targets.
+// choice returns the selection criteria for the next target. After a failure the key of
+// the prompt is dropped: many requests may look for new targets at once, and are then
+// better spread by node than by prompt.
 func (c *call) choice() balance.Choice {
-	key := c.prefixKey
+	key := c.promptKey
 	if len(c.failedHalls) > 0 {
 		key = ""
 	}
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -31,7 +31,7 @@
 	NotRun     string // in answers: the request was not run
 	System     []string
 	Usage      string // prompt tokens and maximum output tokens
-	Prefix     string // hashes of the prompt's prefixes, the whole prompt last
+	Prefix     string // keys of the parts of the prompt, the request's own last
 	CopyHandle func(address, identity string) string
 	CopyOrders CopyOrders
 	ParseLoad  func(header string) (balance.Load, bool)
@@ -59,9 +59,9 @@
 	// Metering counts the requests of each client account; nil for none.
 	Metering *metering.Counter
 
-	// Find fetches what other nodes know of runs with this prefix key; nil if this
-	// node always knows. Again reports that the client already has part of the answer,
-	// so that such a run must exist.
+	// Find fetches what other nodes know of runs with this key; nil if this node always
+	// knows. Again reports that the client already has part of the answer, so that such
+	// a run must exist.
 	Find func(ctx context.Context, key string, again bool)
 	// Borrow obtains a retry for a service from another node's budget; nil for none.
 	Borrow func(ctx context.Context, service string) bool
--- a/gateway/refuse.go
+++ b/gateway/refuse.go
@@ -32,7 +32,7 @@
 	RetryAfterMS int64  `json:"retry_after_ms,omitempty"`
 }
 
-// refuse ends a request with an error of the gateway, before a call is opened for it.
+// refuse rejects a request with an error of the gateway, before any target is tried.
 func (g *Gateway) refuse(w http.ResponseWriter, r *http.Request, e *walnutramp.Error) {
 	klog.InfoS("Request ended here", "request", r.Header.Get(g.cfg.Names.Identity), "code", int(e.Code), "outcome", e.Outcome, "why", e.Message)
 	g.writeError(w, e)
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -53,10 +53,10 @@
 	r := &relay{gateway: g, call: c, w: w}
 	defer r.close()
 	if g.cfg.Find != nil {
-		g.cfg.Find(ctx, c.prefixKey, c.resumed)
+		g.cfg.Find(ctx, c.promptKey, c.resumed)
 	}
 	if c.resumed {
-		if at, name := g.targets.FindCopy(c.prefixKey); at != nil {
+		if at, name := g.targets.FindCopy(c.promptKey); at != nil {
 			klog.InfoS("Client comes again, a copy is known", "request", c.id, "copy", name, "at", at.ID, "last", c.lastID)
 			r.resumeFrom = &kvCopy{holder: at, name: name}
 		}
@@ -183,9 +183,9 @@
 	choice := c.choice()
 	o := runRequest{
 		request: g.request(c, t), work: g.targets.Kept(choice, t), expected: g.targets.Expected(choice, t),
-		trace: balance.Trace{Key: c.prefixKey},
+		trace: balance.Trace{Key: c.promptKey},
 	}
-	klog.InfoS("Run begins", "request", c.id, "content", c.fingerprint, "key", c.prefixKey, "route", c.route.Name, "version", c.version, "target", t.ID, "born", t.Born, "again", c.resumed, "last", c.lastID,
+	klog.InfoS("Run begins", "request", c.id, "content", c.fingerprint, "key", c.promptKey, "route", c.route.Name, "version", c.version, "target", t.ID, "born", t.Born, "again", c.resumed, "last", c.lastID,
 		"read", c.work.Read, "expectedRead", o.work.Read, "expected_ms", o.expected.Milliseconds(),
 		"fromCopy", from != nil, "run", r.runs)
 	if from != nil {
