--- a/balance/balance.go
+++ b/balance/balance.go
@@ -1,5 +1,5 @@
-// Package balance chooses the target of a request from what this node knows:
-// its own work under way, the loads that answers told, and what failed.
+// Package balance selects the target of a request from this node's view: its own active
+// runs, the runs that peers report, the loads that targets report, and recent failures.
 package balance
 
 import (
@@ -13,340 +13,339 @@
 	"github.com/walnutramp/walnutramp/topology"
 )
 
-// Load is what a target told of itself in an answer.
+// Load is the load that a target reports in a response.
 type Load struct {
 	Running int
 	Waiting int
 	Slots   int
-	// Slowdown is how long work takes beside the usual time, on a host that the
-	// target shares; 1 for as usual, 0 where it is not told.
+	// Slowdown is the ratio of the current to the usual processing time, on a host that
+	// the target shares; 1 is as usual, 0 unreported.
 	Slowdown float64
 }
 
-// Policy says how a target is chosen among those that may be asked.
+// Policy names a target selection algorithm.
 type Policy string
 
-// The policies. All but Predicted are there to be compared with.
+// Policies. All but Predicted are baselines for comparison.
 const (
-	Predicted     Policy = "predicted"      // least wait predicted
-	LeastReported Policy = "least-reported" // least load that its newest answer told
+	Predicted     Policy = "predicted"      // lowest predicted wait
+	LeastReported Policy = "least-reported" // lowest load in the latest report
 	RoundRobin    Policy = "round-robin"
 	Random        Policy = "random"
 )
 
-// Policies lists every policy.
+// Policies returns all policies.
 func Policies() []Policy { return []Policy{Predicted, LeastReported, RoundRobin, Random} }
 
-// Config sets how targets are weighed.
+// Config configures a Tracker.
 type Config struct {
-	Policy       Policy
-	DataHall     string        // of this node
-	Topology     topology.Map  // which data halls are in which region
-	FarCost      float64       // of an engine in another data hall, in milliseconds of wait
-	FarSlotCost  float64       // the same of a plain service's target
-	LoadHalfLife time.Duration // after which a told load counts half
-	// SlowdownHalfLife is after which a told slowdown counts half: other work on the
+	Policy             Policy
+	DataHall           string        // of this node
+	Topology           topology.Map  // data halls by region
+	RemoteHallCost     float64       // of an engine in another data hall, in milliseconds of wait
+	RemoteHallSlotCost float64       // of a plain service's target in another data hall, in milliseconds of wait
+	LoadHalfLife       time.Duration // of a reported load
+	// SlowdownHalfLife is the half-life of a reported slowdown: competing work on the
 	// host comes and goes.
 	SlowdownHalfLife time.Duration
-	AvoidFirst       time.Duration // how long a target is avoided after one failure
-	AvoidLongest     time.Duration
-	ErrorTolerate    float64 // share of failed answers above the others' that ejects
-	ErrorAvoid       time.Duration
+	MinBackoff       time.Duration // backoff after the first failure
+	MaxBackoff       time.Duration
+	ErrorMargin      float64 // excess of a target's error rate over its peers' at which it is ejected
+	ErrorBackoff     time.Duration
 	Seed             uint64
 }
 
 // Option sets a field of Config.
 type Option func(*Config)
 
-// WithPolicy sets how a target is chosen.
+// WithPolicy sets the selection policy.
 func WithPolicy(p Policy) Option { return func(c *Config) { c.Policy = p } }
 
-// WithDataHall names the data hall of this node.
+// WithDataHall sets the data hall of this node.
 func WithDataHall(hall string) Option { return func(c *Config) { c.DataHall = hall } }
 
-// WithTopology tells which data halls are in which region.
+// WithTopology sets which data halls are in which region.
 func WithTopology(m topology.Map) Option { return func(c *Config) { c.Topology = m } }
 
-// WithFarCost sets what a target in another data hall is held to be worse by,
-// in milliseconds of wait: an engine, and a plain service's target.
-func WithFarCost(engine, slot float64) Option {
-	return func(c *Config) { c.FarCost, c.FarSlotCost = engine, slot }
+// WithFarCost sets the cost of a target in another data hall, in milliseconds of wait,
+// for an engine and for a plain service's target.
+func WithFarCost(engine, plainService float64) Option {
+	return func(c *Config) { c.RemoteHallCost, c.RemoteHallSlotCost = engine, plainService }
 }
 
-// WithSlowdownHalfLife sets after which a target's word on how long work takes
-// there counts half.
+// WithSlowdownHalfLife sets the half-life of a reported slowdown.
 func WithSlowdownHalfLife(d time.Duration) Option {
 	return func(c *Config) { c.SlowdownHalfLife = d }
 }
 
-// WithSeed makes choices repeatable.
+// WithSeed makes selection reproducible.
 func WithSeed(seed uint64) Option { return func(c *Config) { c.Seed = seed } }
 
 func defaultConfig() Config {
 	return Config{
-		Policy:           Predicted,
-		FarCost:          50,
-		FarSlotCost:      20,
-		LoadHalfLife:     2 * time.Second,
-		SlowdownHalfLife: time.Second,
-		AvoidFirst:       400 * time.Millisecond,
-		AvoidLongest:     3 * time.Second,
-		ErrorTolerate:    0.25,
-		ErrorAvoid:       2 * time.Second,
-		Seed:             rand.Uint64(),
+		Policy:             Predicted,
+		RemoteHallCost:     50,
+		RemoteHallSlotCost: 20,
+		LoadHalfLife:       2 * time.Second,
+		SlowdownHalfLife:   time.Second,
+		MinBackoff:         400 * time.Millisecond,
+		MaxBackoff:         3 * time.Second,
+		ErrorMargin:        0.25,
+		ErrorBackoff:       2 * time.Second,
+		Seed:               rand.Uint64(),
 	}
 }
 
-// Tracker keeps all targets of the site.
+// Tracker tracks all targets of the site and selects among them.
 type Tracker struct {
 	cfg Config
 
-	mu           sync.Mutex
-	byID         map[string]*Target // newest life of each
-	byLife       map[string]*Target
-	byShort      map[uint32]*Target   // by short name of the life
-	pools        map[string]*pool     // by service
-	absent       map[string]*Target   // that the list no longer holds, by ID
-	absentAt     time.Time            // when it was last looked for those that are long absent
-	holders      map[string]*Target   // by address; of two listed there the later one
-	failed       map[*Target]struct{} // that failed this node lately
-	reading      uint64               // counts lists
-	lastOrder    uint64               // of the target listed last
-	listed       bool
-	others       map[string]*sharedRuns // by node
-	named        map[string]namedTrace  // traces that were told by themselves, by key
-	running      map[*Run]struct{}      // own runs under way that ask anything of their targets
-	broken       []*Run                 // own runs that broke off, oldest first
-	memory       map[string]memory      // by key, from before this node's start
-	engines      map[string]Engine      // by service, as the configuration says
-	paces        map[string]*pace       // by service
-	read         readPlaces             // of prompts
-	numbers      uint64                 // of own runs
-	own          string                 // this node
-	nodes        []string               // that choose among the targets, sorted
-	nodesVersion uint64                 // counts changes of the nodes
-	silentAt     time.Time              // before which no other node's word runs out
-	farLag       time.Duration          // by which word of nodes in other halls is older
-	newsLag      time.Duration          // until most nodes know what one began
-	// regionLag is by which word of nodes in other regions is older than that of
-	// nodes in other data halls of the own one.
-	regionLag time.Duration
-	trips     topology.RoundTrips // to targets' data halls
-	changed   func()              // own runs changed
-	silence   func()              // a target fell silent
-	turn      uint64              // of RoundRobin
-	rng       *rand.Rand
-
-	looks      uint64      // counts choices
-	candidates []candidate // of the newest choice
-	unread     []Shared    // of the target looked at last
-
-	remembered time.Time     // when memory was taken
-	memoryAge  time.Duration // how old it was then
+	mu               sync.Mutex
+	byID             map[string]*Target // latest incarnation of each
+	byIncarnation    map[string]*Target
+	byShortName      map[uint32]*Target // by short name of the incarnation
+	pools            map[string]*pool   // by service
+	delisted         map[string]*Target // not in the latest list, by ID
+	delistedSweptAt  time.Time
+	byAddress        map[string]*Target   // by address; of two targets at one address, the later
+	recentlyFailed   map[*Target]struct{} // that failed for this node
+	listGeneration   uint64               // of the latest list
+	lastListOrder    uint64               // of the last target indexed
+	hasList          bool
+	peers            map[string]*peerReport   // by node
+	peerTraces       map[string]peerTrace     // received individually from peers, by key
+	activeRuns       map[*Run]struct{}        // of this node, without those of empty Work
+	failedRuns       []*Run                   // of this node, oldest first
+	restored         map[string]restoredTrace // from before a restart, by key
+	engines          map[string]Engine        // by service, from the configuration
+	speeds           map[string]*engineSpeed  // by service
+	prompts          promptIndex              // which target has prefilled which prompt
+	lastRunNumber    uint64                   // of this node
+	self             string                   // name of this node
+	nodes            []string                 // that select among the targets, sorted
+	nodesVersion     uint64                   // incremented when nodes changes
+	nextPeerExpiry   time.Time                // no peer's report expires earlier
+	crossHallLag     time.Duration            // additional delay of reports from other data halls
+	propagationDelay time.Duration            // until most nodes have learned of a new run
+	// crossRegionLag is the additional delay of reports from other regions, on top of
+	// crossHallLag.
+	crossRegionLag time.Duration
+	roundTrips     topology.RoundTrips // to the targets' data halls
+	onChange       func()              // called when this node's runs change
+	onUnresponsive func()              // called when a target becomes unresponsive
+	roundRobinSeq  uint64              // of the RoundRobin policy
+	rng            *rand.Rand
+
+	scans      uint64      // number of selections
+	candidates []candidate // of the latest selection; reused
+	pendingBuf []Shared    // buffer of Target.pendingPrefills
+
+	restoredAt  time.Time     // when restored was set
+	restoredAge time.Duration // age of restored at that time
 }
 
-// Target is one target with what is known of it.
+// Target is a target and the state that this node tracks for it.
 type Target struct {
 	discovery.Target
-	tracker   *Tracker
-	listed    uint64 // number of the list that held it last
-	order     uint64 // among all that were ever listed
-	pool      *pool  // nil while it is not listed
-	hall      *hallPool
-	level     int    // of the data hall's targets alike, those that it is among
-	place     int    // among these
-	looked    uint64 // number of the choice that looked at it last
-	taken     occupancy
-	inBroken  bool      // it is among those of its pool that broke off
-	life      string    // names this start of it
-	indexedAs string    // the life by which it is found
-	since     time.Time // when it was first listed
-
-	turn      uint64    // of RoundRobin, when it was chosen last
-	gone      bool      // it is known to have ended
-	refused   time.Time // when nobody answered at its address
-	broke     time.Time // when it broke off, and has not been heard of since
-	rumour    time.Time // when another node said that it broke off
-	silent    time.Time // when it fell silent to this node or, as told, to another
-	mute      time.Time // when it fell silent to this node
-	dark      time.Time // when this node found that it answers nothing at all
-	doubted   time.Time // when its data hall was in doubt
-	heard     time.Time // when it last answered this node
-	runs      map[*Run]struct{}
-	others    map[string]otherRuns // by node
-	gain      float64              // because this node owns it
-	gainFor   uint64               // version of the nodes that the gain is of
-	keptUntil time.Time            // until when a connection is kept; zero for none
-	speed     estimate             // of reading, beside its peers
-	speedAt   time.Time            // when that was learned
-	told      Load
-	toldAt    time.Time
-	own       int // own requests under way when it told
-	row       int // failures in a row
-	avoid     time.Time
-	errors    float64 // decayed share of failed answers
-	rest      rest    // that it asked this node for
-
-	absentAt time.Time // when the list last did not hold it any more
+	tracker            *Tracker
+	listGeneration     uint64 // of the latest list that contained it
+	listOrder          uint64 // order of listing
+	pool               *pool  // nil while not listed
+	hall               *hallPool
+	bucket             int    // index in hall.buckets
+	bucketIndex        int    // index within the bucket
+	lastScan           uint64 // latest selection that considered it
+	occupancy          occupancy
+	inRecentFailures   bool   // in pool.recentFailures
+	incarnation        string // identifies its process start
+	indexedIncarnation string // incarnation under which it is indexed
+	firstListedAt      time.Time
+
+	roundRobinSeq       uint64    // the Tracker's when last selected
+	ended               bool      // known to have ended
+	refusedAt           time.Time // when a connection was refused
+	failedAt            time.Time // when it failed, unless it has answered since
+	peerFailedAt        time.Time // when a peer reported that it failed
+	unresponsiveAt      time.Time // when this node or a peer found it unresponsive
+	ownUnresponsiveAt   time.Time // when this node found it unresponsive
+	unreachableAt       time.Time // when this node found that it answers nothing at all
+	hallSuspectAt       time.Time // when its data hall was suspect
+	answeredAt          time.Time // when it last answered this node
+	runs                map[*Run]struct{}
+	peerRuns            map[string]peerRuns // by node
+	ownerBonus          float64             // score bonus as this node is its owner
+	ownerBonusVersion   uint64              // nodesVersion for which ownerBonus was computed
+	connectedUntil      time.Time           // expiry of an idle connection to it; zero for none
+	relativeEstimate    estimate            // prefill speed relative to its peers
+	relativeEstimateAt  time.Time           // when relativeEstimate was updated
+	load                Load
+	loadAt              time.Time
+	activeAtLoad        int // this node's active requests when load was reported
+	consecutiveFailures int
+	backoffUntil        time.Time
+	errorRate           float64  // exponentially weighted
+	cooldown            cooldown // requested by the target from this node
+
+	delistedAt time.Time
 }
 
-// NewTracker returns a tracker that knows no target.
+// NewTracker returns a tracker without targets.
 func NewTracker(opts ...Option) *Tracker {
 	cfg := defaultConfig()
 	for _, opt := range opts {
 		opt(&cfg)
 	}
 	return &Tracker{
-		cfg: cfg, byID: map[string]*Target{}, byLife: map[string]*Target{}, byShort: map[uint32]*Target{}, pools: map[string]*pool{},
-		absent: map[string]*Target{}, holders: map[string]*Target{}, failed: map[*Target]struct{}{}, others: map[string]*sharedRuns{},
-		named: map[string]namedTrace{}, paces: map[string]*pace{}, running: map[*Run]struct{}{}, nodesVersion: 1,
-		changed: func() {}, silence: func() {}, rng: rand.New(rand.NewPCG(cfg.Seed, 11)),
+		cfg: cfg, byID: map[string]*Target{}, byIncarnation: map[string]*Target{}, byShortName: map[uint32]*Target{}, pools: map[string]*pool{},
+		delisted: map[string]*Target{}, byAddress: map[string]*Target{}, recentlyFailed: map[*Target]struct{}{}, peers: map[string]*peerReport{},
+		peerTraces: map[string]peerTrace{}, speeds: map[string]*engineSpeed{}, activeRuns: map[*Run]struct{}{}, nodesVersion: 1,
+		onChange: func() {}, onUnresponsive: func() {}, rng: rand.New(rand.NewPCG(cfg.Seed, 11)),
 	}
 }
 
-// Update takes a new list. It returns the lives of targets that are over or no
-// longer on it. Of two that are listed under one address, the one listed later has
-// it: the other has ended, though the list lags behind. What the list holds as before
-// costs a comparison.
+// Update applies a complete target list and returns the incarnations that have ended or
+// are no longer listed. Of two targets listed at one address, the one listed later is
+// kept: the other has ended and the list lags behind. An unchanged entry costs one
+// comparison.
 func (t *Tracker) Update(list []discovery.Target) (removed []string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := uptime.Now()
-	t.reading++
+	t.listGeneration++
 	listed := 0
 	for i := range list {
 		entry := &list[i]
 		known := t.byID[entry.ID]
-		if known == nil || !known.is(entry) {
-			known = t.put(entry, now, &removed)
+		if known == nil || !known.matches(entry) {
+			known = t.upsert(entry, now, &removed)
 		}
-		if known.listed != t.reading {
-			known.listed = t.reading
+		if known.listGeneration != t.listGeneration {
+			known.listGeneration = t.listGeneration
 			listed++
 		}
 	}
 	if listed < len(t.byID) {
 		for _, target := range t.byID {
-			if target.listed != t.reading {
-				removed = append(removed, target.life)
-				t.drop(target, now)
+			if target.listGeneration != t.listGeneration {
+				removed = append(removed, target.incarnation)
+				t.delist(target, now)
 			}
 		}
 	}
-	t.forgetAbsent(now)
-	t.listed = true
+	t.expireDelisted(now)
+	t.hasList = true
 	return removed
 }
 
-// Change takes a change of the list that was taken last. It returns the lives of targets
-// that are over or no longer on the list.
+// Change applies a delta to the latest list and returns the incarnations that have
+// ended or are no longer listed.
 func (t *Tracker) Change(c discovery.Change) (removed []string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := uptime.Now()
 	for i := range c.Put {
-		if known := t.byID[c.Put[i].ID]; known == nil || !known.is(&c.Put[i]) {
-			t.put(&c.Put[i], now, &removed)
+		if known := t.byID[c.Put[i].ID]; known == nil || !known.matches(&c.Put[i]) {
+			t.upsert(&c.Put[i], now, &removed)
 		}
 	}
 	for _, id := range c.Removed {
 		if target := t.byID[id]; target != nil {
-			removed = append(removed, target.life)
-			t.drop(target, now)
+			removed = append(removed, target.incarnation)
+			t.delist(target, now)
 		}
 	}
-	t.forgetAbsent(now)
+	t.expireDelisted(now)
 	return removed
 }
 
-// put takes an entry that is new or says something else than before, and returns its
-// target. The caller holds the mutex.
-func (t *Tracker) put(entry *discovery.Target, now time.Time, removed *[]string) *Target {
+// upsert inserts or updates the target of a new or changed entry. The caller holds the
+// mutex.
+func (t *Tracker) upsert(entry *discovery.Target, now time.Time, removed *[]string) *Target {
 	before := t.byID[entry.ID]
-	target := t.lifeOf(*entry, now)
-	if before == target && target.life == target.indexedAs && target.pool != nil {
-		t.hold(target)
+	target := t.resolve(*entry, now)
+	if before == target && target.incarnation == target.indexedIncarnation && target.pool != nil {
+		t.indexAddress(target)
 		return target
 	}
 	if before != nil {
-		*removed = append(*removed, before.indexedAs)
-		t.unlist(before)
+		*removed = append(*removed, before.indexedIncarnation)
+		t.unindex(before)
 	}
-	t.list(target)
+	t.index(target)
 	return target
 }
 
-// list has choices find a target. The caller holds the mutex.
-func (t *Tracker) list(target *Target) {
-	target.indexedAs = target.life
-	t.lastOrder++
-	target.order = t.lastOrder
-	t.byID[target.ID], t.byLife[target.life] = target, target
-	t.byShort[shortname.Of(target.life)] = target
-	delete(t.absent, target.ID)
+// index adds a target to the indexes. The caller holds the mutex.
+func (t *Tracker) index(target *Target) {
+	target.indexedIncarnation = target.incarnation
+	t.lastListOrder++
+	target.listOrder = t.lastListOrder
+	t.byID[target.ID], t.byIncarnation[target.incarnation] = target, target
+	t.byShortName[shortname.Of(target.incarnation)] = target
+	delete(t.delisted, target.ID)
 	t.poolOf(target.Service).add(target)
-	t.hold(target)
+	t.indexAddress(target)
 }
 
-// hold notes which target has an address. The caller holds the mutex.
-func (t *Tracker) hold(target *Target) {
-	if other := t.holders[target.Address]; other != target {
-		t.holders[target.Address] = later(other, target)
+// indexAddress records the target at an address. The caller holds the mutex.
+func (t *Tracker) indexAddress(target *Target) {
+	if other := t.byAddress[target.Address]; other != target {
+		t.byAddress[target.Address] = laterListed(other, target)
 	}
 }
 
-// unlist has choices find a target no more. The caller holds the mutex.
-func (t *Tracker) unlist(target *Target) {
+// unindex removes a target from the indexes. The caller holds the mutex.
+func (t *Tracker) unindex(target *Target) {
 	target.pool.remove(target)
 	delete(t.byID, target.ID)
-	delete(t.byLife, target.indexedAs)
-	if short := shortname.Of(target.indexedAs); t.byShort[short] == target {
-		delete(t.byShort, short)
+	delete(t.byIncarnation, target.indexedIncarnation)
+	if short := shortname.Of(target.indexedIncarnation); t.byShortName[short] == target {
+		delete(t.byShortName, short)
 	}
-	if t.holders[target.Address] == target {
-		delete(t.holders, target.Address)
+	if t.byAddress[target.Address] == target {
+		delete(t.byAddress, target.Address)
 	}
 }
 
-// drop takes a target off that a new list does not hold. The caller holds the mutex.
-func (t *Tracker) drop(target *Target, now time.Time) {
-	t.unlist(target)
-	target.absentAt = now
-	t.absent[target.ID] = target
+// delist delists a target that a new list does not contain. The caller holds the mutex.
+func (t *Tracker) delist(target *Target, now time.Time) {
+	t.unindex(target)
+	target.delistedAt = now
+	t.delisted[target.ID] = target
 }
 
-// OpenIDs returns the targets of a service that may be asked and are wanted.
+// OpenIDs returns the IDs of a service's available targets that satisfy wanted.
 func (t *Tracker) OpenIDs(service string, wanted func(*Target) bool) []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := uptime.Now()
 	var ids []string
 	for target := range t.poolOf(service).all() {
-		if target.open(now) && wanted(target) {
+		if target.available(now) && wanted(target) {
 			ids = append(ids, target.ID)
 		}
 	}
 	return ids
 }
 
-// later marks the one of two targets at an address gone that was listed
-// earlier, and returns the other.
-func later(a, b *Target) *Target {
+// laterListed returns the later listed of two targets at one address and marks the other as
+// ended.
+func laterListed(a, b *Target) *Target {
 	if a == nil {
 		return b
 	}
-	if a.since.After(b.since) {
+	if a.firstListedAt.After(b.firstListedAt) {
 		a, b = b, a
 	}
-	if b.since.After(a.since) {
-		a.setGone()
+	if b.firstListedAt.After(a.firstListedAt) {
+		a.markEnded()
 	}
 	return b
 }
 
-// Listed reports whether a list has been taken.
+// Listed reports whether a list has been applied.
 func (t *Tracker) Listed() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.listed
+	return t.hasList
 }
--- a/balance/budget.go
+++ b/balance/budget.go
@@ -8,121 +8,121 @@
 	"github.com/walnutramp/walnutramp/internal/uptime"
 )
 
-// Count is how many requests and repeats there were within a window.
+// Count is the number of requests and retries within a window.
 type Count struct {
 	Requests int `msgpack:"r"`
 	Repeats  int `msgpack:"p"`
 }
 
-// BudgetConfig is a site's bound on repeats: within any window, over all
-// nodes, no more than Ratio times the requests and Slack.
+// BudgetConfig is a site's retry limit: within any window, all nodes together send at
+// most Ratio times the requests plus Slack.
 type BudgetConfig struct {
 	Ratio  float64
 	Slack  float64
 	Window time.Duration
-	// Part returns the share of Slack, from 0 to 1, that this node may have used
-	// within the last TakenWithin; nil for all of it, where the node is the only one.
+	// Part returns the share of Slack, from 0 to 1, that this node may have used within
+	// the last TakenWithin; nil for all of it, on a single node.
 	Part func() float64
 }
 
-// TakenWithin is the time within which repeats were taken that arrive within one window.
+// TakenWithin is the period in which retries that arrive within one window were spent.
 func (c *BudgetConfig) TakenWithin() time.Duration {
 	return c.Window * (slotsInWindow + transitSlots) / slotsInWindow
 }
 
-// transit is how long after it was taken a repeat counts as on its way.
+// transit is how long a spent retry counts as in flight.
 func (c *BudgetConfig) transit() time.Duration { return c.Window * transitSlots / slotsInWindow }
 
-// Budget bounds the repeats to one service over all nodes, by what this node alone
-// knows: a repeat is within the node's own requests, or within its part of the slack.
-// Nodes that went by each other's counts passed the bound by up to half, since counts
-// are late, and forgotten with the node that told them.
+// Budget limits the retries to one service over all nodes using local state only: a
+// retry is covered by this node's own requests or by its share of the slack. Counts
+// exchanged between nodes do not enter, since late or lost counts would let the site
+// exceed its limit.
 type Budget struct {
 	cfg BudgetConfig
 
-	mu     sync.Mutex
-	own    history
-	lent   []time.Time          // repeats of other nodes that may be taken here: from when on they count there
-	others map[string]toldCount // for operators to see; nothing is decided by them
+	mu       sync.Mutex
+	own      history
+	borrowed []time.Time          // by the time from which the lender counts them
+	peers    map[string]peerCount // for the operator's status only; not used for decisions
 }
 
-type toldCount struct {
+type peerCount struct {
 	count Count
 	at    time.Time
 }
 
-// NewBudget returns a budget of which nothing is spent.
+// NewBudget returns an unspent budget.
 func NewBudget(cfg BudgetConfig) *Budget {
 	if cfg.Part == nil {
 		cfg.Part = func() float64 { return 1 }
 	}
-	return &Budget{cfg: cfg, own: newHistory(cfg.Window), others: map[string]toldCount{}}
+	return &Budget{cfg: cfg, own: newHistory(cfg.Window), peers: map[string]peerCount{}}
 }
 
-// Earn counts a client's request in.
+// Earn counts a client's request.
 func (b *Budget) Earn() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.own.add(uptime.Now(), Count{Requests: 1})
 }
 
-// Repeat is one repeat that was taken. The zero value is none.
+// Repeat is one retry spent from a Budget. The zero value is none.
 type Repeat struct {
-	At   time.Time // from when on it counts as on its way
-	lent bool
+	At       time.Time // from when it counts as in flight
+	borrowed bool
 }
 
-// Taken reports whether it was taken at all.
+// Taken reports whether a retry was spent.
 func (r Repeat) Taken() bool { return !r.At.IsZero() }
 
-// Spend takes one repeat, of this node's or one that another lent; false if there is none
+// Spend spends one retry, this node's own or a borrowed one; ok is false if none is
 // left.
-func (b *Budget) Spend() (taken Repeat, ok bool) {
+func (b *Budget) Spend() (spent Repeat, ok bool) {
 	slack := b.cfg.Slack * b.cfg.Part()
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := uptime.Now()
-	if b.takeOwn(now, slack) {
+	if b.spendOwn(now, slack) {
 		return Repeat{At: now}, true
 	}
-	b.dropLate(now)
-	if len(b.lent) == 0 {
+	b.dropExpired(now)
+	if len(b.borrowed) == 0 {
 		return Repeat{}, false
 	}
-	taken = Repeat{At: b.lent[0], lent: true}
-	b.lent = b.lent[1:]
-	return taken, true
+	spent = Repeat{At: b.borrowed[0], borrowed: true}
+	b.borrowed = b.borrowed[1:]
+	return spent, true
 }
 
-// Refund gives a repeat back that did not arrive and will not.
+// Refund returns a retry that did not and will not reach its target.
 func (b *Budget) Refund(r Repeat) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if r.lent {
-		b.lent = append(b.lent, r.At)
+	if r.borrowed {
+		b.borrowed = append(b.borrowed, r.At)
 		return
 	}
-	b.own.takeBack(uptime.Now(), r.At)
+	b.own.remove(uptime.Now(), r.At)
 }
 
-// Lend takes one repeat of this node's for another one; false if there is none left. It
-// counts here, whether the other uses it or not.
+// Lend spends one of this node's retries on behalf of a peer; false if none is left. It
+// counts here whether or not the peer uses it.
 func (b *Budget) Lend() bool {
 	slack := b.cfg.Slack * b.cfg.Part()
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.takeOwn(uptime.Now(), slack)
+	return b.spendOwn(uptime.Now(), slack)
 }
 
-// Borrowed takes in a repeat that another node lent after it was asked at a time.
+// Borrowed adds a retry that a peer lent in answer to a request sent at asked.
 func (b *Budget) Borrowed(asked time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.lent = append(b.lent, asked)
+	b.borrowed = append(b.borrowed, asked)
 }
 
-// takeOwn takes one of this node's repeats. The caller holds the mutex, as for dropLate.
-func (b *Budget) takeOwn(now time.Time, slack float64) bool {
+// spendOwn spends one of this node's retries. The caller holds the mutex.
+func (b *Budget) spendOwn(now time.Time, slack float64) bool {
 	if !b.own.allows(now, b.cfg.Ratio, slack) {
 		return false
 	}
@@ -130,52 +130,53 @@
 	return true
 }
 
-// dropLate drops what was lent too long ago to be sent in time.
-func (b *Budget) dropLate(now time.Time) {
-	b.lent = slices.DeleteFunc(b.lent, func(taken time.Time) bool { return now.Sub(taken) >= b.SendWithin() })
+// dropExpired drops borrowed retries that can no longer be sent in time. The caller holds
+// the mutex.
+func (b *Budget) dropExpired(now time.Time) {
+	b.borrowed = slices.DeleteFunc(b.borrowed, func(spentAt time.Time) bool { return now.Sub(spentAt) >= b.SendWithin() })
 }
 
 // Part returns the share of the slack that this node may use now.
 func (b *Budget) Part() float64 { return b.cfg.Part() }
 
-// SendWithin is how long after it was taken a repeat may be sent: half of the time for
-// which it counts as on its way, so that the way to the target may take the other half.
+// SendWithin is how long after it was spent a retry may be sent: half of the time for
+// which it counts as in flight, which leaves the other half for transmission.
 func (b *Budget) SendWithin() time.Duration { return b.cfg.transit() / 2 }
 
-// Site returns what this node and the others told within the window, and how
-// many others were heard lately.
-func (b *Budget) Site() (total Count, heard int) {
+// Site returns the counts of this node and its peers within the window, and the number
+// of peers that reported recently.
+func (b *Budget) Site() (total Count, peers int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := uptime.Now()
-	total = b.own.within(now)
-	for node, o := range b.others {
-		if now.Sub(o.at) > sharedLife {
-			delete(b.others, node)
+	total = b.own.window(now)
+	for node, o := range b.peers {
+		if now.Sub(o.at) > peerReportTTL {
+			delete(b.peers, node)
 			continue
 		}
-		heard++
+		peers++
 		total.Requests += o.count.Requests
 		total.Repeats += o.count.Repeats
 	}
-	return total, heard
+	return total, peers
 }
 
 // Count returns this node's own count within the window.
 func (b *Budget) Count() Count {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.own.within(uptime.Now())
+	return b.own.window(uptime.Now())
 }
 
-// SetOther takes another node's count.
+// SetOther records a peer's count.
 func (b *Budget) SetOther(node string, c Count) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.others[node] = toldCount{count: c, at: uptime.Now()}
+	b.peers[node] = peerCount{count: c, at: uptime.Now()}
 }
 
-// Budgets are the budgets of a site's services.
+// Budgets holds the budgets of a site's services.
 type Budgets struct {
 	cfg BudgetConfig
 
@@ -183,12 +184,12 @@
 	byName map[string]*Budget
 }
 
-// NewBudgets returns budgets under one bound each.
+// NewBudgets returns budgets that each have the limit cfg.
 func NewBudgets(cfg BudgetConfig) *Budgets {
 	return &Budgets{cfg: cfg, byName: map[string]*Budget{}}
 }
 
-// Of returns a service's budget.
+// Of returns the budget of a service.
 func (b *Budgets) Of(service string) *Budget {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -200,7 +201,7 @@
 	return budget
 }
 
-// Counts returns this node's counts by service, as far as there is any.
+// Counts returns this node's nonzero counts by service.
 func (b *Budgets) Counts() map[string]Count {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -213,7 +214,7 @@
 	return counts
 }
 
-// SetOther takes another node's counts.
+// SetOther records a peer's counts.
 func (b *Budgets) SetOther(node string, counts map[string]Count) {
 	for service, c := range counts {
 		b.Of(service).SetOther(node, c)
--- a/balance/candidates.go
+++ b/balance/candidates.go
@@ -4,172 +4,174 @@
 	"time"
 )
 
-// How many targets a choice looks at. With fewer engines busy than idle, the best of a
-// few drawn is as good as the best of all; where all are busy, the best of n drawn is
-// among the best n-th part, and a difference there is less than what a choice knows.
+// Limits on the targets scanned per selection. While most engines are idle, the best of
+// a small sample is as good as the best of all; while all are busy, the best of a
+// sample of n is within the best n-th part, a difference below the prediction error.
 const (
-	// lookAtAll is up to how many targets of a service all are looked at.
-	lookAtAll = 64
-	// lookNear and lookFar are how many are looked at in the node's data hall and in
-	// the others together.
-	lookNear = 24
-	lookFar  = 24
-	// leastLook is the same in any one data hall.
-	leastLook = 4
-	// lookTied is how many of the targets that the node owns are looked at beside, and
-	// of those to which it keeps a connection.
-	lookTied = 8
+	// fullScanLimit is the pool size up to which all targets are scanned.
+	fullScanLimit = 64
+	// localScan and remoteScan are the numbers of targets scanned in this node's data hall
+	// and in all others together.
+	localScan  = 24
+	remoteScan = 24
+	// minHallScan is the minimum scanned in each data hall.
+	minHallScan = 4
+	// preferredScan is how many of the targets that this node owns are scanned in addition,
+	// and of those to which it has an idle connection.
+	preferredScan = 8
 )
 
-// candidate is a target that may be chosen.
+// candidate is a target that is eligible for the request, with its score; lower is
+// better.
 type candidate struct {
 	target *Target
 	score  float64
 }
 
-// lookElsewhere is one in how many choices goes by no kept connections, so that a target
-// that is new, or was left alone for a while, gets requests too.
-const lookElsewhere = 8
+// exploreInterval is the interval, in selections, at which idle connections are ignored,
+// so that new or unused targets get requests too.
+const exploreInterval = 8
 
-// look is one choice's look at the targets of a service.
-type look struct {
-	tracker *Tracker
-	choice  *Choice
-	pool    *pool
-	now     time.Time
-	home    *Target
-	keeper  *Target
-	taking  map[string]bool // regions that take the request; nil for all
-	keep    bool            // a kept connection speaks for its target
+// scan is the state of one selection.
+type scan struct {
+	tracker         *Tracker
+	choice          *Choice
+	pool            *pool
+	now             time.Time
+	affine          *Target
+	cacheHolder     *Target
+	spillRegions    map[string]bool // regions that accept spillover; nil for all
+	preferConnected bool            // prefer targets with an idle connection
 }
 
-// candidates returns the targets that may take the request, as far as they are looked
-// at: in each data hall those with the fewest runs, until enough are sound. They are
-// valid until the next choice. The caller holds the mutex.
-func (l *look) candidates() []candidate {
-	t := l.tracker
-	t.looks++
+// candidates returns the eligible targets that were scanned: in each data hall those
+// with the fewest runs, until enough are healthy, and the preferred ones. The result is
+// valid until the next selection. The caller holds the mutex.
+func (s *scan) candidates() []candidate {
+	t := s.tracker
+	t.scans++
 	t.candidates = t.candidates[:0]
-	for _, h := range l.pool.order {
-		l.lookInto(h, l.quota(h))
+	for _, h := range s.pool.ordered {
+		s.scanHall(h, s.hallLimit(h))
 	}
-	l.lookAtTies()
+	s.addPreferred()
 	return t.candidates
 }
 
-// lookAtTies considers the targets that the request or the node has a tie to.
-func (l *look) lookAtTies() {
-	if l.home != nil {
-		l.consider(l.home)
+// addPreferred considers the targets preferred for this request or by this node.
+func (s *scan) addPreferred() {
+	if s.affine != nil {
+		s.consider(s.affine)
 	}
-	if l.keeper != nil {
-		l.consider(l.keeper)
+	if s.cacheHolder != nil {
+		s.consider(s.cacheHolder)
 	}
-	if near := l.pool.halls[l.tracker.cfg.DataHall]; near != nil {
-		l.lookAtSome(near.owned)
+	if local := s.pool.halls[s.tracker.cfg.DataHall]; local != nil {
+		s.addSample(local.owned)
 	}
-	for _, h := range l.pool.order {
-		l.lookAtSome(h.kept)
+	for _, h := range s.pool.ordered {
+		s.addSample(h.connected)
 	}
 }
 
-// lookAtSome considers a few of some targets, which are drawn.
-func (l *look) lookAtSome(targets []*Target) {
+// addSample considers a random few of the given targets.
+func (s *scan) addSample(targets []*Target) {
 	if len(targets) == 0 {
 		return
 	}
-	start := l.tracker.rng.IntN(len(targets))
-	for i := range min(lookTied, len(targets)) {
-		l.consider(targets[(start+i)%len(targets)])
+	start := s.tracker.rng.IntN(len(targets))
+	for i := range min(preferredScan, len(targets)) {
+		s.consider(targets[(start+i)%len(targets)])
 	}
 }
 
-// quota returns how many sound targets of a data hall are enough.
-func (l *look) quota(h *hallPool) int {
-	if l.pool.size <= lookAtAll || l.tracker.cfg.Policy != Predicted {
-		return l.pool.size
+// hallLimit returns how many healthy targets of a data hall suffice.
+func (s *scan) hallLimit(h *hallPool) int {
+	if s.pool.size <= fullScanLimit || s.tracker.cfg.Policy != Predicted {
+		return s.pool.size
 	}
-	if h.name == l.tracker.cfg.DataHall {
-		return lookNear
+	if h.name == s.tracker.cfg.DataHall {
+		return localScan
 	}
-	return max(leastLook, lookFar/len(l.pool.order))
+	return max(minHallScan, remoteScan/len(s.pool.ordered))
 }
 
-// lookInto considers a data hall's targets, the least busy first and from a place that
-// is drawn, until so many are sound.
-func (l *look) lookInto(h *hallPool, enough int) {
-	sound, unsound := 0, 0
-	for _, alike := range h.byRuns {
-		if len(alike) == 0 {
+// scanHall considers a data hall's targets by increasing number of runs, from a random
+// start within equals, until enough are healthy.
+func (s *scan) scanHall(h *hallPool, limit int) {
+	healthy, unhealthy := 0, 0
+	for _, bucket := range h.buckets {
+		if len(bucket) == 0 {
 			continue
 		}
-		start := l.tracker.rng.IntN(len(alike))
-		for i := range alike {
+		start := s.tracker.rng.IntN(len(bucket))
+		for i := range bucket {
 			at := start + i
-			if at >= len(alike) {
-				at -= len(alike)
+			if at >= len(bucket) {
+				at -= len(bucket)
 			}
-			target := alike[at]
-			if !target.sound(l.choice, l.now) {
-				if unsound < enough && l.consider(target) {
-					unsound++ // taken only where no other is left
+			target := bucket[at]
+			if !target.healthy(s.choice, s.now) {
+				if unhealthy < limit && s.consider(target) {
+					unhealthy++ // selected only if no healthy one is left
 				}
 				continue
 			}
-			if l.consider(target) {
-				sound++
+			if s.consider(target) {
+				healthy++
 			}
-			if sound >= enough {
+			if healthy >= limit {
 				return
 			}
 		}
 	}
 }
 
-// sound reports whether nothing is known to have happened to a target. The caller
-// holds the mutex.
-func (t *Target) sound(c *Choice, now time.Time) bool {
-	return !now.Before(t.avoid) && !t.suspect(now) && !(c.Copy && t.unheard(now))
+// healthy reports whether nothing speaks against a target's health. The caller holds the
+// mutex.
+func (t *Target) healthy(c *Choice, now time.Time) bool {
+	return !now.Before(t.backoffUntil) && !t.suspect(now) && !(c.Copy && t.unconfirmed(now))
 }
 
-// consider makes a target a candidate if it may take the request.
-func (l *look) consider(target *Target) bool {
-	if target.looked == l.tracker.looks {
+// consider scores a target and adds it to the candidates if it is eligible. It reports
+// whether it did.
+func (s *scan) consider(target *Target) bool {
+	if target.lastScan == s.tracker.scans {
 		return false
 	}
-	target.looked = l.tracker.looks
+	target.lastScan = s.tracker.scans
 	backlog := 0.0
-	if l.choice.Work != (Work{}) {
-		backlog = target.backlog(l.now)
+	if s.choice.Work != (Work{}) {
+		backlog = target.backlog(s.now)
 	}
-	if !l.mayTake(target, backlog) {
+	if !s.eligible(target, backlog) {
 		return false
 	}
-	score := target.score(l, backlog)
-	if target.hall.inDoubt {
-		target.doubted = l.now
-		score += l.tracker.doubtCost(l.choice)
+	score := target.score(s, backlog)
+	if target.hall.suspect {
+		target.hallSuspectAt = s.now
+		score += s.tracker.suspectHallCost(s.choice)
 	}
-	l.tracker.candidates = append(l.tracker.candidates, candidate{target: target, score: score})
+	s.tracker.candidates = append(s.tracker.candidates, candidate{target: target, score: score})
 	return true
 }
 
-// mayTake reports whether a target may be given the request: it is open, has room, and
-// is not kept for its own region.
-func (l *look) mayTake(target *Target, backlog float64) bool {
-	c := l.choice
-	if !target.open(l.now) || c.Exclude != nil && c.Exclude(target) {
+// eligible reports whether a target is eligible for the request: available, with
+// capacity, and not reserved for its own region.
+func (s *scan) eligible(target *Target, backlog float64) bool {
+	c := s.choice
+	if !target.available(s.now) || c.Exclude != nil && c.Exclude(target) {
 		return false
 	}
-	return c.Work == (Work{}) || target.fits(c, backlog, l.now) && !l.tracker.reserved(target, l.taking)
+	return c.Work == (Work{}) || target.fits(c, backlog, s.now) && !s.tracker.reserved(target, s.spillRegions)
 }
 
-// any reports whether any target may take the request.
-func (l *look) any() bool {
-	for _, h := range l.pool.order {
-		for _, alike := range h.byRuns {
-			for _, target := range alike {
-				if l.mayTake(target, target.backlog(l.now)) {
+// anyEligible reports whether any target is eligible.
+func (s *scan) anyEligible() bool {
+	for _, h := range s.pool.ordered {
+		for _, bucket := range h.buckets {
+			for _, target := range bucket {
+				if s.eligible(target, target.backlog(s.now)) {
 					return true
 				}
 			}
--- a/balance/health.go
+++ b/balance/health.go
@@ -8,229 +8,228 @@
 	"github.com/walnutramp/walnutramp/internal/uptime"
 )
 
-// Told takes a load that an answer brought.
+// Told records the load that a response reported.
 func (t *Target) Told(l Load) {
 	t.tracker.mu.Lock()
 	defer t.tracker.mu.Unlock()
-	t.told, t.toldAt, t.own = l, uptime.Now(), len(t.runs)
-	t.heard = t.toldAt
+	t.load, t.loadAt, t.activeAtLoad = l, uptime.Now(), len(t.runs)
+	t.answeredAt = t.loadAt
 }
 
-// errorMemory is the weight of the newest answer in the share of failures.
-const errorMemory = 0.1
+// errorWeight is the weight of the latest response in the error rate.
+const errorWeight = 0.1
 
-// Succeeded notes a whole answer.
+// Succeeded records a complete response.
 func (t *Target) Succeeded() {
 	t.tracker.mu.Lock()
 	defer t.tracker.mu.Unlock()
-	t.row = 0
-	t.avoid = time.Time{}
-	t.broke, t.rumour = time.Time{}, time.Time{}
-	t.heard = uptime.Now()
-	t.setErrors(t.errors * (1 - errorMemory))
+	t.consecutiveFailures = 0
+	t.backoffUntil = time.Time{}
+	t.failedAt, t.peerFailedAt = time.Time{}, time.Time{}
+	t.answeredAt = uptime.Now()
+	t.setErrorRate(t.errorRate * (1 - errorWeight))
 }
 
-// Broke notes that the target did not answer, or broke off: it is avoided for
-// a while that doubles with each failure in a row, and is a suspect until it
-// is heard of again.
+// Broke records that the target did not answer or that its response was cut off. Its
+// backoff doubles with each consecutive failure, and it is suspect until it answers
+// again.
 func (t *Target) Broke() {
 	t.tracker.mu.Lock()
 	cfg := &t.tracker.cfg
-	pause := min(cfg.AvoidFirst<<min(t.row, 5), cfg.AvoidLongest)
-	t.row++
+	backoff := min(cfg.MinBackoff<<min(t.consecutiveFailures, 5), cfg.MaxBackoff)
+	t.consecutiveFailures++
 	now := uptime.Now()
-	t.avoid = now.Add(pause)
-	t.broke = now
-	t.noteBroken()
-	t.tracker.failed[t] = struct{}{}
+	t.backoffUntil = now.Add(backoff)
+	t.failedAt = now
+	t.addRecentFailure()
+	t.tracker.recentlyFailed[t] = struct{}{}
 	t.tracker.mu.Unlock()
-	t.tracker.changed()
+	t.tracker.onChange()
 }
 
-// suspectLife is how long a target that broke off is a suspect if nothing is
-// heard of it: longer than a list still holds a target that crashed.
-const suspectLife = 10 * time.Second
+// suspectTTL is how long a failed target stays suspect without an answer: longer than
+// a crashed target remains listed.
+const suspectTTL = 10 * time.Second
 
-// suspect reports whether the target may have ended. The caller holds the
-// mutex.
+// suspect reports whether the target may have ended. The caller holds the mutex.
 func (t *Target) suspect(now time.Time) bool {
-	return now.Sub(t.broke) < suspectLife || now.Sub(t.rumour) < suspectLife
+	return now.Sub(t.failedAt) < suspectTTL || now.Sub(t.peerFailedAt) < suspectTTL
 }
 
-// unheard reports whether the target's data hall was in doubt, and the target
-// has not answered this node since. The caller holds the mutex.
-func (t *Target) unheard(now time.Time) bool {
-	return now.Sub(t.doubted) < suspectLife && t.heard.Before(t.doubted)
+// unconfirmed reports whether the target's data hall was suspect and the target has not
+// answered this node since. The caller holds the mutex.
+func (t *Target) unconfirmed(now time.Time) bool {
+	return now.Sub(t.hallSuspectAt) < suspectTTL && t.answeredAt.Before(t.hallSuspectAt)
 }
 
-// Lost reports whether what the target kept is lost, most likely: it has ended
-// or leaves, broke off, or its data hall is in doubt and it has not answered
-// this node since.
+// Lost reports whether the target's state is probably lost: it has ended, is draining
+// or failed, or its data hall is suspect and it has not answered this node since.
 func (t *Target) Lost() bool {
 	t.tracker.mu.Lock()
 	defer t.tracker.mu.Unlock()
 	now := uptime.Now()
-	if !t.there(now) || t.suspect(now) || t.unheard(now) {
+	if !t.accepting(now) || t.suspect(now) || t.unconfirmed(now) {
 		return true
 	}
-	return t.hallInDoubt(now) && now.Sub(t.heard) > hallDoubtTime
+	return t.hallSuspect(now) && now.Sub(t.answeredAt) > hallSuspectWindow
 }
 
-// HallInDoubt reports whether so many targets of a target's service and data
-// hall broke off just now that all of them may have.
+// HallInDoubt reports whether so many targets of a target's service and data hall
+// failed just now that all of them may have.
 func (t *Tracker) HallInDoubt(of *Target) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return of.hallInDoubt(uptime.Now())
+	return of.hallSuspect(uptime.Now())
 }
 
-// hallInDoubt reports the same of the target's own data hall. The caller holds the mutex.
-func (t *Target) hallInDoubt(now time.Time) bool {
+// hallSuspect reports whether the target's data hall is suspect. The caller holds the
+// mutex.
+func (t *Target) hallSuspect(now time.Time) bool {
 	if t.hall == nil {
 		return false
 	}
-	t.pool.findDoubt(now)
-	return t.hall.inDoubt
+	t.pool.markSuspectHalls(now)
+	return t.hall.suspect
 }
 
-// Suspects returns the lives of targets that lately broke off to this node.
+// Suspects returns the incarnations of targets that recently failed for this node.
 func (t *Tracker) Suspects() []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := uptime.Now()
 	var ids []string
-	t.eachFailed(now, func(target *Target) {
-		if now.Sub(target.broke) < suspectLife/2 {
-			ids = append(ids, target.life)
+	t.eachRecentlyFailed(now, func(target *Target) {
+		if now.Sub(target.failedAt) < suspectTTL/2 {
+			ids = append(ids, target.incarnation)
 		}
 	})
 	return ids
 }
 
-// SetSuspects takes another node's word that targets broke off.
+// SetSuspects records a peer's report of failed targets.
 func (t *Tracker) SetSuspects(ids []string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := uptime.Now()
 	for _, id := range ids {
-		if target := t.byLife[id]; target != nil && now.Sub(target.rumour) > suspectLife {
-			target.rumour = now
-			target.noteBroken()
+		if target := t.byIncarnation[id]; target != nil && now.Sub(target.peerFailedAt) > suspectTTL {
+			target.peerFailedAt = now
+			target.addRecentFailure()
 		}
 	}
 }
 
-// A data hall is in doubt when this share of a service's targets there broke
-// off within a short time.
+// A data hall is suspect when at least this share and number of a service's targets
+// there failed within hallSuspectWindow.
 const (
-	hallDoubtTime  = 1500 * time.Millisecond
-	hallDoubtShare = 0.25
-	hallDoubtLeast = 2
+	hallSuspectWindow = 1500 * time.Millisecond
+	hallSuspectShare  = 0.25
+	hallSuspectMin    = 2
 )
 
-// Erred notes an answer that tells of a failure. A target that fails far more
-// often than its peers is avoided for a while.
+// Erred records an error response. A target whose error rate exceeds its peers' by more
+// than the configured margin is ejected for a while.
 func (t *Target) Erred() {
 	t.tracker.mu.Lock()
 	defer t.tracker.mu.Unlock()
-	t.setErrors(t.errors + errorMemory*(1-t.errors))
-	if t.errors > t.tracker.peerErrors(t)+t.tracker.cfg.ErrorTolerate {
-		t.avoid = uptime.Now().Add(t.tracker.cfg.ErrorAvoid)
-		t.setErrors(t.errors / 2)
+	t.setErrorRate(t.errorRate + errorWeight*(1-t.errorRate))
+	if t.errorRate > t.tracker.peerErrorRate(t)+t.tracker.cfg.ErrorMargin {
+		t.backoffUntil = uptime.Now().Add(t.tracker.cfg.ErrorBackoff)
+		t.setErrorRate(t.errorRate / 2)
 	}
 }
 
-// peerErrors is the mean share of failures of a target's peers. The caller
-// holds the mutex.
-func (t *Tracker) peerErrors(of *Target) float64 {
+// peerErrorRate returns the mean error rate of a target's peers. The caller holds the
+// mutex.
+func (t *Tracker) peerErrorRate(of *Target) float64 {
 	if of.pool == nil || of.pool.size < 2 {
 		return 1
 	}
-	return max(0, of.pool.errors-of.errors) / float64(of.pool.size-1)
+	return max(0, of.pool.errorRateSum-of.errorRate) / float64(of.pool.size-1)
 }
 
-// Gone notes that the target has ended: its address is another's now.
+// Gone records that the target has ended: another target has its address.
 func (t *Target) Gone() {
 	t.tracker.mu.Lock()
-	t.setGone()
+	t.markEnded()
 	t.tracker.mu.Unlock()
-	t.tracker.changed()
+	t.tracker.onChange()
 }
 
-// Refused notes that nobody answers at the target's address. The target has
-// ended, most likely, and the list still holds it; a target that only had too
-// many connections is asked again after a while.
+// Refused records that the target's address refused a connection. Most likely the
+// target has ended and is still listed; after a while it is tried again, as it may only
+// have reached its connection limit.
 func (t *Target) Refused() {
 	t.tracker.mu.Lock()
-	t.refused = uptime.Now()
-	t.tracker.failed[t] = struct{}{}
+	t.refusedAt = uptime.Now()
+	t.tracker.recentlyFailed[t] = struct{}{}
 	t.tracker.mu.Unlock()
-	t.tracker.changed()
+	t.tracker.onChange()
 }
 
-// eachFailed calls f for each listed target that failed this node lately, and forgets
-// the others. The caller holds the mutex.
-func (t *Tracker) eachFailed(now time.Time, f func(*Target)) {
-	for target := range t.failed {
-		newest := slices.MaxFunc([]time.Time{target.broke, target.refused, target.mute}, time.Time.Compare)
+// eachRecentlyFailed calls f for each listed target that recently failed for this node and
+// forgets the others. The caller holds the mutex.
+func (t *Tracker) eachRecentlyFailed(now time.Time, f func(*Target)) {
+	for target := range t.recentlyFailed {
+		lastFailure := slices.MaxFunc([]time.Time{target.failedAt, target.refusedAt, target.ownUnresponsiveAt}, time.Time.Compare)
 		listed := target.hall != nil
-		if now.Sub(newest) > suspectLife && !(target.gone && listed) {
-			delete(t.failed, target)
+		if now.Sub(lastFailure) > suspectTTL && !(target.ended && listed) {
+			delete(t.recentlyFailed, target)
 		} else if listed {
 			f(target)
 		}
 	}
 }
 
-// Ended returns the lives of targets that this node lately found to have ended.
+// Ended returns the incarnations that this node recently found to have ended.
 func (t *Tracker) Ended() []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := uptime.Now()
 	var ended []string
-	t.eachFailed(now, func(target *Target) {
-		if target.gone || now.Sub(target.refused) < refusedLife/2 {
-			ended = append(ended, target.life)
+	t.eachRecentlyFailed(now, func(target *Target) {
+		if target.ended || now.Sub(target.refusedAt) < refusedTTL/2 {
+			ended = append(ended, target.incarnation)
 		}
 	})
 	return ended
 }
 
-// SetEnded takes another node's word that targets have ended. It counts for
-// a shorter time than what this node found itself.
+// SetEnded records a peer's report of ended targets. It expires sooner than this node's
+// own observation.
 func (t *Tracker) SetEnded(ids []string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	told := uptime.Now().Add(-refusedLife / 2)
+	reportedAt := uptime.Now().Add(-refusedTTL / 2)
 	for _, id := range ids {
-		if target := t.byLife[id]; target != nil && target.refused.Before(told) {
-			target.refused = told
+		if target := t.byIncarnation[id]; target != nil && target.refusedAt.Before(reportedAt) {
+			target.refusedAt = reportedAt
 		}
 	}
 }
 
-// refusedLife is how long a target counts as ended after nobody answered at
-// its address: longer than the list lags behind.
-const refusedLife = 5 * time.Second
+// refusedTTL is how long a target counts as ended after its address refused a
+// connection: longer than the list lags behind.
+const refusedTTL = 5 * time.Second
 
-// Full notes that the target turned a request away for want of room.
+// Full records that the target rejected a request for lack of capacity.
 func (t *Target) Full() {
 	t.tracker.mu.Lock()
 	defer t.tracker.mu.Unlock()
-	t.avoid = uptime.Now().Add(t.tracker.cfg.AvoidFirst / 2)
+	t.backoffUntil = uptime.Now().Add(t.tracker.cfg.MinBackoff / 2)
 }
 
-// Leaves reports whether the target is to end, by the site's list or its own word.
+// Leaves reports whether the target is draining, according to the list or to itself.
 func (t *Target) Leaves() bool {
 	t.tracker.mu.Lock()
 	defer t.tracker.mu.Unlock()
 	return t.State == discovery.TargetDraining
 }
 
-// Usable reports whether the target may be asked.
+// Usable reports whether the target is available and not in backoff.
 func (t *Target) Usable() bool {
 	t.tracker.mu.Lock()
 	defer t.tracker.mu.Unlock()
 	now := uptime.Now()
-	return t.open(now) && now.After(t.avoid)
+	return t.available(now) && now.After(t.backoffUntil)
 }
--- a/balance/leaving.go
+++ b/balance/leaving.go
@@ -4,24 +4,24 @@
 	"github.com/walnutramp/walnutramp/topology"
 )
 
-// Reason says why a request leaves its region.
+// Reason says why a request left its region.
 type Reason string
 
-// The reasons.
+// Reasons for leaving the region.
 const (
-	ReasonCopy   Reason = "copy"    // its copy is kept there
-	ReasonNoRoom Reason = "no-room" // no target of the own region takes it
-	ReasonFailed Reason = "failed"  // targets of the own region failed it
-	ReasonSooner Reason = "sooner"  // it begins well sooner there
+	ReasonCopy   Reason = "copy"    // the copy of its run is there
+	ReasonNoRoom Reason = "no-room" // no target of its own region can take it
+	ReasonFailed Reason = "failed"  // targets of its own region failed it
+	ReasonSooner Reason = "sooner"  // it begins considerably sooner there
 )
 
-// Crossing names the regions of this node and of a target in another one; false
-// where the target is in the same region.
+// Crossing returns the regions of this node and of a target; false if they are the
+// same.
 func (t *Tracker) Crossing(target *Target) (from, to string, crosses bool) {
 	return t.between(t.cfg.Topology.Hall(), target.DataHall)
 }
 
-// Between names the regions of two targets; false where they are in the same one.
+// Between returns the regions of two targets; false if they are the same.
 func (t *Tracker) Between(a, b *Target) (from, to string, crosses bool) {
 	return t.between(a.DataHall, b.DataHall)
 }
@@ -34,22 +34,22 @@
 	return m.Region(a), m.Region(b), true
 }
 
-// takes reports whether any target takes a request. It changes nothing that
-// later choices go by.
-func (t *Tracker) takes(c Choice) bool {
+// canPlace reports whether any target is eligible for a request. It leaves no trace in
+// later selections.
+func (t *Tracker) canPlace(c Choice) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.lookFor(&c).any()
+	return t.newScan(&c).anyEligible()
 }
 
-// WhyLeft says why a choice fell on a target in another region.
+// WhyLeft returns why a selection chose a target in another region.
 func (t *Tracker) WhyLeft(c Choice) Reason {
 	excluded := c.Exclude
 	c.Exclude = func(target *Target) bool {
 		return t.inOtherRegion(target) || excluded != nil && excluded(target)
 	}
 	switch {
-	case !t.takes(c):
+	case !t.canPlace(c):
 		return ReasonNoRoom
 	case len(c.FailedHalls) > 0:
 		return ReasonFailed
--- a/balance/life.go
+++ b/balance/life.go
@@ -7,27 +7,25 @@
 	"k8s.io/klog/v2"
 )
 
-// A target may start again under its ID. Everything that is kept of a target, and
-// all that nodes tell each other of one, is of one life of it: runs, copies,
-// prompts that it read, what it answered, that it ended. So nothing is carried
-// over, but for its failures in a row.
+// A target may restart under the same ID. All state of a target, local and exchanged
+// between nodes, belongs to one incarnation: runs, copies, cached prompts, responses,
+// and whether it has ended. Nothing but the count of consecutive failures carries over
+// to the next one.
 
-// flapTime is how long ago a target must have broken off for its next life to
-// start without its failures: one that ends again and again is avoided
-// for longer each time, as if it had not started anew.
-const flapTime = 10 * time.Second
+// flapWindow is the time after a failure within which a restarted target keeps its count
+// of consecutive failures: one that keeps crashing is backed off longer each time.
+const flapWindow = 10 * time.Second
 
-// Life names the target's start among all that it had.
-func (t *Target) Life() string { return t.life }
+// Life returns the target's incarnation.
+func (t *Target) Life() string { return t.incarnation }
 
-// lifeOf returns the target that an entry of a list is of: a known one, or a new
-// one where it is new or was started again. Which of two lives is newer says the
-// site's word of when they were started; a list that names the older one is old.
-// The caller holds the mutex.
-func (t *Tracker) lifeOf(entry discovery.Target, now time.Time) *Target {
+// resolve returns the target of a list entry: a known one, or a new one if it is new or
+// has restarted. The start times in the list tell which of two incarnations is newer;
+// an entry with the older one is stale. The caller holds the mutex.
+func (t *Tracker) resolve(entry discovery.Target, now time.Time) *Target {
 	known := t.byID[entry.ID]
 	if known == nil {
-		known = t.absent[entry.ID]
+		known = t.delisted[entry.ID]
 	}
 	switch {
 	case known == nil:
@@ -37,82 +35,81 @@
 	case entry.Born < known.Born:
 		return known
 	case known.Born != 0 && entry.Born > known.Born:
-		known = t.nextLife(known, entry, now)
+		known = t.restarted(known, entry, now)
 	}
-	known.take(entry)
+	known.apply(entry)
 	return known
 }
 
-// is reports whether an entry says of the target what is known.
-func (t *Target) is(entry *discovery.Target) bool {
-	as := t.Target
+// matches reports whether an entry matches the known state of the target.
+func (t *Target) matches(entry *discovery.Target) bool {
+	current := t.Target
 	if entry.State == discovery.TargetReady {
-		as.State = entry.State // a target that leaves does not come back
+		current.State = entry.State // draining is final
 	}
 	if entry.Born == 0 {
-		as.Born = 0
+		current.Born = 0
 	}
-	return as == *entry
+	return current == *entry
 }
 
-// take takes what an entry says of the target. Most entries that change say only that
-// it leaves: nothing else is written then, since other fields are read without the
-// mutex. The caller holds the mutex.
-func (t *Target) take(entry discovery.Target) {
-	leaves := entry.State == discovery.TargetDraining
+// apply applies an entry to the target. An entry that only sets the draining state
+// writes nothing else, since other fields are read without the mutex. The caller holds
+// the mutex.
+func (t *Target) apply(entry discovery.Target) {
+	draining := entry.State == discovery.TargetDraining
 	entry.State = t.State
 	if t.Target != entry {
 		p := t.pool
 		if p != nil {
 			p.remove(t)
 		}
-		if t.tracker.holders[t.Address] == t {
-			delete(t.tracker.holders, t.Address)
+		if t.tracker.byAddress[t.Address] == t {
+			delete(t.tracker.byAddress, t.Address)
 		}
-		t.Target, t.life = entry, entry.Life()
+		t.Target, t.incarnation = entry, entry.Life()
 		if p != nil {
 			t.tracker.poolOf(t.Service).add(t)
 		}
 	}
-	if leaves {
-		t.setDraining()
+	if draining {
+		t.markDraining()
 	}
 }
 
 func (t *Tracker) newTarget(entry discovery.Target, now time.Time) *Target {
-	return &Target{Target: entry, tracker: t, since: now, life: entry.Life()}
+	return &Target{Target: entry, tracker: t, firstListedAt: now, incarnation: entry.Life()}
 }
 
-// nextLife returns the target that an older life of it has become. The caller
-// holds the mutex.
-func (t *Tracker) nextLife(before *Target, entry discovery.Target, now time.Time) *Target {
-	before.setGone()
+// restarted returns the successor of a target that has restarted. The caller holds the
+// mutex.
+func (t *Tracker) restarted(previous *Target, entry discovery.Target, now time.Time) *Target {
+	previous.markEnded()
 	next := t.newTarget(entry, now)
-	if now.Sub(before.broke) < flapTime {
-		next.row = before.row
+	if now.Sub(previous.failedAt) < flapWindow {
+		next.consecutiveFailures = previous.consecutiveFailures
 	}
-	klog.InfoS("Target started again", "target", entry.ID, "born", entry.Born, "before", before.Born, "runs", len(before.runs), "failedInARow", next.row)
+	klog.InfoS("Target restarted", "target", entry.ID, "born", entry.Born, "before", previous.Born, "runs", len(previous.runs), "failedInARow", next.consecutiveFailures)
 	return next
 }
 
-// absentLife is how long a target is known that the list no longer holds. An entry
-// may be missing from one reading and be back with the next, and in the same life
-// the target is the same: it leaves, or wants a rest, as it said. Far longer than
-// targets that leave take to end.
-const absentLife = 10 * time.Minute
+// delistedTTL is how long a delisted target is remembered. An entry may be missing from
+// one list and return with the next; the same incarnation then keeps its draining state
+// and cooldown. It is much longer than draining takes.
+const delistedTTL = 10 * time.Minute
 
-// absentEvery is the pause between two looks for targets that are long off the list.
-const absentEvery = time.Minute
+// delistedSweepInterval is the interval between sweeps of the delisted targets.
+const delistedSweepInterval = time.Minute
 
-// forgetAbsent forgets targets that are long off the list. The caller holds the mutex.
-func (t *Tracker) forgetAbsent(now time.Time) {
-	if now.Sub(t.absentAt) < absentEvery {
+// expireDelisted removes targets that were delisted long ago. The caller holds the mutex.
+func (t *Tracker) expireDelisted(now time.Time) {
+	if now.Sub(t.delistedSweptAt) < delistedSweepInterval {
 		return
 	}
-	t.absentAt = now
-	for id, target := range t.absent {
-		if now.Sub(target.absentAt) > absentLife {
-			delete(t.absent, id)
+	t.delistedSweptAt = now
+	for id, target := range t.delisted {
+		if now.Sub(target.delistedAt) > delistedTTL {
+			delete(t.delisted, id)
 		}
 	}
 }
--- a/balance/ownership.go
+++ b/balance/ownership.go
@@ -7,62 +7,63 @@
 	"github.com/walnutramp/walnutramp/internal/rendezvous"
 )
 
-// Nodes that see the same idle targets at the same moment, as after a data
-// hall was lost, would choose some of them twice. So each target has an owner
-// among the nodes, and a second one, by rendezvous hash: what else is equal, a
-// node takes the targets that it owns. Nodes need not agree on who is there;
-// where they do not, two may own one target.
+// Nodes that see the same idle targets at the same time, as after the loss of a data
+// hall, would select some of them twice. So each target has a primary and a secondary
+// owner among the nodes, by rendezvous hashing, and a node prefers the targets that it
+// owns. Nodes need not agree on the membership; where they differ, two may own the same
+// target.
 
-// Gains of a target for the nodes that own it, in milliseconds of waiting.
+// Score bonuses for the owners of a target, in milliseconds of wait.
 const (
-	ownerGain  = 40.0
-	secondGain = 20.0
+	primaryOwnerBonus   = 40.0
+	secondaryOwnerBonus = 20.0
 )
 
-// SetNodes names the nodes that choose among the targets, and this one.
-func (t *Tracker) SetNodes(own string, nodes []string) {
+// SetNodes sets the nodes that select among the targets, and which of them is this one.
+func (t *Tracker) SetNodes(self string, nodes []string) {
 	all := slices.Clone(nodes)
-	if !slices.Contains(all, own) {
-		all = append(all, own)
+	if !slices.Contains(all, self) {
+		all = append(all, self)
 	}
 	slices.Sort(all)
-	if version, near := t.takeNodes(own, all); near != nil {
-		t.setOwned(version, near, gainsOf(own, all, near))
+	if version, local := t.replaceNodes(self, all); local != nil {
+		t.setOwnership(version, local, ownershipBonuses(self, all, local))
 	}
 }
 
-// takeNodes takes the nodes, and returns the targets of the own data hall, whose owners
-// are to be worked out under that version of the nodes; none if the nodes are the same.
-func (t *Tracker) takeNodes(own string, all []string) (version uint64, near []*Target) {
+// replaceNodes stores the nodes and returns their version and the targets of the local
+// data hall, for which ownership is to be computed; no targets if the nodes are
+// unchanged.
+func (t *Tracker) replaceNodes(own string, all []string) (version uint64, local []*Target) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.own == own && slices.Equal(all, t.nodes) {
+	if t.self == own && slices.Equal(all, t.nodes) {
 		return 0, nil
 	}
-	t.own, t.nodes = own, all
+	t.self, t.nodes = own, all
 	t.nodesVersion++
 	for _, p := range t.pools {
 		if h := p.halls[t.cfg.DataHall]; h != nil {
 			for _, at := range h.ring {
-				near = append(near, at.target)
+				local = append(local, at.target)
 			}
 		}
 	}
-	return t.nodesVersion, near
+	return t.nodesVersion, local
 }
 
-// gainsOf works out what speaks for each of some targets, without the mutex: there may
-// be thousands of both targets and nodes.
-func gainsOf(own string, nodes []string, targets []*Target) []float64 {
-	gains := make([]float64, len(targets))
+// ownershipBonuses computes the ownership bonuses of targets without the mutex, as
+// there may be thousands of targets and of nodes.
+func ownershipBonuses(own string, nodes []string, targets []*Target) []float64 {
+	bonuses := make([]float64, len(targets))
 	for i, target := range targets {
-		gains[i] = ownershipGain(own, nodes, target.ID)
+		bonuses[i] = ownershipBonus(own, nodes, target.ID)
 	}
-	return gains
+	return bonuses
 }
 
-// setOwned takes what speaks for targets, unless the nodes are others meanwhile.
-func (t *Tracker) setOwned(version uint64, near []*Target, gains []float64) {
+// setOwnership stores ownership bonuses, unless the nodes have changed meanwhile.
+func (t *Tracker) setOwnership(version uint64, targets []*Target, bonuses []float64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if version != t.nodesVersion {
@@ -73,46 +74,45 @@
 			h.owned = h.owned[:0]
 		}
 	}
-	for i, target := range near {
-		target.gain, target.gainFor = gains[i], version
-		target.noteOwned()
+	for i, target := range targets {
+		target.ownerBonus, target.ownerBonusVersion = bonuses[i], version
+		target.addIfOwned()
 	}
 }
 
-// noteOwned puts the target among those of its data hall that this node owns, if it
-// does. The caller holds the mutex.
-func (t *Target) noteOwned() {
-	if t.hall != nil && t.hall.name == t.tracker.cfg.DataHall && t.ownershipGain() > 0 {
+// addIfOwned adds the target to the owned targets of the local data hall if this node
+// owns it. The caller holds the mutex.
+func (t *Target) addIfOwned() {
+	if t.hall != nil && t.hall.name == t.tracker.cfg.DataHall && t.ownershipBonus() > 0 {
 		t.hall.owned = append(t.hall.owned, t)
 	}
 }
 
-// SetFarLag says by how much longer it takes until nodes of other data halls
-// tell what they began than until those of the own one do.
+// SetFarLag sets the additional delay of reports from nodes in other data halls.
 func (t *Tracker) SetFarLag(lag time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.farLag = lag
+	t.crossHallLag = lag
 }
 
-// ownershipGain returns what speaks for the target because this node owns it. The
-// caller holds the mutex.
-func (t *Target) ownershipGain() float64 {
-	if of := t.tracker; t.gainFor != of.nodesVersion {
-		t.gain, t.gainFor = ownershipGain(of.own, of.nodes, t.ID), of.nodesVersion
+// ownershipBonus returns the target's bonus for this node, cached per version of the
+// nodes. The caller holds the mutex.
+func (t *Target) ownershipBonus() float64 {
+	if of := t.tracker; t.ownerBonusVersion != of.nodesVersion {
+		t.ownerBonus, t.ownerBonusVersion = ownershipBonus(of.self, of.nodes, t.ID), of.nodesVersion
 	}
-	return t.gain
+	return t.ownerBonus
 }
 
-// ownershipGain returns what speaks for a target because a node owns it.
-func ownershipGain(own string, nodes []string, id string) float64 {
+// ownershipBonus computes the bonus of a target for the node own.
+func ownershipBonus(own string, nodes []string, id string) float64 {
 	if own == "" {
 		return 0
 	}
-	mine := ownership(own, id)
+	mine := ownershipWeight(own, id)
 	ahead := 0
 	for _, node := range nodes {
-		if node != own && ownership(node, id) > mine {
+		if node != own && ownershipWeight(node, id) > mine {
 			ahead++
 		}
 		if ahead > 1 {
@@ -120,9 +120,9 @@
 		}
 	}
 	if ahead == 0 {
-		return ownerGain
+		return primaryOwnerBonus
 	}
-	return secondGain
+	return secondaryOwnerBonus
 }
 
-func ownership(node, id string) uint64 { return rendezvous.Weight(node, id) }
+func ownershipWeight(node, id string) uint64 { return rendezvous.Weight(node, id) }
--- a/balance/pace.go
+++ b/balance/pace.go
@@ -5,180 +5,176 @@
 	"time"
 )
 
-// How fast the engines of a service work is learned from the runs of this
-// node, and how fast they read from other nodes' as well. It is forgotten when
-// the configuration of the engines changes.
+// Processing speeds are estimated from this node's runs, and prefill speeds also from
+// peers' runs. The estimates are reset when the configuration of the engines changes.
 
-// Assumed values, until the first observation takes their place.
+// Initial estimates, replaced by the first observation.
 const (
-	assumedReadPerMS  = 5.0  // prompt tokens read in a millisecond, of a large model on one server
-	assumedTokenMS    = 7.0  // milliseconds between two tokens
-	assumedWholeRunMS = 6000 // milliseconds of a whole run
+	defaultPrefillPerMS = 5.0  // prompt tokens per millisecond, for a large model on one server
+	defaultInterTokenMS = 7.0  // milliseconds between two output tokens
+	defaultRunMS        = 6000 // milliseconds for a whole run
 )
 
 const (
-	// paceMemory is the weight of the newest observation once there are many.
-	paceMemory = 0.05
-	// paceOutlier bounds an observation to so many times the estimate, or that
-	// part of it: a stalled engine says nothing of the others.
-	paceOutlier = 4.0
-	// speedHalfLife is the time in which what is known of one target's speed
-	// beside its peers counts half: faults of a server pass in seconds.
-	speedHalfLife = 10 * time.Second
-	// leastRead is the shortest prompt, in tokens, whose reading is measured:
-	// with a shorter one, other delays weigh too much.
-	leastRead = 500
+	// ewmaWeight is the weight of the latest observation once there are many.
+	ewmaWeight = 0.05
+	// outlierFactor bounds the ratio of an observation to the estimate, both ways, so
+	// that one stalled engine does not distort it.
+	outlierFactor = 4.0
+	// relativeSpeedHalfLife is the half-life of a target's relative speed: server
+	// faults pass in seconds.
+	relativeSpeedHalfLife = 10 * time.Second
+	// minMeasuredPrompt is the shortest prompt, in tokens, whose prefill is measured: with
+	// shorter ones other delays dominate.
+	minMeasuredPrompt = 500
 )
 
-// estimate is a mean of observations; once there are many, the newer weigh
-// more.
+// estimate is an exponentially weighted mean of observations.
 type estimate struct {
-	value float64
-	seen  int
+	value   float64
+	samples int
 }
 
 func (e *estimate) observe(x float64) {
-	e.seen++
-	x = min(max(x, e.value/paceOutlier), e.value*paceOutlier)
-	e.value += max(1/float64(e.seen), paceMemory) * (x - e.value)
+	e.samples++
+	x = min(max(x, e.value/outlierFactor), e.value*outlierFactor)
+	e.value += max(1/float64(e.samples), ewmaWeight) * (x - e.value)
 }
 
-// pace is how fast a service's engines work.
-type pace struct {
-	readPerMS estimate // prompt tokens read in a millisecond
-	tokenMS   estimate // milliseconds between two tokens of an answer
-	wholeMS   estimate // milliseconds of a whole run
+// engineSpeed estimates the processing speed of a service's engines.
+type engineSpeed struct {
+	prefillPerMS estimate // prompt tokens per millisecond
+	interTokenMS estimate // milliseconds between two output tokens
+	runMS        estimate // milliseconds for a whole run
 }
 
-func newPace() *pace {
-	return &pace{
-		readPerMS: estimate{value: assumedReadPerMS},
-		tokenMS:   estimate{value: assumedTokenMS},
-		wholeMS:   estimate{value: assumedWholeRunMS},
+func newEngineSpeed() *engineSpeed {
+	return &engineSpeed{
+		prefillPerMS: estimate{value: defaultPrefillPerMS},
+		interTokenMS: estimate{value: defaultInterTokenMS},
+		runMS:        estimate{value: defaultRunMS},
 	}
 }
 
-// paceOf returns what is learned of a service's engines. The caller holds the
-// mutex.
-func (t *Tracker) paceOf(service string) *pace {
-	p := t.paces[service]
+// speedOf returns the estimates for a service's engines. The caller holds the mutex.
+func (t *Tracker) speedOf(service string) *engineSpeed {
+	p := t.speeds[service]
 	if p == nil {
-		p = newPace()
-		t.paces[service] = p
+		p = newEngineSpeed()
+		t.speeds[service] = p
 	}
 	return p
 }
 
-// readMS is how long a service's engines read a prompt of so many tokens, in
-// milliseconds. The caller holds the mutex.
-func (t *Tracker) readMS(service string, tokens int) float64 {
-	return float64(tokens) / t.paceOf(service).readPerMS.value
+// prefillMS predicts the prefill time of a prompt on a service's engines, in milliseconds.
+// The caller holds the mutex.
+func (t *Tracker) prefillMS(service string, tokens int) float64 {
+	return float64(tokens) / t.speedOf(service).prefillPerMS.value
 }
 
-// readMS is how long the target reads a prompt of so many tokens, in
-// milliseconds. The caller holds the mutex.
-func (t *Target) readMS(tokens int, now time.Time) float64 {
-	return t.tracker.readMS(t.Service, tokens) / t.relativeSpeed(now)
+// prefillMS predicts the prefill time of a prompt on the target, in milliseconds. The
+// caller holds the mutex.
+func (t *Target) prefillMS(tokens int, now time.Time) float64 {
+	return t.tracker.prefillMS(t.Service, tokens) / t.relativeSpeed(now)
 }
 
-// relativeSpeed is how fast the target reads beside its peers, 1 where that is
-// not known. A target that was slow is held to become like its peers in time,
-// so that it is tried again. The caller holds the mutex.
+// relativeSpeed returns the target's prefill speed relative to its peers, 1 if unknown.
+// It decays towards 1, so that a slow target is tried again. The caller holds the
+// mutex.
 func (t *Target) relativeSpeed(now time.Time) float64 {
-	if t.speed.seen == 0 {
+	if t.relativeEstimate.samples == 0 {
 		return 1
 	}
-	halvings := float64(now.Sub(t.speedAt)) / float64(speedHalfLife)
-	return math.Exp2(math.Log2(t.speed.value) * math.Exp2(-halvings))
+	halvings := float64(now.Sub(t.relativeEstimateAt)) / float64(relativeSpeedHalfLife)
+	return math.Exp2(math.Log2(t.relativeEstimate.value) * math.Exp2(-halvings))
 }
 
-// learnReading takes how long the target took to read a prompt before which it
-// had none to read. The caller holds the mutex.
-func (t *Target) learnReading(tokens int, took time.Duration, now time.Time) {
+// observePrefill observes the prefill time of a prompt that did not queue behind another.
+// The caller holds the mutex.
+func (t *Target) observePrefill(tokens int, took time.Duration, now time.Time) {
 	ms := float64(took.Milliseconds())
-	if tokens < leastRead || ms <= 0 {
+	if tokens < minMeasuredPrompt || ms <= 0 {
 		return
 	}
 	perMS := float64(tokens) / ms
-	pace := t.tracker.paceOf(t.Service)
-	pace.readPerMS.observe(perMS)
-	relative := perMS / pace.readPerMS.value
-	if t.speed.seen == 0 {
-		t.speed.value = 1
+	speed := t.tracker.speedOf(t.Service)
+	speed.prefillPerMS.observe(perMS)
+	relative := perMS / speed.prefillPerMS.value
+	if t.relativeEstimate.samples == 0 {
+		t.relativeEstimate.value = 1
 	} else {
-		t.speed.value = t.relativeSpeed(now)
+		t.relativeEstimate.value = t.relativeSpeed(now)
 	}
-	t.speed.observe(relative)
-	t.speedAt = now
+	t.relativeEstimate.observe(relative)
+	t.relativeEstimateAt = now
 }
 
-// prompt is another node's run that had not begun when it was told.
-type prompt struct {
-	alone bool // no other prompt was to be read there when it was first told
-	read  int
+// peerPrefill is a peer's run whose prefill had not finished when it was reported.
+type peerPrefill struct {
+	sole   bool // no other prompt was pending there when it was first reported
+	tokens int
 }
 
-// wholePrompt reports whether a run that another node told of has its whole
-// prompt to read, and none of it in a cache: it takes up little more.
-func (s *Shared) wholePrompt() bool { return 2*s.Read >= s.Hold }
+// uncached reports whether a peer's run has its whole prompt to prefill, with no
+// cached prefix: then it holds little more than the prompt.
+func (s *Shared) uncached() bool { return 2*s.Read >= s.Hold }
 
-// learnFromOthers takes what another node's runs show of the targets' speed:
-// those that have begun since the node told them last. It returns those that
-// still have not. The caller holds the mutex, and has not taken the runs yet.
-func (t *Tracker) learnFromOthers(before *sharedRuns, runs []Shared, now time.Time) map[uint64]prompt {
-	waiting := map[uint64]prompt{}
-	unread := map[string]int{} // prompts by target
+// observePeerPrefills observes the prefills that have finished since a peer's last report,
+// and returns those still pending. The caller holds the mutex and has not yet stored
+// the new report.
+func (t *Tracker) observePeerPrefills(before *peerReport, runs []Shared, now time.Time) map[uint64]peerPrefill {
+	pending := map[uint64]peerPrefill{}
+	pendingAt := map[string]int{} // pending prompts by target
 	for _, s := range runs {
 		if s.Read > 0 {
-			unread[s.Target]++
+			pendingAt[s.Target]++
 		}
 	}
 	for _, s := range runs {
-		target := t.byLife[s.Target]
+		target := t.byIncarnation[s.Target]
 		if target == nil || s.Broken {
 			continue
 		}
 		var known bool
-		var p prompt
+		var p peerPrefill
 		if before != nil {
-			p, known = before.prompts[s.Number]
+			p, known = before.pendingPrefills[s.Number]
 		}
 		switch {
-		case s.Read == 0 && known && p.alone:
-			target.learnReading(p.read, s.Age, now)
+		case s.Read == 0 && known && p.sole:
+			target.observePrefill(p.tokens, s.Age, now)
 		case s.Read > 0 && known:
-			waiting[s.Number] = p
+			pending[s.Number] = p
 		case s.Read > 0:
-			alone := unread[s.Target] == 1 && s.wholePrompt() && target.taken.unread == 0
-			waiting[s.Number] = prompt{alone: alone, read: s.Read}
+			sole := pendingAt[s.Target] == 1 && s.uncached() && target.occupancy.pendingPrefills == 0
+			pending[s.Number] = peerPrefill{sole: sole, tokens: s.Read}
 		}
 	}
-	return waiting
+	return pending
 }
 
-// learnWhole takes the time that a whole run took, of which it knows how many
-// tokens came out. The caller holds the mutex.
-func (r *Run) learnWhole(now time.Time, tokens int) {
-	p := r.target.tracker.paceOf(r.target.Service)
-	p.wholeMS.observe(float64(now.Sub(r.began).Milliseconds()))
-	if tokens > 0 && !r.firstAt.IsZero() {
-		p.tokenMS.observe(float64(now.Sub(r.firstAt).Milliseconds()) / float64(tokens))
+// observeDuration observes the duration of a complete run and, if the number of output
+// tokens is known, their interval. The caller holds the mutex.
+func (r *Run) observeDuration(now time.Time, tokens int) {
+	p := r.target.tracker.speedOf(r.target.Service)
+	p.runMS.observe(float64(now.Sub(r.startedAt).Milliseconds()))
+	if tokens > 0 && !r.begunAt.IsZero() {
+		p.interTokenMS.observe(float64(now.Sub(r.begunAt).Milliseconds()) / float64(tokens))
 	}
 }
 
-// WholeRun predicts how long a service's engines take for a run, the mean of
-// what they took lately.
+// WholeRun predicts the duration of a run on a service's engines.
 func (t *Tracker) WholeRun(service string) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return time.Duration(t.paceOf(service).wholeMS.value * float64(time.Millisecond))
+	return time.Duration(t.speedOf(service).runMS.value * float64(time.Millisecond))
 }
 
-// RunTime predicts how long a run takes that nothing delays more than usual: its
-// prompt is read, then so many tokens come out.
+// RunTime predicts the duration of an undisturbed run: the prefill of read prompt
+// tokens, then out output tokens.
 func (t *Tracker) RunTime(service string, read, out int) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	ms := t.readMS(service, read) + float64(out)*t.paceOf(service).tokenMS.value
+	ms := t.prefillMS(service, read) + float64(out)*t.speedOf(service).interTokenMS.value
 	return time.Duration(ms * float64(time.Millisecond))
 }
--- a/balance/pick_bench_test.go
+++ b/balance/pick_bench_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// BenchmarkPick shows how a choice grows with a service's engines, with two
-// runs at each that another node told of.
+// BenchmarkPick measures a selection by the number of engines, with two reported runs
+// at each.
 func BenchmarkPick(b *testing.B) {
 	for _, engines := range []int{20, 100, 500, 2000, 10000} {
 		b.Run(fmt.Sprint(engines), func(b *testing.B) {
@@ -18,11 +18,11 @@
 					runs = append(runs, Shared{Number: uint64(2*i + n), Target: fmt.Sprint(i), Hold: 5000, Trace: Trace{Copy: fmt.Sprint((i + 1) % engines)}})
 				}
 			}
-			tracker := newTracker(listed("s", "north", ids...)...)
+			tracker := newTracker(targetList("s", "north", ids...)...)
 			tracker.SetOthers("n2", runs)
 			b.ReportAllocs()
 			for b.Loop() {
-				tracker.Pick(draft(5000))
+				tracker.Pick(choice(5000))
 			}
 		})
 	}
--- a/balance/pool.go
+++ b/balance/pool.go
@@ -11,65 +11,63 @@
 	"github.com/walnutramp/walnutramp/internal/rendezvous"
 )
 
-// A site may have ten thousand targets, of which a choice needs to look at few: those
-// with least to do in each data hall, and those that the request has a tie to. So
-// targets are kept by data hall and by how many runs they have, and what choices go by
-// is counted as runs begin and end.
+// A site may have ten thousand targets, of which a selection should scan few. So
+// targets are grouped by data hall and bucketed by number of runs, and their occupancy
+// is updated incrementally as runs begin and end.
 
-// levels is by how many runs under way targets are told apart; the last level is for
-// that many and more.
-const levels = 24
+// runBuckets is the number of buckets by active runs; the last one is open-ended.
+const runBuckets = 24
 
-// occupancy is what takes a target up, by the runs that this node knows.
+// occupancy is the capacity of a target that known runs and copies use.
 type occupancy struct {
-	runs   int
-	unread int // runs whose prompts are still to be read
-	held   int // tokens of the runs
-	copies int // tokens of copies of other engines' runs
+	runs            int
+	pendingPrefills int // runs whose prefill is pending
+	runTokens       int // tokens of the runs
+	copyTokens      int // tokens of copies of other engines' runs
 }
 
-// occupancyOf returns what one run takes up.
-func occupancyOf(hold int, unread bool) occupancy {
-	o := occupancy{runs: 1, held: hold}
-	if unread {
-		o.unread = 1
+// occupancyOf returns the occupancy of one run.
+func occupancyOf(hold int, pending bool) occupancy {
+	o := occupancy{runs: 1, runTokens: hold}
+	if pending {
+		o.pendingPrefills = 1
 	}
 	return o
 }
 
 func (o *occupancy) add(other occupancy, sign int) {
 	o.runs += sign * other.runs
-	o.unread += sign * other.unread
-	o.held += sign * other.held
-	o.copies += sign * other.copies
+	o.pendingPrefills += sign * other.pendingPrefills
+	o.runTokens += sign * other.runTokens
+	o.copyTokens += sign * other.copyTokens
 }
 
-// pool is the listed targets of one service.
+// pool holds the listed targets of one service.
 type pool struct {
-	halls  map[string]*hallPool
-	order  []*hallPool // in the order in which they came
-	size   int
-	errors float64   // sum of the targets' shares of failures
-	broken []*Target // that broke off lately, by this node's or another's word
-	silent []*Target // that fell silent, ever
+	halls          map[string]*hallPool
+	ordered        []*hallPool // in insertion order
+	size           int
+	errorRateSum   float64   // sum of the targets' error rates
+	recentFailures []*Target // recently failed, as found by this node or reported by a peer
+	unresponsive   []*Target // unresponsive at any time since listed
 }
 
-// hallPool is the targets of a pool in one data hall.
+// hallPool holds the targets of a pool in one data hall.
 type hallPool struct {
-	name    string
-	byRuns  [levels][]*Target
-	ring    []ringPoint // sorted by hash
-	kept    []*Target   // to which a connection is kept
-	owned   []*Target   // that this node owns, in its own data hall
-	present int         // targets that are not known to have ended
-	live    int         // of these, the ones that don't leave
-	reading int         // targets with prompts to read
-	taken   occupancy
-	inDoubt bool // as of the newest choice
-	broken  int  // targets that broke off just now, as of the newest look
+	name           string
+	buckets        [runBuckets][]*Target
+	ring           []ringPoint // sorted by hash
+	connected      []*Target   // with an idle connection
+	owned          []*Target   // owned by this node, in its own data hall
+	present        int         // targets not known to have ended
+	accepting      int         // of these, the ones not draining
+	prefilling     int         // targets with prefills pending
+	occupancy      occupancy
+	suspect        bool // as of the latest selection
+	recentFailures int  // as of the latest markSuspectHalls
 }
 
-// ringPoint is a target's place in the order by which keys find their targets.
+// ringPoint is a target's position on the consistent-hash ring.
 type ringPoint struct {
 	hash   uint64
 	target *Target
@@ -87,56 +85,53 @@
 	return p
 }
 
-// add puts a target into the pool.
 func (p *pool) add(t *Target) {
 	h := p.halls[t.DataHall]
 	if h == nil {
 		h = &hallPool{name: t.DataHall}
 		p.halls[t.DataHall] = h
-		p.order = append(p.order, h)
+		p.ordered = append(p.ordered, h)
 	}
 	t.pool, t.hall = p, h
 	p.size++
-	p.errors += t.errors
-	t.enterLevel()
+	p.errorRateSum += t.errorRate
+	t.addToBucket()
 	at := ringPoint{hash: xxhash.Sum64String(t.ID), target: t}
 	i, _ := slices.BinarySearchFunc(h.ring, at.hash, byHash)
 	h.ring = slices.Insert(h.ring, i, at)
 	h.countPresence(t, 1)
-	h.taken.add(t.taken, 1)
-	if t.taken.unread > 0 {
-		h.reading++
+	h.occupancy.add(t.occupancy, 1)
+	if t.occupancy.pendingPrefills > 0 {
+		h.prefilling++
 	}
-	if !t.silent.IsZero() {
-		p.silent = append(p.silent, t)
+	if !t.unresponsiveAt.IsZero() {
+		p.unresponsive = append(p.unresponsive, t)
 	}
-	t.noteOwned()
-	t.inBroken = false
-	t.noteBroken() // whoever looks finds out if that is long ago
+	t.addIfOwned()
+	t.inRecentFailures = false
+	t.addRecentFailure() // markSuspectHalls removes it if the failure is old
 }
 
-// remove takes a target out of its pool.
 func (p *pool) remove(t *Target) {
 	h := t.hall
 	p.size--
-	p.errors -= t.errors
-	t.leaveLevel()
-	h.leaveRing(t)
+	p.errorRateSum -= t.errorRate
+	t.removeFromBucket()
+	h.removeFromRing(t)
 	h.countPresence(t, -1)
-	h.taken.add(t.taken, -1)
-	if t.taken.unread > 0 {
-		h.reading--
+	h.occupancy.add(t.occupancy, -1)
+	if t.occupancy.pendingPrefills > 0 {
+		h.prefilling--
 	}
-	p.broken = without(p.broken, t)
-	p.silent = without(p.silent, t)
+	p.recentFailures = without(p.recentFailures, t)
+	p.unresponsive = without(p.unresponsive, t)
 	h.owned = without(h.owned, t)
-	h.kept = without(h.kept, t)
-	t.keptUntil = time.Time{}
+	h.connected = without(h.connected, t)
+	t.connectedUntil = time.Time{}
 	t.pool, t.hall = nil, nil
 }
 
-// leaveRing takes a target off the ring.
-func (h *hallPool) leaveRing(t *Target) {
+func (h *hallPool) removeFromRing(t *Target) {
 	i, _ := slices.BinarySearchFunc(h.ring, xxhash.Sum64String(t.ID), byHash)
 	for h.ring[i].target != t {
 		i++
@@ -144,32 +139,32 @@
 	h.ring = slices.Delete(h.ring, i, i+1)
 }
 
-func without(targets []*Target, left *Target) []*Target {
-	return slices.DeleteFunc(targets, func(t *Target) bool { return t == left })
+func without(targets []*Target, removed *Target) []*Target {
+	return slices.DeleteFunc(targets, func(t *Target) bool { return t == removed })
 }
 
-// countPresence counts a target in or out of those that are there.
+// countPresence adds or removes a target from the counts of present targets.
 func (h *hallPool) countPresence(t *Target, sign int) {
-	if t.gone {
+	if t.ended {
 		return
 	}
 	h.present += sign
 	if t.State != discovery.TargetDraining {
-		h.live += sign
+		h.accepting += sign
 	}
 }
 
-// setGone notes that the target has ended. The caller holds the mutex.
-func (t *Target) setGone() {
-	t.alter(func() { t.gone = true })
-	t.tracker.failed[t] = struct{}{}
+// markEnded marks the target as ended. The caller holds the mutex.
+func (t *Target) markEnded() {
+	t.updatePresence(func() { t.ended = true })
+	t.tracker.recentlyFailed[t] = struct{}{}
 }
 
-// setDraining notes that the target leaves. The caller holds the mutex.
-func (t *Target) setDraining() { t.alter(func() { t.State = discovery.TargetDraining }) }
+// markDraining marks the target as draining. The caller holds the mutex.
+func (t *Target) markDraining() { t.updatePresence(func() { t.State = discovery.TargetDraining }) }
 
-// alter changes what its data hall counts the target by.
-func (t *Target) alter(change func()) {
+// updatePresence applies a change that affects countPresence.
+func (t *Target) updatePresence(change func()) {
 	if t.hall == nil {
 		change()
 		return
@@ -179,56 +174,56 @@
 	t.hall.countPresence(t, 1)
 }
 
-// enterLevel puts the target among those of its data hall with as many runs.
-func (t *Target) enterLevel() {
-	t.level = min(t.taken.runs, levels-1)
-	alike := &t.hall.byRuns[t.level]
-	t.place = len(*alike)
-	*alike = append(*alike, t)
+// addToBucket adds the target to the bucket for its number of runs.
+func (t *Target) addToBucket() {
+	t.bucket = min(t.occupancy.runs, runBuckets-1)
+	bucket := &t.hall.buckets[t.bucket]
+	t.bucketIndex = len(*bucket)
+	*bucket = append(*bucket, t)
 }
 
-func (t *Target) leaveLevel() {
-	alike := t.hall.byRuns[t.level]
-	last := alike[len(alike)-1]
-	alike[t.place], last.place = last, t.place
-	alike[len(alike)-1] = nil
-	t.hall.byRuns[t.level] = alike[:len(alike)-1]
+func (t *Target) removeFromBucket() {
+	bucket := t.hall.buckets[t.bucket]
+	last := bucket[len(bucket)-1]
+	bucket[t.bucketIndex], last.bucketIndex = last, t.bucketIndex
+	bucket[len(bucket)-1] = nil
+	t.hall.buckets[t.bucket] = bucket[:len(bucket)-1]
 }
 
-// occupy adds to what takes the target up, or takes from it. The caller holds the
+// addOccupancy adds o to the target's occupancy, or subtracts it. The caller holds the
 // mutex.
-func (t *Target) occupy(o occupancy, sign int) {
-	read := t.taken.unread > 0
-	t.taken.add(o, sign)
+func (t *Target) addOccupancy(o occupancy, sign int) {
+	wasPrefilling := t.occupancy.pendingPrefills > 0
+	t.occupancy.add(o, sign)
 	if t.hall == nil {
 		return
 	}
-	t.hall.taken.add(o, sign)
-	if reads := t.taken.unread > 0; reads != read {
-		if reads {
-			t.hall.reading++
+	t.hall.occupancy.add(o, sign)
+	if prefilling := t.occupancy.pendingPrefills > 0; prefilling != wasPrefilling {
+		if prefilling {
+			t.hall.prefilling++
 		} else {
-			t.hall.reading--
+			t.hall.prefilling--
 		}
 	}
-	if min(t.taken.runs, levels-1) != t.level {
-		t.leaveLevel()
-		t.enterLevel()
+	if min(t.occupancy.runs, runBuckets-1) != t.bucket {
+		t.removeFromBucket()
+		t.addToBucket()
 	}
 }
 
-// setErrors sets the target's share of failures.
-func (t *Target) setErrors(share float64) {
+// setErrorRate sets the target's error rate and updates the pool's sum.
+func (t *Target) setErrorRate(rate float64) {
 	if t.pool != nil {
-		t.pool.errors += share - t.errors
+		t.pool.errorRateSum += rate - t.errorRate
 	}
-	t.errors = share
+	t.errorRate = rate
 }
 
-// all returns the pool's targets, in no order.
+// all iterates over the pool's targets, in no particular order.
 func (p *pool) all() iter.Seq[*Target] {
 	return func(yield func(*Target) bool) {
-		for _, h := range p.order {
+		for _, h := range p.ordered {
 			for _, at := range h.ring {
 				if !yield(at.target) {
 					return
@@ -238,82 +233,86 @@
 	}
 }
 
-// total adds up what takes the pool's targets up.
+// total returns the occupancy of the whole pool.
 func (p *pool) total() occupancy {
 	var sum occupancy
-	for _, h := range p.order {
-		sum.add(h.taken, 1)
+	for _, h := range p.ordered {
+		sum.add(h.occupancy, 1)
 	}
 	return sum
 }
 
-// findDoubt marks the data halls where so many targets broke off just now that the
-// others may have, too.
-func (p *pool) findDoubt(now time.Time) {
-	for _, h := range p.order {
-		h.inDoubt, h.broken = false, 0
+// markSuspectHalls marks data halls as suspect in which so many targets failed just now
+// that the others may have, too.
+func (p *pool) markSuspectHalls(now time.Time) {
+	for _, h := range p.ordered {
+		h.suspect, h.recentFailures = false, 0
 	}
-	p.broken = slices.DeleteFunc(p.broken, func(t *Target) bool {
-		t.inBroken = now.Sub(t.broke) < hallDoubtTime || now.Sub(t.rumour) < hallDoubtTime
-		if t.inBroken && !t.gone {
-			t.hall.broken++
+	p.recentFailures = slices.DeleteFunc(p.recentFailures, func(t *Target) bool {
+		t.inRecentFailures = now.Sub(t.failedAt) < hallSuspectWindow || now.Sub(t.peerFailedAt) < hallSuspectWindow
+		if t.inRecentFailures && !t.ended {
+			t.hall.recentFailures++
 		}
-		return !t.inBroken
+		return !t.inRecentFailures
 	})
-	for _, h := range p.order {
-		h.inDoubt = h.broken >= hallDoubtLeast && float64(h.broken) >= hallDoubtShare*float64(h.present)
+	for _, h := range p.ordered {
+		h.suspect = h.recentFailures >= hallSuspectMin && float64(h.recentFailures) >= hallSuspectShare*float64(h.present)
 	}
 }
 
-// noteBroken notes that a target broke off. The caller holds the mutex.
-func (t *Target) noteBroken() {
-	if t.pool != nil && !t.inBroken {
-		t.inBroken = true
-		t.pool.broken = append(t.pool.broken, t)
+// addRecentFailure adds the target to its pool's recent failures. The caller holds the
+// mutex.
+func (t *Target) addRecentFailure() {
+	if t.pool != nil && !t.inRecentFailures {
+		t.inRecentFailures = true
+		t.pool.recentFailures = append(t.pool.recentFailures, t)
 	}
 }
 
-// noteSilent notes that a target fell silent. The caller holds the mutex.
-func (t *Target) noteSilent() {
-	if t.pool != nil && t.silent.IsZero() {
-		t.pool.silent = append(t.pool.silent, t)
+// addUnresponsive adds the target to its pool's unresponsive targets. The caller holds the
+// mutex.
+func (t *Target) addUnresponsive() {
+	if t.pool != nil && t.unresponsiveAt.IsZero() {
+		t.pool.unresponsive = append(t.pool.unresponsive, t)
 	}
 }
 
-// SetKept notes until when a connection is kept to a target, by its life; zero for none.
-func (t *Tracker) SetKept(life string, until time.Time) {
+// SetKept sets until when an idle connection to an incarnation is kept; zero for none.
+func (t *Tracker) SetKept(incarnation string, until time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	target := t.byLife[life]
+	target := t.byIncarnation[incarnation]
 	if target == nil {
 		return
 	}
-	if target.keptUntil.IsZero() && !until.IsZero() {
-		target.hall.kept = append(target.hall.kept, target)
+	if target.connectedUntil.IsZero() && !until.IsZero() {
+		target.hall.connected = append(target.hall.connected, target)
 	}
 	if until.IsZero() {
-		target.hall.kept = without(target.hall.kept, target)
+		target.hall.connected = without(target.hall.connected, target)
 	}
-	target.keptUntil = until
+	target.connectedUntil = until
 }
 
-// homeWindow is among how many targets a key's home is found: enough that none is the
-// home of many more keys than others, few for what a choice may cost.
-const homeWindow = 16
+// affinityWindow is the number of available targets on the ring among which a key's
+// affinity target is chosen: large enough to spread keys evenly, small enough to be
+// cheap.
+const affinityWindow = 16
 
-// home returns the target of the data hall that a key names, nil if none takes work,
-// and its weight: the highest by rendezvous hash among the next few on the ring.
-func (h *hallPool) home(key string, now time.Time) (home *Target, highest uint64) {
+// affinityTarget returns the affinity target of a key in the data hall and its weight,
+// nil if none is available: the highest by rendezvous hash among the next few on the
+// ring.
+func (h *hallPool) affinityTarget(key string, now time.Time) (best *Target, highest uint64) {
 	start, _ := slices.BinarySearchFunc(h.ring, xxhash.Sum64String(key), byHash)
-	for i, open := 0, 0; i < len(h.ring) && open < homeWindow; i++ {
+	for i, found := 0, 0; i < len(h.ring) && found < affinityWindow; i++ {
 		t := h.ring[(start+i)%len(h.ring)].target
-		if !t.open(now) {
+		if !t.available(now) {
 			continue
 		}
-		open++
-		if weight := rendezvous.Weight(key, t.ID); home == nil || weight > highest {
-			home, highest = t, weight
+		found++
+		if weight := rendezvous.Weight(key, t.ID); best == nil || weight > highest {
+			best, highest = t, weight
 		}
 	}
-	return home, highest
+	return best, highest
 }
--- a/balance/pool_test.go
+++ b/balance/pool_test.go
@@ -13,8 +13,8 @@
 	"github.com/walnutramp/walnutramp/discovery"
 )
 
-// counted works out what takes each target up from the runs that are known.
-func (t *Tracker) counted() map[string]occupancy {
+// countOccupancy computes each target's occupancy from scratch from the known runs.
+func (t *Tracker) countOccupancy() map[string]occupancy {
 	all := map[string]occupancy{}
 	add := func(id string, o occupancy) {
 		sum := all[id]
@@ -22,23 +22,23 @@
 		all[id] = sum
 	}
 	count := func(at string, s Shared, holder *Target) {
-		o := occupancy{runs: 1, held: s.Hold}
+		o := occupancy{runs: 1, runTokens: s.Hold}
 		if s.Read > 0 {
-			o.unread = 1
+			o.pendingPrefills = 1
 		}
 		add(at, o)
 		if holder != nil {
-			add(holder.ID, occupancy{copies: s.Hold})
+			add(holder.ID, occupancy{copyTokens: s.Hold})
 		}
 	}
-	for _, target := range slices.Concat(slices.Collect(maps.Values(t.byID)), slices.Collect(maps.Values(t.absent))) {
+	for _, target := range slices.Concat(slices.Collect(maps.Values(t.byID)), slices.Collect(maps.Values(t.delisted))) {
 		for r := range target.runs {
-			count(target.ID, r.shared(time.Now()), r.holder)
+			count(target.ID, r.summary(time.Now()), r.copyHolder)
 		}
-		for _, o := range target.others {
+		for _, o := range target.peerRuns {
 			for i, s := range o.runs {
-				if time.Since(o.told.heard) <= sharedLife {
-					count(target.ID, s, o.holders[i])
+				if time.Since(o.report.aliveAt) <= peerReportTTL {
+					count(target.ID, s, o.copyHolders[i])
 				}
 			}
 		}
@@ -46,15 +46,14 @@
 	return all
 }
 
-// What is counted as runs begin, change and end, and as nodes tell of theirs and fall
-// silent, is what there is.
-func TestOccupancyFollowsTheRuns(t *testing.T) {
+// The incrementally updated occupancy must match the known runs.
+func TestOccupancyMatchesRuns(t *testing.T) {
 	for seed := range uint64(20) {
 		synctest.Test(t, func(t *testing.T) {
 			rng := rand.New(rand.NewPCG(seed, 1))
 			var list []discovery.Target
 			for i := range 12 {
-				list = append(list, listed("s", fmt.Sprint("hall-", i%3), fmt.Sprint(i))...)
+				list = append(list, targetList("s", fmt.Sprint("hall-", i%3), fmt.Sprint(i))...)
 			}
 			tracker := newTracker(list...)
 			var own []*Run
@@ -90,12 +89,12 @@
 					at := rng.IntN(len(list))
 					tracker.Update(slices.Concat(list[:at], list[min(len(list), at+2):]))
 				}
-				tracker.Pick(draft(100))
-				want, sum := tracker.counted(), occupancy{}
+				tracker.Pick(choice(100))
+				want, sum := tracker.countOccupancy(), occupancy{}
 				for id, target := range tracker.byID {
-					require.Equal(t, want[id], target.taken, "seed %d, step %d, target %s", seed, step, id)
-					require.Same(t, target, target.hall.byRuns[min(target.taken.runs, levels-1)][target.place])
-					sum.add(target.taken, 1)
+					require.Equal(t, want[id], target.occupancy, "seed %d, step %d, target %s", seed, step, id)
+					require.Same(t, target, target.hall.buckets[min(target.occupancy.runs, runBuckets-1)][target.bucketIndex])
+					sum.add(target.occupancy, 1)
 				}
 				require.Equal(t, sum, tracker.pools["s"].total())
 			}
@@ -103,15 +102,15 @@
 	}
 }
 
-// busySite returns a tracker of so many engines in six data halls, a share of which are
-// busy with one to three runs.
-func busySite(engines int, busy float64, seed uint64) *Tracker {
+// busyTracker returns a tracker of engines in six data halls, with busy the probability of
+// each of up to three runs per engine.
+func busyTracker(engines int, busy float64, seed uint64) *Tracker {
 	rng := rand.New(rand.NewPCG(seed, 2))
 	var list []discovery.Target
 	var runs []Shared
 	for i := range engines {
 		id := fmt.Sprint(i)
-		list = append(list, listed("s", fmt.Sprint("hall-", i%6), id)...)
+		list = append(list, targetList("s", fmt.Sprint("hall-", i%6), id)...)
 		for n := range 3 {
 			if rng.Float64() < busy {
 				runs = append(runs, Shared{Number: uint64(3*i + n), Target: id, Read: 8000 * rng.IntN(2), Hold: 8400, Age: time.Duration(rng.IntN(900)) * time.Millisecond})
@@ -124,65 +123,65 @@
 	return t
 }
 
-// A choice looks at as many targets of ten thousand as of a few hundred, allocates next
-// to nothing, and finds what is hardly worse than the best of all.
-func TestChoiceAmongManyTargets(t *testing.T) {
+// The cost of a selection must not grow with the site, and the result must be close to
+// the best of all targets.
+func TestSelectionAmongManyTargets(t *testing.T) {
 	for _, engines := range []int{20, 500, 10000} {
 		for _, busy := range []float64{0.05, 0.6, 1} {
-			tracker := busySite(engines, busy, uint64(engines))
-			c := draft(8000)
+			tracker := busyTracker(engines, busy, uint64(engines))
+			c := choice(8000)
 			sampled, all := 0.0, 0.0
 			const choices = 40
 			for range choices {
-				l := tracker.lookFor(&c)
-				found := l.candidates()
-				require.LessOrEqual(t, len(found), lookNear+lookFar+2*lookTied+2)
+				sc := tracker.newScan(&c)
+				found := sc.candidates()
+				require.LessOrEqual(t, len(found), localScan+remoteScan+2*preferredScan+2)
 				sampled += slices.MinFunc(found, byScore).score
-				tracker.looks++
+				tracker.scans++
 				tracker.candidates = tracker.candidates[:0]
-				for target := range l.pool.all() {
-					l.consider(target)
+				for target := range sc.pool.all() {
+					sc.consider(target)
 				}
 				all += slices.MinFunc(tracker.candidates, byScore).score
 			}
-			require.Less(t, (sampled-all)/choices, crowdWeight*tracker.readMS("s", 8000)/2, "%d engines, %v busy: worse by half of what one more run costs", engines, busy)
+			require.Less(t, (sampled-all)/choices, interferenceWeight*tracker.prefillMS("s", 8000)/2, "%d engines, %v busy: worse by half the cost of one more run", engines, busy)
 			require.LessOrEqual(t, testing.AllocsPerRun(20, func() { tracker.Pick(c) }), 20.0)
 		}
 	}
 }
 
-// Where only one of thousands is allowed, as in a roll-out, it is found.
-func TestChoiceFindsTheOnlyTargetAllowed(t *testing.T) {
-	tracker := busySite(2000, 0.5, 3)
-	c := draft(8000)
+// The only target allowed of thousands, as in a rollout, must be found.
+func TestOnlyAllowedTargetIsFound(t *testing.T) {
+	tracker := busyTracker(2000, 0.5, 3)
+	c := choice(8000)
 	c.Exclude = func(target *Target) bool { return target.ID != "1234" }
 	require.Equal(t, "1234", tracker.Pick(c).ID)
 }
 
-// Each key has a home in the own data hall, and none is home to many more than others.
-func TestHomesAreSpread(t *testing.T) {
-	tracker := busySite(1200, 0, 4)
-	homes := map[*Target]int{}
+// Affinity targets must be local and evenly distributed over keys.
+func TestAffinityTargetsAreSpread(t *testing.T) {
+	tracker := busyTracker(1200, 0, 4)
+	keysByTarget := map[*Target]int{}
 	for key := range 20000 {
-		home := tracker.home(Choice{Service: "s", Key: fmt.Sprint("key-", key)}, time.Now())
-		require.Equal(t, "hall-0", home.DataHall)
-		homes[home]++
+		target := tracker.affinityTarget(Choice{Service: "s", Key: fmt.Sprint("key-", key)}, time.Now())
+		require.Equal(t, "hall-0", target.DataHall)
+		keysByTarget[target]++
 	}
 	most := 0
-	for _, n := range homes {
+	for _, n := range keysByTarget {
 		most = max(most, n)
 	}
 	require.Less(t, most, 4*20000/200, "at most four times the mean")
 }
 
-// A node with few requests sends them where it has a connection, as long as that target
-// has not much more to do than others.
-func TestKeptConnectionsAreUsed(t *testing.T) {
+// A node with few requests must reuse its idle connections, unless their targets are
+// considerably busier than others.
+func TestIdleConnectionsAreReused(t *testing.T) {
 	var ids []string
 	for i := range 100 {
 		ids = append(ids, fmt.Sprint(i))
 	}
-	tracker := newTracker(listed("s", "north", ids...)...)
+	tracker := newTracker(targetList("s", "north", ids...)...)
 	for id := range tracker.byID {
 		tracker.byID[id].Slots = 6
 	}
@@ -199,7 +198,7 @@
 		serve()
 	}
 	require.Greater(t, len(used), 1, "others are tried now and then")
-	require.Less(t, len(used), 2*80/lookElsewhere)
+	require.Less(t, len(used), 2*80/exploreInterval)
 	for id := range used {
 		target := tracker.byID[id]
 		for range 12 {
@@ -210,5 +209,5 @@
 	for id := range used {
 		tracker.SetKept(id, time.Time{})
 	}
-	require.Empty(t, tracker.pools["s"].halls["north"].kept)
+	require.Empty(t, tracker.pools["s"].halls["north"].connected)
 }
--- a/balance/readplaces.go
+++ b/balance/readplaces.go
@@ -2,69 +2,66 @@
 
 import "time"
 
-// An engine keeps the prompts that it read in its cache, until others take
-// their place. A request that comes again, as after its node lost power, is
-// answered soonest where its prompt was read, and nothing is read twice.
+// An engine caches the prompts that it has prefilled until others displace them. A
+// repeated request, as after a node's power loss, is answered soonest by the target
+// that has prefilled its prompt.
 
-// Bounds of what is remembered of read prompts.
+// Bounds of the prompt index.
 const (
-	// readPlaceLife is how long a place is remembered at the least. It is
-	// longer than callers wait for an answer that stopped, and about as long
-	// as a busy engine's cache holds a prompt.
-	readPlaceLife = 30 * time.Second
-	// maxReadPlaces bounds the memory of a node, some 100 bytes each.
-	maxReadPlaces = 8192
+	// promptEntryTTL is the minimum lifetime of an entry: longer than clients wait for a
+	// stalled response, and about as long as a busy engine keeps a prompt cached.
+	promptEntryTTL = 30 * time.Second
+	// maxPromptEntries bounds the number of entries, of about 100 bytes each.
+	maxPromptEntries = 8192
 )
 
-// readPlaces remembers at which target the prompt of a key was read. It has
-// two generations: the older one is dropped whole, so nothing is searched for
-// what is too old.
-type readPlaces struct {
-	newer, older map[string]string // target ID by key
-	turned       time.Time         // when the newer generation was begun
+// promptIndex maps keys to the targets that prefilled their prompts. It has two
+// generations, of which the older is dropped as a whole.
+type promptIndex struct {
+	newer, older map[string]string // incarnation by key
+	rotatedAt    time.Time         // start of the newer generation
 }
 
-// note remembers that a target has read a key's prompt.
-func (p *readPlaces) note(key, target string, now time.Time) {
+// record records that a target has prefilled a key's prompt.
+func (p *promptIndex) record(key, target string, now time.Time) {
 	if key == "" || target == "" {
 		return
 	}
-	if p.newer == nil || now.Sub(p.turned) > readPlaceLife || len(p.newer) >= maxReadPlaces/2 {
-		p.older, p.newer, p.turned = p.newer, map[string]string{}, now
+	if p.newer == nil || now.Sub(p.rotatedAt) > promptEntryTTL || len(p.newer) >= maxPromptEntries/2 {
+		p.older, p.newer, p.rotatedAt = p.newer, map[string]string{}, now
 	}
 	p.newer[key] = target
 }
 
-// of returns the target that read a key's prompt last, empty if that is not
-// known.
-func (p *readPlaces) of(key string) string {
+// lookup returns the target that last prefilled a key's prompt, empty if unknown.
+func (p *promptIndex) lookup(key string) string {
 	if target, ok := p.newer[key]; ok {
 		return target
 	}
 	return p.older[key]
 }
 
-// readPlace returns the target that has read a choice's prompt and still takes
-// work, nil if none is known. The caller holds the mutex.
-func (t *Tracker) readPlace(c Choice, now time.Time) *Target {
-	target := t.byLife[t.read.of(c.Key)]
-	if target == nil || target.Service != c.Service || !target.open(now) || target.suspect(now) {
+// prefilledAt returns the available target that has prefilled the prompt of c, nil if
+// none is known. The caller holds the mutex.
+func (t *Tracker) prefilledAt(c Choice, now time.Time) *Target {
+	target := t.byIncarnation[t.prompts.lookup(c.Key)]
+	if target == nil || target.Service != c.Service || !target.available(now) || target.suspect(now) {
 		return nil
 	}
 	return target
 }
 
-// keeper returns the target that most likely keeps a choice's prompt in its
-// cache, nil if none does. The caller holds the mutex.
-func (t *Tracker) keeper(c Choice, now time.Time) *Target {
+// likelyCacheHolder returns the target most likely to have the prompt of c cached, nil
+// if unknown. The caller holds the mutex.
+func (t *Tracker) likelyCacheHolder(c Choice, now time.Time) *Target {
 	if c.Key == "" {
 		return nil
 	}
-	if target := t.readPlace(c, now); target != nil {
+	if target := t.prefilledAt(c, now); target != nil {
 		return target
 	}
 	if c.Again {
-		return t.home(c, now)
+		return t.affinityTarget(c, now)
 	}
 	return nil
 }
--- a/balance/regions.go
+++ b/balance/regions.go
@@ -7,35 +7,35 @@
 	"github.com/walnutramp/walnutramp/topology"
 )
 
-// Between regions a request takes longer, each event is at the mercy of a long
-// link, and what the nodes there have begun is known later. So a request leaves
-// its region only where that lets it begin well sooner, and another region takes
-// what spills over only while its own callers don't need its engines.
+// Between regions latency is higher, every event depends on a long-distance link, and
+// reports of new runs arrive later. So a request leaves its region only where it begins
+// considerably sooner, and a region accepts spillover only while its own clients leave
+// it idle engines.
 
 const (
-	// regionShare is the part of its aim by which a new stream must begin sooner
-	// in another region to be sent there.
-	regionShare = 0.5
-	// assumedRoundTrip is the way to another region and back while none was
-	// measured, in milliseconds: links within a country take some 10 ms each way.
-	assumedRoundTrip = 25.0
-	// sameRegionCost is what speaks against a copy in the region of its run, in
-	// milliseconds of waiting: a region's engines may be lost together, and then a
-	// run without a copy elsewhere is silent for as long as its prompt is read. It
-	// outweighs a busy engine, not a full one.
+	// crossRegionAimShare is the part of Choice.Aim by which a new stream must begin
+	// sooner in another region to be sent there.
+	crossRegionAimShare = 0.5
+	// defaultRoundTripMS is the round trip to another region until one is measured, in
+	// milliseconds.
+	defaultRoundTripMS = 25.0
+	// sameRegionCost is the cost of placing a copy in the region of its run, in
+	// milliseconds of wait: the engines of a region may be lost together, and a run
+	// without a copy elsewhere must then be prefilled again. It outweighs a busy
+	// engine, but not a full one.
 	sameRegionCost = 1000.0
-	// spillShare is the part of a region's engines that may have prompts to read
-	// before it takes no new streams of other regions: at the rest its own callers
-	// find an idle engine while word of what came from elsewhere is on its way.
-	spillShare = 0.7
+	// spillThreshold is the part of a region's engines with prefills pending from which the
+	// region accepts no new streams from others: its own clients still find an idle
+	// engine while reports of spillover are in flight.
+	spillThreshold = 0.7
 )
 
-// SetRegionLag says by how much longer it takes until nodes of other regions
-// tell what they began than until those of other data halls in the own one do.
+// SetRegionLag sets the additional delay of reports from nodes in other regions, on top
+// of that of other data halls.
 func (t *Tracker) SetRegionLag(lag time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.regionLag = lag
+	t.crossRegionLag = lag
 }
 
 // inOtherRegion reports whether a target is in another region than this node.
@@ -43,74 +43,73 @@
 	return t.cfg.Topology.Several() && t.cfg.Topology.Distance(target.DataHall) == topology.OtherRegion
 }
 
-// inRegionOfRun reports whether a copy would be kept in the region of its run, on a
-// site of several.
-func (t *Tracker) inRegionOfRun(c *Choice, holder *Target) bool {
+// copyInRunRegion reports whether a copy at holder would be in the region of its run, on
+// a site of several regions.
+func (t *Tracker) copyInRunRegion(c *Choice, holder *Target) bool {
 	return c.Copy && c.OtherHall != "" && t.cfg.Topology.Several() &&
 		t.cfg.Topology.Between(c.OtherHall, holder.DataHall) != topology.OtherRegion
 }
 
-// NoteRoundTrip takes how long the way to a target and back took.
+// NoteRoundTrip records a measured round trip to a target.
 func (t *Tracker) NoteRoundTrip(id string, took time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if target := t.byLife[id]; target != nil {
-		t.trips.Observe(target.DataHall, took, uptime.Now())
+	if target := t.byIncarnation[id]; target != nil {
+		t.roundTrips.Observe(target.DataHall, took, uptime.Now())
 	}
 }
 
-// roundTripMS is the way to a data hall of another region and back, in
-// milliseconds. The caller holds the mutex.
+// roundTripMS returns the round trip to a data hall of another region, in milliseconds.
+// The caller holds the mutex.
 func (t *Tracker) roundTripMS(hall string, now time.Time) float64 {
-	if took, known := t.trips.To(hall, now); known {
+	if took, known := t.roundTrips.To(hall, now); known {
 		return float64(took) / float64(time.Millisecond)
 	}
-	return assumedRoundTrip
+	return defaultRoundTripMS
 }
 
-// regionCost is what speaks against a target in a data hall of another region.
-// The caller holds the mutex.
+// regionCost returns the cost of a target in a data hall of another region. The caller
+// holds the mutex.
 func (t *Tracker) regionCost(c *Choice, hall string, now time.Time) float64 {
 	if c.Work == (Work{}) {
-		return t.cfg.FarSlotCost + t.roundTripMS(hall, now)
+		return t.cfg.RemoteHallSlotCost + t.roundTripMS(hall, now)
 	}
 	if c.Copy {
-		return t.cfg.FarCost // nobody waits for a copy, however long its way
+		return t.cfg.RemoteHallCost // the latency to a copy delays no client
 	}
-	known := t.cfg.FarCost + unseenCost*float64((t.farLag+t.regionLag).Milliseconds())
-	return max(known, regionShare*float64(c.Aim.Milliseconds()))
+	cost := t.cfg.RemoteHallCost + reportDelayCost*float64((t.crossHallLag+t.crossRegionLag).Milliseconds())
+	return max(cost, crossRegionAimShare*float64(c.Aim.Milliseconds()))
 }
 
-// doubtCost is what speaks against a target in a data hall that is in doubt. Where
-// all halls of the region are, it must weigh more than the way out of the region.
-func (t *Tracker) doubtCost(c *Choice) float64 {
+// suspectHallCost returns the cost of a target in a suspect data hall. If all halls of the
+// region are suspect, it must exceed the cost of leaving the region.
+func (t *Tracker) suspectHallCost(c *Choice) float64 {
 	if !t.cfg.Topology.Several() {
-		return doubtCost
+		return hallSuspectCost
 	}
-	return doubtCost + regionShare*float64(c.Aim.Milliseconds())
+	return hallSuspectCost + crossRegionAimShare*float64(c.Aim.Milliseconds())
 }
 
-// spillRegions returns the regions that take new runs from others, by name: those
-// few of whose engines have prompts to read. Nil where every target may be taken.
-// The caller holds the mutex.
+// spillRegions returns the regions that accept new runs from others: those with few
+// prefills pending per engine. Nil means no restriction. The caller holds the mutex.
 func (t *Tracker) spillRegions(c *Choice, p *pool) map[string]bool {
 	if !c.Admission || c.Work == (Work{}) || !t.cfg.Topology.Several() {
 		return nil
 	}
-	engines, reading := map[string]int{}, map[string]int{}
-	for _, h := range p.order {
+	engines, prefilling := map[string]int{}, map[string]int{}
+	for _, h := range p.ordered {
 		region := t.cfg.Topology.Region(h.name)
-		engines[region] += h.live
-		reading[region] += h.reading
+		engines[region] += h.accepting
+		prefilling[region] += h.prefilling
 	}
-	taking := map[string]bool{}
+	accepting := map[string]bool{}
 	for region, n := range engines {
-		taking[region] = float64(reading[region]) < spillShare*float64(n)
+		accepting[region] = float64(prefilling[region]) < spillThreshold*float64(n)
 	}
-	return taking
+	return accepting
 }
 
-// reserved reports whether a target is kept for the callers of its own region.
-func (t *Tracker) reserved(target *Target, taking map[string]bool) bool {
-	return taking != nil && t.inOtherRegion(target) && !taking[t.cfg.Topology.Region(target.DataHall)]
+// reserved reports whether a target is reserved for clients of its own region.
+func (t *Tracker) reserved(target *Target, accepting map[string]bool) bool {
+	return accepting != nil && t.inOtherRegion(target) && !accepting[t.cfg.Topology.Region(target.DataHall)]
 }
--- a/balance/regions_test.go
+++ b/balance/regions_test.go
@@ -14,13 +14,13 @@
 	"github.com/walnutramp/walnutramp/topology"
 )
 
-// regionHalls are three regions of two data halls.
+// regionHalls is three regions of two data halls each.
 var regionHalls = map[string]string{
 	"east-a": "east", "east-b": "east", "mid-a": "mid", "mid-b": "mid", "west-a": "west", "west-b": "west",
 }
 
-// regionTracker returns a tracker of a node in east-a, with so many engines in
-// each data hall, named after it.
+// regionTracker returns the tracker of a node in east-a, with the given number of
+// engines in each data hall, named after it.
 func regionTracker(engines int, opts ...Option) *Tracker {
 	t := NewTracker(WithSeed(1), WithDataHall("east-a"), WithTopology(topology.New("east-a", regionHalls)))
 	for _, opt := range opts {
@@ -36,7 +36,7 @@
 		}
 	}
 	t.Update(list)
-	t.paceOf("s").readPerMS.value = 8 // so that a prompt of 8,000 tokens takes 1 s
+	t.speedOf("s").prefillPerMS.value = 8 // a prompt of 8,000 tokens takes 1 s
 	t.SetEngines(map[string]Engine{"s": {Memory: 90000, Slots: 64}})
 	t.SetFarLag(10 * time.Millisecond)
 	t.SetRegionLag(70 * time.Millisecond)
@@ -46,13 +46,13 @@
 // region returns the region of a target.
 func (t *Tracker) region(target *Target) string { return t.cfg.Topology.Region(target.DataHall) }
 
-// regionDraft is a new stream of 8,000 tokens that is to begin within 4.5 s.
-func regionDraft() Choice {
+// regionChoice is a new stream of 8,000 tokens that should begin within 4.5 s.
+func regionChoice() Choice {
 	return Choice{Service: "s", Work: Work{Read: 8000, Hold: 8400}, Admission: true, Aim: 4500 * time.Millisecond}
 }
 
-// fill has each engine of a data hall read so many prompts.
-func (t *Tracker) fill(hall string, engines, prompts int) {
+// fillHall begins the given number of prompts at each engine of a data hall.
+func (t *Tracker) fillHall(hall string, engines, prompts int) {
 	for i := range engines {
 		for range prompts {
 			t.byID[fmt.Sprint(hall, "-", i)].Begin(Work{Read: 8000, Hold: 8400}, Trace{})
@@ -60,43 +60,43 @@
 	}
 }
 
-func TestStreamLeavesItsRegionOnlyWhereItBeginsWellSooner(t *testing.T) {
+func TestStreamLeavesRegionOnlyToBeginConsiderablySooner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		tracker := regionTracker(4)
-		require.Equal(t, "east-a", tracker.Pick(regionDraft()).DataHall)
-		tracker.fill("east-a", 4, 1)
-		require.Equal(t, "east", tracker.region(tracker.Pick(regionDraft())), "one prompt to wait for, of 1 s")
-		tracker.fill("east-b", 4, 1)
-		require.Equal(t, "east", tracker.region(tracker.Pick(regionDraft())))
-		tracker.fill("east-a", 4, 1)
-		tracker.fill("east-b", 4, 1)
-		require.NotEqual(t, "east", tracker.region(tracker.Pick(regionDraft())), "two to wait for everywhere near")
+		require.Equal(t, "east-a", tracker.Pick(regionChoice()).DataHall)
+		tracker.fillHall("east-a", 4, 1)
+		require.Equal(t, "east", tracker.region(tracker.Pick(regionChoice())), "one prefill of 1 s is pending")
+		tracker.fillHall("east-b", 4, 1)
+		require.Equal(t, "east", tracker.region(tracker.Pick(regionChoice())))
+		tracker.fillHall("east-a", 4, 1)
+		tracker.fillHall("east-b", 4, 1)
+		require.NotEqual(t, "east", tracker.region(tracker.Pick(regionChoice())), "two prefills are pending at each engine of the region")
 	})
 }
 
-func TestPlainRequestLeavesItsRegionOnlyWhereTheWayIsWorthIt(t *testing.T) {
+func TestPlainRequestLeavesRegionOnlyIfWorthTheRoundTrip(t *testing.T) {
 	tracker := regionTracker(1)
 	lookup := Choice{Service: "s"}
-	leaves := func(near, far int) bool {
+	leaves := func(localRuns, remoteRuns int) bool {
 		tracker := regionTracker(1)
-		for range near {
+		for range localRuns {
 			tracker.byID["east-a-0"].Begin(Work{}, Trace{})
 			tracker.byID["east-b-0"].Begin(Work{}, Trace{})
 		}
 		for _, hall := range []string{"mid-a", "mid-b", "west-a", "west-b"} {
-			for range far {
+			for range remoteRuns {
 				tracker.byID[hall+"-0"].Begin(Work{}, Trace{})
 			}
 		}
 		return tracker.region(tracker.Pick(lookup)) != "east"
 	}
 	require.Equal(t, "east-a", tracker.Pick(lookup).DataHall)
-	require.False(t, leaves(4, 0), "four requests before it cost less than the way")
+	require.False(t, leaves(4, 0), "four requests ahead cost less than the round trip")
 	require.True(t, leaves(18, 0), "three times the slots")
 	require.False(t, leaves(18, 15))
 }
 
-func TestLongWayKeepsPlainRequestsAtHome(t *testing.T) {
+func TestLongRoundTripKeepsPlainRequestsInRegion(t *testing.T) {
 	tracker := regionTracker(1)
 	for range 18 {
 		tracker.byID["east-a-0"].Begin(Work{}, Trace{})
@@ -107,36 +107,36 @@
 			tracker.NoteRoundTrip(id, 240*time.Millisecond)
 		}
 	}
-	require.Equal(t, "west-b", tracker.Pick(Choice{Service: "s"}).DataHall, "its way was not measured")
+	require.Equal(t, "west-b", tracker.Pick(Choice{Service: "s"}).DataHall, "its round trip was not measured")
 	tracker.NoteRoundTrip("west-b-0", 240*time.Millisecond)
 	require.Equal(t, "east", tracker.region(tracker.Pick(Choice{Service: "s"})))
 }
 
-// A region whose own callers need its engines takes no new streams of others; one
-// that has begun goes on there all the same.
-func TestBusyRegionTakesNoSpill(t *testing.T) {
+// A region whose own clients need its engines must accept no new streams from others,
+// but still resume those that have begun.
+func TestBusyRegionAcceptsNoSpillover(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		tracker := regionTracker(4)
-		tracker.fill("east-a", 4, 4)
-		tracker.fill("east-b", 4, 4)
-		tracker.fill("mid-a", 4, 1)
-		tracker.fill("mid-b", 3, 1)
+		tracker.fillHall("east-a", 4, 4)
+		tracker.fillHall("east-b", 4, 4)
+		tracker.fillHall("mid-a", 4, 1)
+		tracker.fillHall("mid-b", 3, 1)
 		for range 20 {
-			require.Equal(t, "west", tracker.region(tracker.Pick(regionDraft())), "one engine of eight is left in mid")
+			require.Equal(t, "west", tracker.region(tracker.Pick(regionChoice())), "one engine of eight is idle in mid")
 		}
-		tracker.fill("west-a", 4, 1)
-		tracker.fill("west-b", 4, 1)
-		require.Equal(t, "east", tracker.region(tracker.Pick(regionDraft())), "no region takes it: it waits in its own")
-		resumed := regionDraft()
+		tracker.fillHall("west-a", 4, 1)
+		tracker.fillHall("west-b", 4, 1)
+		require.Equal(t, "east", tracker.region(tracker.Pick(regionChoice())), "no region accepts spillover: it waits in its own")
+		resumed := regionChoice()
 		resumed.Admission = false
 		resumed.FailedHalls = map[string]int{"east-a": 1}
 		require.NotEqual(t, "east", tracker.region(tracker.Pick(resumed)))
 	})
 }
 
-// Many nodes of a region that is short spill over. They know of each other late
-// there, so they part over the engines of the other regions.
-func TestNodesThatSpillOverPart(t *testing.T) {
+// Nodes of an overloaded region must spread over the engines of other regions, although
+// they learn late of each other's runs there.
+func TestSpilloverIsSpreadOverEngines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const nodes, engines = 24, 20
 		chosen := map[string]int{}
@@ -144,9 +144,9 @@
 		for n := range nodes {
 			tracker := regionTracker(engines, WithSeed(uint64(n)))
 			tracker.SetNewsLag(60 * time.Millisecond)
-			tracker.fill("east-a", engines, 5)
-			tracker.fill("east-b", engines, 5)
-			target := tracker.Pick(regionDraft())
+			tracker.fillHall("east-a", engines, 5)
+			tracker.fillHall("east-b", engines, 5)
+			target := tracker.Pick(regionChoice())
 			chosen[target.ID]++
 			regions[tracker.region(target)]++
 		}
@@ -159,13 +159,13 @@
 	})
 }
 
-// A site that knows one region, or none, chooses as one that knows no regions.
-func TestOneRegionChoosesAsBefore(t *testing.T) {
+// A site with one region must select as one without regions.
+func TestSingleRegionSelectsAsWithoutRegions(t *testing.T) {
 	choices := func(regions map[string]string) (ids []string) {
 		synctest.Test(t, func(t *testing.T) {
 			tracker := regionTracker(4, WithTopology(topology.New("east-a", regions)))
 			for range 40 {
-				target := tracker.Pick(regionDraft())
+				target := tracker.Pick(regionChoice())
 				ids = append(ids, target.ID)
 				target.Begin(Work{Read: 8000, Hold: 8400}, Trace{})
 			}
@@ -179,9 +179,10 @@
 	require.Equal(t, choices(nil), choices(one))
 }
 
-// A copy is kept in another region than its run: a region's engines may be lost
-// together. The own region's other hall takes it where no other has room.
-func TestCopyIsKeptInAnotherRegionThanItsRun(t *testing.T) {
+// A copy must be kept in another region than its run, since a region's engines may be
+// lost together. Only if all others are full, the run's region takes it in its other
+// data hall.
+func TestCopyIsPlacedInAnotherRegion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		tracker := regionTracker(2)
 		copyOf := Choice{Service: "s", Copy: true, OtherHall: "mid-a", Work: Work{Hold: 8400}}
@@ -199,18 +200,18 @@
 	})
 }
 
-// All engines of a region are lost at once, with a run of each node. The nodes
-// part over the engines of the other regions, for what they had and for what is new.
-func TestNodesThatLoseARegionTogetherPart(t *testing.T) {
-	lost := regionDraft()
+// After the loss of all engines of a region, its nodes must spread over the engines of
+// the other regions, for resumed and for new runs.
+func TestNodesSpreadAfterLossOfRegion(t *testing.T) {
+	lost := regionChoice()
 	lost.Admission, lost.Aim, lost.FailedHalls = false, 0, map[string]int{"east-a": 1}
-	for name, choice := range map[string]Choice{"lost": lost, "new": regionDraft()} {
+	for name, choice := range map[string]Choice{"lost": lost, "new": regionChoice()} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				chosen := map[string]int{}
 				for n := range 40 {
 					target := afterLossOfRegion(uint64(n)).Pick(choice)
-					require.NotContains(t, target.DataHall, "east", "the rest of both halls is in doubt")
+					require.NotContains(t, target.DataHall, "east", "both data halls are suspect")
 					chosen[target.ID]++
 				}
 				for id, n := range chosen {
@@ -221,8 +222,8 @@
 	}
 }
 
-// afterLossOfRegion returns the tracker of one of 40 nodes that had a run each in
-// east-a, of which half of the engines of east broke off just now.
+// afterLossOfRegion returns the tracker of one of 40 nodes with one run each in east-a,
+// just after half of the engines of region east failed.
 func afterLossOfRegion(seed uint64) *Tracker {
 	const nodes, engines = 40, 20
 	tracker := regionTracker(engines, WithSeed(seed))
--- a/balance/rest.go
+++ b/balance/rest.go
@@ -7,122 +7,121 @@
 	"github.com/walnutramp/walnutramp/internal/uptime"
 )
 
-// A target says in its answers what it wants of this node: nothing for a while,
-// when it turns a request away and asks for rest, or no new requests at all, when
-// it leaves. That holds for this life of the target, whatever else is heard of it:
-// a success, a load, or a list that lags or does not hold it for a moment. Nodes do
-// not tell each other of rests: a target asks each node for its own.
+// A target may ask this node in a response to send nothing for a while (a cooldown,
+// when it rejects a request for overload), or no new requests at all (when it drains).
+// Either holds for the target's incarnation regardless of later successes, loads, or
+// lists that are stale or lack it for a moment. Nodes do not exchange cooldowns: a
+// target requests one from each node.
 
-// trialTime is how long after its rest a target gets one request only: it turns
-// that away within a round trip if it still has too much to do, and all that
-// waited for the end of its rest need not meet the same.
-const trialTime = 250 * time.Millisecond
+// probeTimeout is how long after a cooldown a target gets a single probe request: if still
+// overloaded, it rejects only that one within a round trip, and not all requests that
+// waited.
+const probeTimeout = 250 * time.Millisecond
 
-// rest is what a target asked this node for.
-type rest struct {
-	until   time.Time // zero if it never asked, or has taken requests since
-	triedAt time.Time // when the first request after it was sent
+// cooldown is the cooldown that a target requested from this node.
+type cooldown struct {
+	until    time.Time // zero if never requested, or cleared by an accepted request
+	probedAt time.Time // when the first request after it was sent
 }
 
-// none reports whether the target never asked, or has taken requests since. Most never
-// do, and need no reading of the clock: it is two calls to the system.
-func (r *rest) none() bool { return r.until.IsZero() }
+// unset reports whether no cooldown is set. It lets the common case skip reading the
+// clock, which costs two system calls.
+func (r *cooldown) unset() bool { return r.until.IsZero() }
 
-// left returns for how long the target still rests, 0 or less once that is over.
-func (r *rest) left(now time.Time) time.Duration { return r.until.Sub(now) }
+// remaining returns the remaining cooldown, 0 or less if it is over.
+func (r *cooldown) remaining(now time.Time) time.Duration { return r.until.Sub(now) }
 
-// holds reports whether the target is to be left alone: it rests, or the first
-// request after its rest has just been sent.
-func (r *rest) holds(now time.Time) bool {
-	if r.none() {
+// active reports whether the target must not be sent requests: its cooldown lasts, or
+// the probe request after it was just sent.
+func (r *cooldown) active(now time.Time) bool {
+	if r.unset() {
 		return false
 	}
-	return r.left(now) > 0 || now.Sub(r.triedAt) < trialTime
+	return r.remaining(now) > 0 || now.Sub(r.probedAt) < probeTimeout
 }
 
-// AskedForRest notes that the target wants nothing from this node for a while.
+// AskedForRest records that the target requested a cooldown.
 func (t *Target) AskedForRest(d time.Duration) {
 	t.tracker.mu.Lock()
 	defer t.tracker.mu.Unlock()
-	if until := uptime.Now().Add(d); until.After(t.rest.until) {
-		t.rest = rest{until: until}
+	if until := uptime.Now().Add(d); until.After(t.cooldown.until) {
+		t.cooldown = cooldown{until: until}
 	}
 }
 
-// Answered notes an answer in which the target asked for no rest: once its last one
-// is over, it takes requests as before.
+// Answered records a response without a cooldown request, which clears an expired
+// cooldown.
 func (t *Target) Answered() {
 	t.tracker.mu.Lock()
 	defer t.tracker.mu.Unlock()
-	if !t.rest.none() && t.rest.left(uptime.Now()) <= 0 {
-		t.rest = rest{}
+	if !t.cooldown.unset() && t.cooldown.remaining(uptime.Now()) <= 0 {
+		t.cooldown = cooldown{}
 	}
 }
 
-// SaidLeaving notes that the target says that it leaves.
+// SaidLeaving records that the target announced that it drains.
 func (t *Target) SaidLeaving() {
 	t.tracker.mu.Lock()
 	defer t.tracker.mu.Unlock()
-	t.setDraining()
+	t.markDraining()
 }
 
-// Admit reports whether the target wants a new request now. It has to be asked
-// just before one is sent: between the choice of a target and the sending, the
-// target may have answered another request, or the machine been suspended.
+// Admit reports whether the target accepts a new request now. It must be called just
+// before sending: since the selection, the target may have answered another request, or
+// the machine may have been suspended.
 func (t *Target) Admit() bool {
 	t.tracker.mu.Lock()
 	defer t.tracker.mu.Unlock()
 	if t.State == discovery.TargetDraining {
 		return false
 	}
-	if t.rest.none() {
+	if t.cooldown.unset() {
 		return true
 	}
 	now := uptime.Now()
-	if t.rest.holds(now) {
+	if t.cooldown.active(now) {
 		return false
 	}
-	t.rest.triedAt = now
+	t.cooldown.probedAt = now
 	return true
 }
 
-// Rests reports whether the target wants nothing from this node now.
+// Rests reports whether the target's cooldown lasts.
 func (t *Target) Rests() bool {
 	t.tracker.mu.Lock()
 	defer t.tracker.mu.Unlock()
-	return !t.rest.none() && t.rest.left(uptime.Now()) > 0
+	return !t.cooldown.unset() && t.cooldown.remaining(uptime.Now()) > 0
 }
 
-// RestLeft returns how long it takes until the first of a service's targets wants
-// requests again; 0 unless all that could be asked rest. Excluded leaves targets
-// out; nil for none.
+// RestLeft returns the shortest remaining cooldown of a service's targets; 0 unless all
+// that are not excluded are in cooldown. Excluded may be nil.
 func (t *Tracker) RestLeft(service string, excluded func(*Target) bool) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := uptime.Now()
-	var least time.Duration
+	var shortest time.Duration
 	for target := range t.poolOf(service).all() {
-		if !target.there(now) || excluded != nil && excluded(target) {
+		if !target.accepting(now) || excluded != nil && excluded(target) {
 			continue
 		}
-		left := target.rest.left(now)
-		if left <= 0 {
+		remaining := target.cooldown.remaining(now)
+		if remaining <= 0 {
 			return 0
 		}
-		if least == 0 || left < least {
-			least = left
+		if shortest == 0 || remaining < shortest {
+			shortest = remaining
 		}
 	}
-	return least
+	return shortest
 }
 
-// Resting returns how many targets want nothing from this node now.
+// Resting returns the number of targets in cooldown.
 func (t *Tracker) Resting() (n int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := uptime.Now()
-	for _, target := range t.byLife {
-		if target.rest.left(now) > 0 {
+	for _, target := range t.byIncarnation {
+		if target.cooldown.remaining(now) > 0 {
 			n++
 		}
 	}
--- a/balance/rest_test.go
+++ b/balance/rest_test.go
@@ -9,8 +9,8 @@
 	"github.com/walnutramp/walnutramp/internal/uptime"
 )
 
-// restingTracker knows two targets of a service, of which one rests.
-func restingTracker(t *testing.T, d time.Duration) (tracker *Tracker, resting *Target, list []discovery.Target) {
+// coolingTracker returns a tracker of two targets, of which the first is in cooldown.
+func coolingTracker(t *testing.T, d time.Duration) (tracker *Tracker, cooling *Target, list []discovery.Target) {
 	t.Helper()
 	tracker = NewTracker(WithSeed(1))
 	list = []discovery.Target{
@@ -18,13 +18,13 @@
 		{ID: "i-2", Service: "s", Address: "10.0.0.2:80", Slots: 8, Born: 1000},
 	}
 	tracker.Update(list)
-	resting = tracker.byID["i-1"]
-	resting.AskedForRest(d)
-	return tracker, resting, list
+	cooling = tracker.byID["i-1"]
+	cooling.AskedForRest(d)
+	return tracker, cooling, list
 }
 
-// picked returns which targets are chosen for a hundred requests.
-func picked(tracker *Tracker) map[string]bool {
+// selectedIDs returns the IDs selected by a hundred requests.
+func selectedIDs(tracker *Tracker) map[string]bool {
 	ids := map[string]bool{}
 	for range 100 {
 		if target := tracker.Pick(Choice{Service: "s"}); target != nil {
@@ -34,90 +34,89 @@
 	return ids
 }
 
-func TestRestLastsWhateverElseIsHeard(t *testing.T) {
-	tracker, resting, list := restingTracker(t, time.Minute)
-	resting.Succeeded()
-	resting.Told(Load{Slots: 8})
-	resting.Answered()
-	resting.AskedForRest(time.Second)
+func TestCooldownOutlastsOtherUpdates(t *testing.T) {
+	tracker, cooling, list := coolingTracker(t, time.Minute)
+	cooling.Succeeded()
+	cooling.Told(Load{Slots: 8})
+	cooling.Answered()
+	cooling.AskedForRest(time.Second)
 	tracker.Update(list)
-	require.Equal(t, map[string]bool{"i-2": true}, picked(tracker))
-	require.False(t, resting.Admit())
-	require.InDelta(t, 60, resting.rest.left(uptime.Now()).Seconds(), 1)
-	require.False(t, resting.Usable())
-	require.False(t, resting.Lost(), "copies that it keeps are there")
+	require.Equal(t, map[string]bool{"i-2": true}, selectedIDs(tracker))
+	require.False(t, cooling.Admit())
+	require.InDelta(t, 60, cooling.cooldown.remaining(uptime.Now()).Seconds(), 1)
+	require.False(t, cooling.Usable())
+	require.False(t, cooling.Lost(), "its copies still exist")
 	require.Equal(t, 1, tracker.Resting())
 }
 
-// An entry that another writer garbled, or a reading that lags, lacks a target for
-// a moment.
-func TestTargetThatTheListLacksForAMomentKeepsItsWishes(t *testing.T) {
-	tracker, resting, list := restingTracker(t, time.Minute)
+// A corrupt entry or a stale list may lack a target for a moment.
+func TestBrieflyDelistedTargetKeepsCooldown(t *testing.T) {
+	tracker, cooling, list := coolingTracker(t, time.Minute)
 	tracker.byID["i-2"].SaidLeaving()
 	tracker.Update(nil)
 	tracker.Update(list)
-	require.Empty(t, picked(tracker))
-	require.Same(t, resting, tracker.byID["i-1"], "what is said to a run under way counts, too")
-	t.Cleanup(uptime.Pretend(absentLife + time.Minute))
+	require.Empty(t, selectedIDs(tracker))
+	require.Same(t, cooling, tracker.byID["i-1"], "messages to active runs still apply")
+	t.Cleanup(uptime.Pretend(delistedTTL + time.Minute))
 	tracker.Update(nil)
 	tracker.Update(nil)
-	require.Len(t, tracker.absent, 2)
-	t.Cleanup(uptime.Pretend(absentLife + time.Minute))
+	require.Len(t, tracker.delisted, 2)
+	t.Cleanup(uptime.Pretend(delistedTTL + time.Minute))
 	tracker.Update(nil)
-	require.Empty(t, tracker.absent, "what is gone for good is forgotten")
+	require.Empty(t, tracker.delisted, "delisted targets expire")
 }
 
-func TestNewLifeOfATargetHasAskedForNothing(t *testing.T) {
+func TestRestartedTargetHasNoCooldown(t *testing.T) {
 	for _, missing := range []bool{false, true} {
-		tracker, _, list := restingTracker(t, time.Minute)
+		tracker, _, list := coolingTracker(t, time.Minute)
 		tracker.byID["i-2"].SaidLeaving()
 		if missing {
 			tracker.Update(nil)
 		}
 		list[0].Born, list[1].Born = 2000, 2000
 		tracker.Update(list)
-		require.Equal(t, map[string]bool{"i-1": true, "i-2": true}, picked(tracker))
+		require.Equal(t, map[string]bool{"i-1": true, "i-2": true}, selectedIDs(tracker))
 	}
 }
 
-func TestRestGoesOnInASuspension(t *testing.T) {
-	tracker, resting, _ := restingTracker(t, 3*time.Second)
+func TestCooldownElapsesDuringSuspension(t *testing.T) {
+	tracker, cooling, _ := coolingTracker(t, 3*time.Second)
 	t.Cleanup(uptime.Pretend(4 * time.Second))
-	require.True(t, resting.Admit())
+	require.True(t, cooling.Admit())
 	require.Zero(t, tracker.Resting())
 }
 
-// After its rest a target gets one request, and the others once that is not turned
-// away.
-func TestFirstRequestAfterARestGoesAlone(t *testing.T) {
-	tracker, rested, _ := restingTracker(t, time.Second)
+// After a cooldown a target must get one probe request, and others only once that was
+// not rejected.
+func TestSingleProbeAfterCooldown(t *testing.T) {
+	tracker, cooling, _ := coolingTracker(t, time.Second)
 	t.Cleanup(uptime.Pretend(2 * time.Second))
-	require.True(t, rested.Admit())
-	require.False(t, rested.Admit(), "the first is on its way")
-	require.Equal(t, map[string]bool{"i-2": true}, picked(tracker))
-	rested.Answered()
-	require.True(t, rested.Admit())
-	require.True(t, rested.Admit())
+	require.True(t, cooling.Admit())
+	require.False(t, cooling.Admit(), "the probe is in flight")
+	require.Equal(t, map[string]bool{"i-2": true}, selectedIDs(tracker))
+	cooling.Answered()
+	require.True(t, cooling.Admit())
+	require.True(t, cooling.Admit())
 
-	rested.AskedForRest(time.Second)
+	cooling.AskedForRest(time.Second)
 	t.Cleanup(uptime.Pretend(2 * time.Second))
-	require.True(t, rested.Admit())
-	rested.AskedForRest(time.Second)
-	require.False(t, rested.Admit(), "it asked again")
+	require.True(t, cooling.Admit())
+	cooling.AskedForRest(time.Second)
+	require.False(t, cooling.Admit(), "it requested another cooldown")
 	t.Cleanup(uptime.Pretend(2 * time.Second))
-	require.True(t, rested.Admit())
-	t.Cleanup(uptime.Pretend(2 * trialTime))
-	require.True(t, rested.Admit(), "an answer that does not come keeps others away for a moment only")
+	require.True(t, cooling.Admit())
+	t.Cleanup(uptime.Pretend(2 * probeTimeout))
+	require.True(t, cooling.Admit(), "an unanswered probe blocks others only briefly")
 }
 
-func TestRestLeftIsOfTheFirstTargetThatTakesRequestsAgain(t *testing.T) {
-	tracker, _, _ := restingTracker(t, time.Minute)
-	require.Zero(t, tracker.RestLeft("s", nil), "one does not rest")
+func TestRestLeftIsTheShortestCooldown(t *testing.T) {
+	tracker, _, _ := coolingTracker(t, time.Minute)
+	require.Zero(t, tracker.RestLeft("s", nil), "one target is not in cooldown")
 	require.Zero(t, tracker.RestLeft("unknown", nil))
 	other := tracker.byID["i-2"]
 	other.AskedForRest(30 * time.Second)
 	require.InDelta(t, 30, tracker.RestLeft("s", nil).Seconds(), 1)
 	require.InDelta(t, 60, tracker.RestLeft("s", func(t *Target) bool { return t == other }).Seconds(), 1)
 	other.SaidLeaving()
-	require.InDelta(t, 60, tracker.RestLeft("s", nil).Seconds(), 1, "one that leaves comes not back")
+	require.InDelta(t, 60, tracker.RestLeft("s", nil).Seconds(), 1, "a draining target does not become available again")
 }
--- a/balance/rivals.go
+++ b/balance/rivals.go
@@ -6,70 +6,69 @@
 	"time"
 )
 
-// Nodes that know the same and choose at the same moment choose the same engine:
-// the fastest idle one. The fresher their knowledge, the more so. So a choice is
-// drawn among as many of the best engines as there are choices at the same time,
-// most likely, that this node can't know of yet.
+// Nodes with the same information that select at the same time select the same engine,
+// the fastest idle one, and the more so the fresher their information. So the selection
+// is sampled from the best engines, as many as there are probably concurrent selections
+// that this node cannot know of yet.
 
 const (
-	// roomPerRival is how many engines are drawn among for each other choice:
-	// with two, four in ten choices meet another one; with one, six.
-	roomPerRival = 2.0
-	// fewRivals is up to how many of them the best engine is taken: it is rarely
-	// another one's, too.
-	fewRivals = 0.5
-	// shortestRunMS bounds the estimate of a whole run from below, in
-	// milliseconds: engines that answer at once would have endless rivals.
-	shortestRunMS = 1.0
+	// candidatesPerConcurrent is the number of engines sampled from per concurrent
+	// selection: with two, four in ten selections collide; with one, six.
+	candidatesPerConcurrent = 2.0
+	// negligibleConcurrent is the number of concurrent selections up to which the best
+	// engine is taken: collisions are rare then.
+	negligibleConcurrent = 0.5
+	// minRunMS is a lower bound of the estimated run duration, in milliseconds: it
+	// keeps the number of concurrent selections finite for engines that answer at once.
+	minRunMS = 1.0
 )
 
-// byScore puts the best first, of those alike the one listed first.
+// byScore orders candidates by score, then by list order.
 func byScore(a, b candidate) int {
-	return cmp.Or(cmp.Compare(a.score, b.score), cmp.Compare(a.target.order, b.target.order))
+	return cmp.Or(cmp.Compare(a.score, b.score), cmp.Compare(a.target.listOrder, b.target.listOrder))
 }
 
-// SetNewsLag says how long it takes until most nodes know what one has begun.
+// SetNewsLag sets how long it takes until most nodes have learned of a new run.
 func (t *Tracker) SetNewsLag(lag time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.newsLag = lag
+	t.propagationDelay = lag
 }
 
-// rivals is how many other choices are made, most likely, until this one is
-// known: as many as runs begin in that time, and, where a data hall failed the
-// request, as many as wait there for their first event and must go elsewhere,
-// too. Those that have begun go on from their copies. Where the best candidate is
-// in another region, its own nodes hear of the choice that much later. The caller
-// holds the mutex.
-func (t *Tracker) rivals(l *look, candidates []candidate) float64 {
+// concurrentSelections estimates the number of other selections made until this one is
+// known: the runs that begin in that time and, where a data hall failed the request,
+// the runs waiting there for their first event, which must move too. Runs that have
+// begun resume from their copies. If the best candidate is in another region, the delay
+// to that region is added. The caller holds the mutex.
+func (t *Tracker) concurrentSelections(s *scan, candidates []candidate) float64 {
 	runs, displaced := 0, 0
-	for _, h := range l.pool.order {
-		runs += h.taken.runs
-		if l.choice.FailedHalls[h.name] > 0 {
-			displaced += h.taken.unread
+	for _, h := range s.pool.ordered {
+		runs += h.occupancy.runs
+		if s.choice.FailedHalls[h.name] > 0 {
+			displaced += h.occupancy.pendingPrefills
 		}
 	}
-	lag := t.newsLag
+	lag := t.propagationDelay
 	if t.cfg.Topology.Several() && len(candidates) > 0 && t.inOtherRegion(slices.MinFunc(candidates, byScore).target) {
-		lag += t.regionLag
+		lag += t.crossRegionLag
 	}
-	wholeRuns := float64(lag.Milliseconds()) / max(shortestRunMS, t.paceOf(l.choice.Service).wholeMS.value)
-	return float64(runs)*wholeRuns + float64(displaced)
+	runsPerLag := float64(lag.Milliseconds()) / max(minRunMS, t.speedOf(s.choice.Service).runMS.value)
+	return float64(runs)*runsPerLag + float64(displaced)
 }
 
-// draw takes the best candidate, or, among many rivals, one of the best, of
-// which none is worse than the best by more than a time in milliseconds: that of
-// reading one more prompt, which is what meeting a rival would cost.
-func (t *Tracker) draw(candidates []candidate, rivals, worse float64) *Target {
+// sampleBest returns the best candidate or, with many concurrent selections, a random
+// one of the best whose scores are within maxExcess milliseconds of the best: the time
+// to prefill one more prompt, which is the cost of a collision.
+func (t *Tracker) sampleBest(candidates []candidate, concurrent, maxExcess float64) *Target {
 	if len(candidates) == 0 {
 		return nil
 	}
-	if rivals <= fewRivals || t.cfg.Policy != Predicted {
+	if concurrent <= negligibleConcurrent || t.cfg.Policy != Predicted {
 		return slices.MinFunc(candidates, byScore).target
 	}
 	slices.SortFunc(candidates, byScore)
-	n := min(len(candidates), 1+int(roomPerRival*rivals))
-	for n > 1 && candidates[n-1].score > candidates[0].score+worse {
+	n := min(len(candidates), 1+int(candidatesPerConcurrent*concurrent))
+	for n > 1 && candidates[n-1].score > candidates[0].score+maxExcess {
 		n--
 	}
 	return candidates[t.rng.IntN(n)].target
--- a/balance/rivals_test.go
+++ b/balance/rivals_test.go
@@ -9,7 +9,7 @@
 	"github.com/walnutramp/walnutramp/discovery"
 )
 
-// siteEngines lists engines, spread over halls.
+// siteEngines returns engines spread over data halls.
 func siteEngines(n, halls int) []discovery.Target {
 	var list []discovery.Target
 	for i := range n {
@@ -21,10 +21,9 @@
 	return list
 }
 
-// crash has many nodes lose the engines of a hall at the same moment, at which
-// they had one run each, and returns how many runs go to the engine that most go
-// to.
-func crash(nodes, engines, halls int) (most int) {
+// maxRunsAfterHallLoss has nodes that each had one run in a failed data hall select at
+// the same time, and returns the number of runs at the most selected engine.
+func maxRunsAfterHallLoss(nodes, engines, halls int) (most int) {
 	var runs []Shared
 	for i := range nodes {
 		runs = append(runs, Shared{Number: uint64(i), Target: fmt.Sprint("i-", (i*halls)%engines), Read: 8000, Hold: 8400})
@@ -35,7 +34,7 @@
 		t.Update(siteEngines(engines, halls))
 		t.SetNewsLag(100 * time.Millisecond)
 		t.SetOthers("others", runs)
-		t.byID["i-1"].speed, t.byID["i-1"].speedAt = estimate{value: 1.4, seen: 9}, time.Now() // all know that it is the fastest
+		t.byID["i-1"].relativeEstimate, t.byID["i-1"].relativeEstimateAt = estimate{value: 1.4, samples: 9}, time.Now() // all nodes know it as the fastest
 		c := Choice{Service: "s", Work: Work{Read: 8000, Hold: 8400}, FailedHalls: map[string]int{"hall-0": 1}}
 		id := t.Pick(c).ID
 		chosen[id]++
@@ -44,24 +43,25 @@
 	return most
 }
 
-func TestNodesThatLoseAHallTogetherPart(t *testing.T) {
-	require.LessOrEqual(t, crash(86, 512, 6), 6)
-	require.LessOrEqual(t, crash(20, 60, 3), 6)
+func TestNodesSpreadAfterLossOfDataHall(t *testing.T) {
+	require.LessOrEqual(t, maxRunsAfterHallLoss(86, 512, 6), 6)
+	require.LessOrEqual(t, maxRunsAfterHallLoss(20, 60, 3), 6)
 }
 
-// Where choices rarely meet, the best engine is taken.
-func TestChoiceWithoutRivalsIsTheBest(t *testing.T) {
+// Without concurrent selections, the best engine must be selected.
+func TestBestEngineIsSelectedWithoutConcurrency(t *testing.T) {
 	tr := NewTracker(WithSeed(1))
 	tr.Update(siteEngines(24, 1))
 	tr.SetNewsLag(20 * time.Millisecond)
-	tr.byID["i-7"].speed, tr.byID["i-7"].speedAt = estimate{value: 2, seen: 9}, time.Now()
+	tr.byID["i-7"].relativeEstimate, tr.byID["i-7"].relativeEstimateAt = estimate{value: 2, samples: 9}, time.Now()
 	for range 20 {
 		require.Equal(t, "i-7", tr.Pick(Choice{Service: "s", Work: Work{Read: 8000, Hold: 8400}}).ID)
 	}
 }
 
-// An engine that reads for long is not drawn, however many rivals there are.
-func TestDrawKeepsToTheGoodEngines(t *testing.T) {
+// An engine with a long backlog must not be sampled, however many concurrent selections
+// there are.
+func TestSamplingExcludesBadEngines(t *testing.T) {
 	tr := NewTracker(WithSeed(1))
 	var all []candidate
 	for i := range 100 {
@@ -71,15 +71,15 @@
 	}
 	for range 200 {
 		score := 0
-		_, err := fmt.Sscan(tr.draw(all, 1000, 1500).ID, &score)
+		_, err := fmt.Sscan(tr.sampleBest(all, 1000, 1500).ID, &score)
 		require.NoError(t, err)
 		require.LessOrEqual(t, score, 15)
 	}
-	require.Nil(t, tr.draw(nil, 5, 1500))
+	require.Nil(t, tr.sampleBest(nil, 5, 1500))
 }
 
-// Under round-robin targets are chosen in the order in which they are listed.
-func TestRoundRobinKeepsTheOrderOfTheList(t *testing.T) {
+// RoundRobin must follow the order of the list.
+func TestRoundRobinFollowsListOrder(t *testing.T) {
 	tr := NewTracker(WithSeed(1), WithPolicy(RoundRobin))
 	tr.Update(siteEngines(40, 4))
 	for i := range 80 {
@@ -87,15 +87,15 @@
 	}
 }
 
-// A stand-in of an engine that answered in no time had the estimate of a whole
-// run sink to 0: the number of rivals overflowed, and each request panicked.
-func TestRunsThatTakeNoTimeDoNotBreakTheChoice(t *testing.T) {
+// An estimated run duration of 0 must not overflow the number of concurrent selections,
+// which made Pick panic.
+func TestZeroRunDurationDoesNotOverflow(t *testing.T) {
 	tr := NewTracker(WithSeed(1))
 	tr.Update(siteEngines(24, 1))
 	tr.SetNewsLag(20 * time.Millisecond)
 	tr.SetOthers("others", []Shared{{Number: 1, Target: "i-3", Read: 8000, Hold: 8400}})
-	for _, wholeMS := range []float64{0, 1e-300} {
-		tr.paceOf("s").wholeMS.value = wholeMS
+	for _, runMS := range []float64{0, 1e-300} {
+		tr.speedOf("s").runMS.value = runMS
 		require.NotNil(t, tr.Pick(Choice{Service: "s", Work: Work{Read: 8000, Hold: 8400}}))
 	}
 }
--- a/balance/room.go
+++ b/balance/room.go
@@ -2,103 +2,102 @@
 
 import "time"
 
-// Engine is what a configuration says of a service's engines.
+// Engine is the configured capacity of a service's engines.
 type Engine struct {
-	Memory int // tokens that runs and copies may hold; 0 if that is not known
-	Slots  int // runs at once; 0 if that is not known
+	Memory int // tokens of KV-cache memory for runs and copies; 0 if unknown
+	Slots  int // concurrent runs; 0 if unknown
 }
 
 // Shares of an engine's memory.
 const (
-	// fullShare is how much new runs may fill: what is left bears that runs
-	// of other nodes are known late, and that answers grow longer than was
-	// predicted. An engine that runs out puts runs back and reads them anew.
-	fullShare = 0.95
-	// rankReserve is kept free for each rank of more urgent requests.
-	rankReserve = 0.05
-	// runGrowth is how far the runs of a service may grow while its copies
-	// leave them room: a data hall may be lost, or more requests come.
-	runGrowth = 1.5
-	// comfortShare is how much may be filled before memory speaks against an
-	// engine.
-	comfortShare = 0.8
-	// assumedMemory is held to be there where the configuration tells none,
-	// in tokens: that of a large model on one server.
-	assumedMemory = 80000
+	// maxMemoryShare is the share that new runs may fill. The rest absorbs peers' runs that
+	// are reported late and answers longer than predicted: an engine that runs out of
+	// memory preempts runs and prefills them again.
+	maxMemoryShare = 0.95
+	// reservePerRank is reserved per rank of more urgent requests.
+	reservePerRank = 0.05
+	// runGrowthFactor is the factor by which the runs of a service may grow while its
+	// copies still leave them memory, as after the loss of a data hall or with rising
+	// demand.
+	runGrowthFactor = 1.5
+	// softMemoryShare is the share above which memory use adds to an engine's cost.
+	softMemoryShare = 0.8
+	// defaultMemoryTokens is used if none is configured, in tokens: that of a large
+	// model on one server.
+	defaultMemoryTokens = 80000
 )
 
-// roomForRun reports whether an engine has room for one more run of the usual
-// size: large requests are not to be refused more often than small ones, which
-// would always find a gap. What is larger may take what is kept free, but not
-// more than there is. The caller holds the mutex.
-func (t *Target) roomForRun(c *Choice) bool {
+// hasMemoryForRun reports whether an engine has memory for one more run of mean size. Using
+// the mean keeps small requests from being admitted more often than large ones; a
+// larger run may use the reserve, but no more than there is. The caller holds the
+// mutex.
+func (t *Target) hasMemoryForRun(c *Choice) bool {
 	memory := float64(t.tracker.memoryOf(t.Service))
-	taken := float64(t.taken.held + t.taken.copies)
-	share := fullShare - rankReserve*float64(c.Rank)
-	return taken+c.usualHold <= share*memory && taken+float64(c.Work.Hold) <= memory
+	used := float64(t.occupancy.runTokens + t.occupancy.copyTokens)
+	share := maxMemoryShare - reservePerRank*float64(c.Rank)
+	return used+c.meanRunTokens <= share*memory && used+float64(c.Work.Hold) <= memory
 }
 
-// usualHold is the mean of what the runs of a service take up, in tokens; where
-// there are none, what the choice itself does.
-func (p *pool) usualHold(c *Choice) float64 {
-	taken := p.total()
-	if taken.runs == 0 {
+// meanRunTokens returns the mean memory of a service's runs in tokens, or that of c if
+// there are none.
+func (p *pool) meanRunTokens(c *Choice) float64 {
+	total := p.total()
+	if total.runs == 0 {
 		return float64(c.Work.Hold)
 	}
-	return float64(taken.held) / float64(taken.runs)
+	return float64(total.runTokens) / float64(total.runs)
 }
 
-// SetEngines takes what a configuration says of the engines, by service. What
-// was learned of engines that are described anew is forgotten.
+// SetEngines sets the configured engines by service. Estimates for engines whose
+// configuration changed are reset.
 func (t *Tracker) SetEngines(engines map[string]Engine) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for service, engine := range engines {
 		if before, known := t.engines[service]; known && before != engine {
-			delete(t.paces, service)
+			delete(t.speeds, service)
 		}
 	}
 	t.engines = engines
 }
 
-// memoryOf returns the memory of a service's engines, in tokens. The caller
-// holds the mutex.
+// memoryOf returns the memory of a service's engines, in tokens. The caller holds the
+// mutex.
 func (t *Tracker) memoryOf(service string) int {
 	if e := t.engines[service]; e.Memory > 0 {
 		return e.Memory
 	}
-	return assumedMemory
+	return defaultMemoryTokens
 }
 
-// roomForCopies reports whether one more copy leaves the runs of its service
-// the room that they may come to need. The caller holds the mutex.
-func (t *Tracker) roomForCopies(c *Choice, p *pool) bool {
+// hasMemoryForCopy reports whether one more copy leaves enough memory for the service's
+// runs to grow. The caller holds the mutex.
+func (t *Tracker) hasMemoryForCopy(c *Choice, p *pool) bool {
 	memory := 0
-	for _, h := range p.order {
-		memory += h.live * t.memoryOf(c.Service)
+	for _, h := range p.ordered {
+		memory += h.accepting * t.memoryOf(c.Service)
 	}
-	taken := p.total()
-	return float64(taken.copies+c.Work.Hold)+runGrowth*float64(taken.held) <= fullShare*float64(memory)
+	total := p.total()
+	return float64(total.copyTokens+c.Work.Hold)+runGrowthFactor*float64(total.runTokens) <= maxMemoryShare*float64(memory)
 }
 
-// fits reports whether a choice finds room at a target that it takes up, and
-// would begin there in time, after what is still to be read there. The caller holds
-// the mutex.
+// fits reports whether the target has capacity for c and would begin it in time after
+// backlog, in milliseconds. The caller holds the mutex.
 func (t *Target) fits(c *Choice, backlog float64, now time.Time) bool {
 	memory := float64(t.tracker.memoryOf(t.Service))
-	taken := float64(t.taken.held + t.taken.copies + c.Work.Hold)
+	used := float64(t.occupancy.runTokens + t.occupancy.copyTokens + c.Work.Hold)
 	if c.Copy {
-		return taken <= fullShare*memory
+		return used <= maxMemoryShare*memory
 	}
 	if !c.Admission {
 		return true
 	}
-	if slots := t.tracker.engines[t.Service].Slots; slots > 0 && t.taken.runs >= slots {
+	if slots := t.tracker.engines[t.Service].Slots; slots > 0 && t.occupancy.runs >= slots {
 		return false
 	}
-	if t.taken.runs > 0 && !t.roomForRun(c) {
-		return false // an idle engine takes what is larger, too
+	if t.occupancy.runs > 0 && !t.hasMemoryForRun(c) {
+		return false // an idle engine accepts larger runs, too
 	}
-	begins := backlog + t.readMS(c.Work.Read, now)
-	return c.Within == 0 || begins <= float64(c.Within.Milliseconds())
+	beginsMS := backlog + t.prefillMS(c.Work.Read, now)
+	return c.Within == 0 || beginsMS <= float64(c.Within.Milliseconds())
 }
--- a/balance/run.go
+++ b/balance/run.go
@@ -7,268 +7,267 @@
 	"github.com/walnutramp/walnutramp/internal/uptime"
 )
 
-// Work is what one request asks of a target.
+// Work is what one request requires of a target.
 type Work struct {
-	Read int // prompt tokens that the target reads before the first event
-	Hold int // tokens of memory that the run takes up
-	// Cached says that most of the prompt is held to be in the target's cache;
-	// Read is what is left.
+	Read int // prompt tokens to prefill before the first event
+	Hold int // tokens of memory for the whole run
+	// Cached says that most of the prompt is expected in the target's prefix cache;
+	// Read is the remainder.
 	Cached bool
 }
 
-// Trace is how a run is found again after it broke off.
+// Trace locates a failed run's state for resumption.
 type Trace struct {
-	Key      string // names the request, however often it comes
-	Copy     string // life of the target that keeps a copy of the run's memory; empty for none
-	CopyName string // by which that target is told to go on from the copy
-	ReadAt   string // life of the target that has read the prompt; empty until one has
+	Key      string // identifies the request across repetitions
+	Copy     string // incarnation of the target with a copy of the run's memory; empty for none
+	CopyName string // name of the copy at that target
+	ReadAt   string // incarnation of the target that prefilled the prompt; empty until one has
 }
 
-// Run is one request of this node under way at a target.
+// Run is an active request of this node at a target.
 type Run struct {
-	number  uint64 // names the run among this node's
-	target  *Target
-	work    Work
-	trace   Trace
-	began   time.Time
-	alone   bool      // no other prompt was to be read when it began
-	first   bool      // its first event has come
-	firstAt time.Time // when that was
-	holder  *Target   // that was counted as keeping the copy
-	broke   time.Time // when it broke off, zero while it is under way
-}
-
-// Begin counts a request in.
+	number      uint64 // identifies the run on this node
+	target      *Target
+	work        Work
+	trace       Trace
+	startedAt   time.Time
+	solePrefill bool      // no other prefill was pending when it began
+	begun       bool      // the first event has arrived
+	begunAt     time.Time // when it arrived
+	copyHolder  *Target   // target at which the copy is counted
+	failedAt    time.Time // when it failed, zero while active
+}
+
+// Begin starts tracking a request at the target.
 func (t *Target) Begin(w Work, trace Trace) *Run {
-	r := &Run{target: t, work: w, trace: trace, began: uptime.Now()}
+	r := &Run{target: t, work: w, trace: trace, startedAt: uptime.Now()}
 	t.tracker.mu.Lock()
-	r.number = t.tracker.nextNumber()
-	r.alone = w != (Work{}) && !w.Cached && t.taken.unread == 0
+	r.number = t.tracker.nextRunNumber()
+	r.solePrefill = w != (Work{}) && !w.Cached && t.occupancy.pendingPrefills == 0
 	if t.runs == nil {
-		t.runs = map[*Run]struct{}{} // most of many targets never get one
+		t.runs = map[*Run]struct{}{} // lazily, as most targets never get one
 	}
 	t.runs[r] = struct{}{}
 	if w != (Work{}) {
-		t.tracker.running[r] = struct{}{}
+		t.tracker.activeRuns[r] = struct{}{}
 	}
 	r.count(1)
 	t.tracker.mu.Unlock()
 	if w != (Work{}) {
-		t.tracker.changed()
+		t.tracker.onChange()
 	}
 	return r
 }
 
-// count counts the run in at its target and at the one that keeps its copy, or out. The
-// caller holds the mutex.
+// count adds or removes the run from the occupancy of its target and of its copy's
+// holder. The caller holds the mutex.
 func (r *Run) count(sign int) {
 	if sign > 0 {
-		r.holder = r.target.tracker.byLife[r.trace.Copy]
+		r.copyHolder = r.target.tracker.byIncarnation[r.trace.Copy]
 	}
-	r.target.occupy(occupancyOf(r.work.Hold, r.work.Read > 0 && !r.first), sign)
-	r.target.countCopy(r.holder, r.work.Hold, sign)
+	r.target.addOccupancy(occupancyOf(r.work.Hold, r.work.Read > 0 && !r.begun), sign)
+	r.target.countCopy(r.copyHolder, r.work.Hold, sign)
 }
 
-// countCopy counts a copy of a run of the target in at its holder, or out. The caller
-// holds the mutex.
+// countCopy adds or removes a copy of one of the target's runs from the occupancy of
+// its holder. The caller holds the mutex.
 func (t *Target) countCopy(holder *Target, hold, sign int) {
 	if holder != nil && holder.Service == t.Service {
-		holder.occupy(occupancy{copies: hold}, sign)
+		holder.addOccupancy(occupancy{copyTokens: hold}, sign)
 	}
 }
 
-// alter changes what the run is counted by. The caller holds the mutex.
-func (r *Run) alter(change func()) {
+// update applies a change that affects count. The caller holds the mutex.
+func (r *Run) update(change func()) {
 	r.count(-1)
 	change()
 	r.count(1)
 }
 
-// FirstEvent notes that the target has read the prompt.
+// FirstEvent records that the target has finished the prefill.
 func (r *Run) FirstEvent() {
 	r.target.tracker.mu.Lock()
-	r.alter(func() { r.first, r.firstAt = true, uptime.Now() })
-	if r.alone {
-		r.target.learnReading(r.work.Read, r.firstAt.Sub(r.began), r.firstAt)
+	r.update(func() { r.begun, r.begunAt = true, uptime.Now() })
+	if r.solePrefill {
+		r.target.observePrefill(r.work.Read, r.begunAt.Sub(r.startedAt), r.begunAt)
 	}
-	r.trace.ReadAt = r.target.life
-	r.target.tracker.read.note(r.trace.Key, r.target.life, r.firstAt)
+	r.trace.ReadAt = r.target.incarnation
+	r.target.tracker.prompts.record(r.trace.Key, r.target.incarnation, r.begunAt)
 	r.target.tracker.mu.Unlock()
-	r.target.tracker.changed()
+	r.target.tracker.onChange()
 }
 
-// SetCopy notes that another target keeps a copy of the run now, and under
-// which name.
+// SetCopy records which target keeps a copy of the run now, and under which name.
 func (r *Run) SetCopy(target, name string) {
 	r.target.tracker.mu.Lock()
-	r.alter(func() { r.trace.Copy, r.trace.CopyName = target, name })
+	r.update(func() { r.trace.Copy, r.trace.CopyName = target, name })
 	r.target.tracker.mu.Unlock()
-	r.target.tracker.changed()
+	r.target.tracker.onChange()
 }
 
-// Begun reports whether the first event has come.
+// Begun reports whether the first event has arrived.
 func (r *Run) Begun() bool {
 	r.target.tracker.mu.Lock()
 	defer r.target.tracker.mu.Unlock()
-	return r.first
+	return r.begun
 }
 
-// RunEnd says how a run ended.
+// RunEnd is the outcome of a run.
 type RunEnd struct {
-	Whole  bool // with its whole answer
-	Tokens int  // that came out, 0 if that is not known
+	Whole  bool // the response was complete
+	Tokens int  // output tokens, 0 if unknown
 }
 
-// End counts the request out. A run that broke off is remembered for as long
-// as its copy may be kept.
-func (r *Run) End(how RunEnd) {
+// End stops tracking the request. A failed run is remembered for as long as its copy
+// may be kept.
+func (r *Run) End(end RunEnd) {
 	tracker := r.target.tracker
 	tracker.mu.Lock()
 	r.count(-1)
 	delete(r.target.runs, r)
-	delete(tracker.running, r)
-	fromStart := r.work.Read > 0 || r.work == (Work{}) // and not from a copy
-	if how.Whole && fromStart {
-		r.learnWhole(uptime.Now(), how.Tokens)
+	delete(tracker.activeRuns, r)
+	fromStart := r.work.Read > 0 || r.work == (Work{}) // rather than from a copy
+	if end.Whole && fromStart {
+		r.observeDuration(uptime.Now(), end.Tokens)
 	}
-	tracker.forgetBroken(uptime.Now())
-	if !how.Whole && r.trace.Key != "" && r.first {
-		r.broke = uptime.Now()
-		tracker.broken = append(tracker.broken, r)
+	tracker.expireFailedRuns(uptime.Now())
+	if !end.Whole && r.trace.Key != "" && r.begun {
+		r.failedAt = uptime.Now()
+		tracker.failedRuns = append(tracker.failedRuns, r)
 	}
 	tracker.mu.Unlock()
 	if r.work != (Work{}) {
-		tracker.changed()
+		tracker.onChange()
 	}
 }
 
-// copyLife is how long a copy may still be kept after its run broke off.
-const copyLife = 4 * time.Second
+// copyTTL is how long a copy may be kept after its run failed.
+const copyTTL = 4 * time.Second
 
-// forgetBroken drops runs whose copies are gone. The caller holds the mutex.
-func (t *Tracker) forgetBroken(now time.Time) {
-	t.broken = slices.DeleteFunc(t.broken, func(r *Run) bool { return now.Sub(r.broke) > copyLife })
+// expireFailedRuns drops failed runs whose copies have expired. The caller holds the mutex.
+func (t *Tracker) expireFailedRuns(now time.Time) {
+	t.failedRuns = slices.DeleteFunc(t.failedRuns, func(r *Run) bool { return now.Sub(r.failedAt) > copyTTL })
 }
 
-// Shared is what nodes tell each other of a run.
+// Shared is the state of a run that nodes exchange.
 type Shared struct {
-	Number uint64        // names the run among those of its node
-	Target string        // its life
-	Read   int           // tokens still to be read when it began; 0 once the first event has come
+	Number uint64        // identifies the run on its node
+	Target string        // its incarnation
+	Read   int           // prompt tokens pending when it began; 0 after the first event
 	Hold   int           // tokens of memory
-	Age    time.Duration // since it began; once the first event has come, how long that took
+	Age    time.Duration // since it began; after the first event, the time to it
 	Trace  Trace
-	Broken bool // it broke off: it holds nothing, but its copy may be there
+	Broken bool // it failed: it holds no memory, but its copy may exist
 }
 
-// sharedRuns is what another node told.
-type sharedRuns struct {
-	at      time.Time         // when it told them
-	heard   time.Time         // when it was last known to be there
-	counted bool              // its runs count at their targets
-	targets []*Target         // at which it has runs under way
-	traces  map[string]Trace  // of runs, by key
-	prompts map[uint64]prompt // of runs that have not begun
+// peerReport is a peer's latest report.
+type peerReport struct {
+	receivedAt      time.Time
+	aliveAt         time.Time              // when the peer was last known to be alive
+	counted         bool                   // its runs are included in the targets' occupancy
+	targets         []*Target              // that have active runs of the peer
+	traces          map[string]Trace       // of its runs, by key
+	pendingPrefills map[uint64]peerPrefill // of runs that have not begun, by number
 }
 
-// otherRuns are another node's runs at one target.
-type otherRuns struct {
-	told    *sharedRuns
-	runs    []Shared  // their ages are as of told.at
-	holders []*Target // that were counted as keeping their copies
+// peerRuns holds a peer's runs at one target.
+type peerRuns struct {
+	report      *peerReport
+	runs        []Shared  // ages are as of report.receivedAt
+	copyHolders []*Target // targets at which their copies are counted
 }
 
-// count counts the runs in at their target and at those that keep their copies, or out.
-// The caller holds the mutex.
-func (o *otherRuns) count(at *Target, sign int) {
+// count adds or removes the runs from the occupancy of their target and of their
+// copies' holders. The caller holds the mutex.
+func (o *peerRuns) count(at *Target, sign int) {
 	var sum occupancy
 	for i, s := range o.runs {
 		sum.add(occupancyOf(s.Hold, s.Read > 0), 1)
-		at.countCopy(o.holders[i], s.Hold, sign)
+		at.countCopy(o.copyHolders[i], s.Hold, sign)
 	}
-	at.occupy(sum, sign)
+	at.addOccupancy(sum, sign)
 }
 
-// count counts another node's runs in at their targets, or out. The caller holds the
-// mutex.
-func (t *Tracker) count(node string, told *sharedRuns, counted bool) {
-	if told.counted == counted {
+// count adds or removes a peer's runs from the occupancy of their targets. The caller
+// holds the mutex.
+func (t *Tracker) count(node string, report *peerReport, counted bool) {
+	if report.counted == counted {
 		return
 	}
-	told.counted = counted
+	report.counted = counted
 	sign := 1
 	if !counted {
 		sign = -1
 	}
-	for _, target := range told.targets {
-		if o, ok := target.others[node]; ok {
+	for _, target := range report.targets {
+		if o, ok := target.peerRuns[node]; ok {
 			o.count(target, sign)
 		}
 	}
 }
 
-// forgetSilentNodes lets the runs of nodes that are silent for long count no more. The
+// expirePeers expires the reports of peers that have not been heard for long. The
 // caller holds the mutex.
-func (t *Tracker) forgetSilentNodes(now time.Time) {
-	if now.Before(t.silentAt) {
+func (t *Tracker) expirePeers(now time.Time) {
+	if now.Before(t.nextPeerExpiry) {
 		return
 	}
-	t.silentAt = now.Add(sharedLife)
-	for node, o := range t.others {
-		switch silent := now.Sub(o.heard); {
-		case silent > copyLife:
-			t.forgetOther(node)
+	t.nextPeerExpiry = now.Add(peerReportTTL)
+	for node, o := range t.peers {
+		switch sinceAlive := now.Sub(o.aliveAt); {
+		case sinceAlive > copyTTL:
+			t.dropPeer(node)
 			continue
-		case silent > sharedLife:
+		case sinceAlive > peerReportTTL:
 			t.count(node, o, false)
 		}
-		t.noteSilentAt(o)
+		t.scheduleExpiry(o)
 	}
 }
 
-// noteSilentAt has a node's word looked at again when it may have run out. The caller
-// holds the mutex.
-func (t *Tracker) noteSilentAt(o *sharedRuns) {
-	life := copyLife
+// scheduleExpiry moves the next expiry check forward to when a peer's report may expire.
+// The caller holds the mutex.
+func (t *Tracker) scheduleExpiry(o *peerReport) {
+	ttl := copyTTL
 	if o.counted {
-		life = sharedLife
+		ttl = peerReportTTL
 	}
-	if at := o.heard.Add(life + 1); at.Before(t.silentAt) {
-		t.silentAt = at
+	if at := o.aliveAt.Add(ttl + 1); at.Before(t.nextPeerExpiry) {
+		t.nextPeerExpiry = at
 	}
 }
 
-// sharedLife is how long another node's word counts.
-const sharedLife = 3 * time.Second
+// peerReportTTL is how long a peer's report is valid.
+const peerReportTTL = 3 * time.Second
 
-// OnChange sets what is called when this node's runs change.
-func (t *Tracker) OnChange(f func()) { t.changed = f }
+// OnChange sets the function called when this node's runs change.
+func (t *Tracker) OnChange(f func()) { t.onChange = f }
 
-// Runs returns this node's runs that ask anything of their targets.
+// Runs returns this node's runs with nonzero Work, including those that failed
+// recently.
 func (t *Tracker) Runs() []Shared {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := uptime.Now()
 	var all []Shared
-	for r := range t.running {
+	for r := range t.activeRuns {
 		if r.target.hall != nil {
-			all = append(all, r.shared(now))
+			all = append(all, r.summary(now))
 		}
 	}
-	t.forgetBroken(now)
-	for _, r := range t.broken {
-		all = append(all, Shared{Number: r.number, Target: r.target.life, Trace: r.trace, Broken: true})
+	t.expireFailedRuns(now)
+	for _, r := range t.failedRuns {
+		all = append(all, Shared{Number: r.number, Target: r.target.incarnation, Trace: r.trace, Broken: true})
 	}
-	if now.Sub(t.remembered) < copyLife {
-		for _, m := range t.memory {
+	if now.Sub(t.restoredAt) < copyTTL {
+		for _, m := range t.restored {
 			all = append(all, Shared{Number: m.number, Target: m.trace.ReadAt, Trace: m.trace, Broken: true})
 		}
 	}
 	return all
 }
 
-// Traces returns how every run is found again that this node knows of, its own
-// and other nodes'.
+// Traces returns the traces of all runs known to this node, its own and its peers'.
 func (t *Tracker) Traces() []Trace {
 	var all []Trace
 	for _, s := range t.Runs() {
@@ -278,82 +277,78 @@
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for _, o := range t.others {
+	for _, o := range t.peers {
 		for _, trace := range o.traces {
 			all = append(all, trace)
 		}
 	}
-	for _, n := range t.named {
+	for _, n := range t.peerTraces {
 		all = append(all, n.trace)
 	}
 	return all
 }
 
-// namedTrace is a trace of another node's run that this node was told of by
-// itself.
-type namedTrace struct {
+// peerTrace is a trace of a peer's run that was received on its own.
+type peerTrace struct {
 	trace Trace
 	at    time.Time
 }
 
-// NoteTrace takes the trace of another node's run. It counts for as long as a
-// copy may be kept, unless it is told again.
+// NoteTrace records the trace of a peer's run. It is valid for as long as a copy may be
+// kept, unless it is received again.
 func (t *Tracker) NoteTrace(trace Trace) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := uptime.Now()
-	for key, n := range t.named {
-		if now.Sub(n.at) > copyLife {
-			delete(t.named, key)
+	for key, n := range t.peerTraces {
+		if now.Sub(n.at) > copyTTL {
+			delete(t.peerTraces, key)
 		}
 	}
-	t.named[trace.Key] = namedTrace{trace: trace, at: now}
-	t.read.note(trace.Key, trace.ReadAt, now)
+	t.peerTraces[trace.Key] = peerTrace{trace: trace, at: now}
+	t.prompts.record(trace.Key, trace.ReadAt, now)
 }
 
-// DropTrace forgets the trace of a run that is over; where the prompt was read
-// is kept.
+// DropTrace removes the trace of a finished run; the prompt index keeps its entry.
 func (t *Tracker) DropTrace(trace Trace) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.named[trace.Key].trace.CopyName == trace.CopyName {
-		delete(t.named, trace.Key)
+	if t.peerTraces[trace.Key].trace.CopyName == trace.CopyName {
+		delete(t.peerTraces, trace.Key)
 	}
 }
 
-// TraceOf returns what is known of the runs that a key names; false for
-// nothing.
+// TraceOf returns what is known of the runs with a key; false if nothing is.
 func (t *Tracker) TraceOf(key string) (Trace, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	trace := Trace{Key: key, ReadAt: t.read.of(key)}
+	trace := Trace{Key: key, ReadAt: t.prompts.lookup(key)}
 	now := uptime.Now()
-	if n, ok := t.named[key]; ok && now.Sub(n.at) <= copyLife {
+	if n, ok := t.peerTraces[key]; ok && now.Sub(n.at) <= copyTTL {
 		trace.Copy, trace.CopyName = n.trace.Copy, n.trace.CopyName
-	} else if m, ok := t.memory[key]; ok && now.Sub(t.remembered)+t.memoryAge < copyLife {
+	} else if m, ok := t.restored[key]; ok && now.Sub(t.restoredAt)+t.restoredAge < copyTTL {
 		trace.Copy, trace.CopyName = m.trace.Copy, m.trace.CopyName
 	}
 	return trace, trace.ReadAt != "" || trace.Copy != ""
 }
 
-// Remember takes the traces that this node knew before it was started again,
-// and how long ago that was.
+// Remember restores the traces that this node knew before it restarted; age is the time
+// since then.
 func (t *Tracker) Remember(traces []Trace, age time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.memory, t.remembered, t.memoryAge = map[string]memory{}, uptime.Now(), age
+	t.restored, t.restoredAt, t.restoredAge = map[string]restoredTrace{}, uptime.Now(), age
 	for _, trace := range traces {
-		if age > copyLife {
+		if age > copyTTL {
 			trace.Copy = ""
 		}
-		t.memory[trace.Key] = memory{number: t.nextNumber(), trace: trace}
-		t.read.note(trace.Key, trace.ReadAt, t.remembered)
+		t.restored[trace.Key] = restoredTrace{number: t.nextRunNumber(), trace: trace}
+		t.prompts.record(trace.Key, trace.ReadAt, t.restoredAt)
 	}
 }
 
-// FindCopy returns the copy of a run of the request that a key names, which
-// broke off here or at another node, or whose node fell silent. Nil if none
-// is known at a target that takes work.
+// FindCopy returns the copy of a run with a key that failed here or at a peer, or whose
+// node does not answer. Nil if none is known at an available target.
 func (t *Tracker) FindCopy(key string) (at *Target, name string) {
 	if key == "" {
 		return nil, ""
@@ -361,60 +356,60 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := uptime.Now()
-	t.forgetBroken(now)
-	for _, r := range t.broken {
+	t.expireFailedRuns(now)
+	for _, r := range t.failedRuns {
 		if r.trace.Key == key && r.trace.Copy != "" {
-			at, name = t.byLife[r.trace.Copy], r.trace.CopyName
+			at, name = t.byIncarnation[r.trace.Copy], r.trace.CopyName
 		}
 	}
-	for _, o := range t.others {
-		if now.Sub(o.heard) > copyLife {
+	for _, o := range t.peers {
+		if now.Sub(o.aliveAt) > copyTTL {
 			continue
 		}
 		if trace, ok := o.traces[key]; ok && at == nil && trace.Copy != "" {
-			at, name = t.byLife[trace.Copy], trace.CopyName
+			at, name = t.byIncarnation[trace.Copy], trace.CopyName
 		}
 	}
-	if n, ok := t.named[key]; ok && at == nil && n.trace.Copy != "" && now.Sub(n.at) <= copyLife {
-		at, name = t.byLife[n.trace.Copy], n.trace.CopyName
+	if n, ok := t.peerTraces[key]; ok && at == nil && n.trace.Copy != "" && now.Sub(n.at) <= copyTTL {
+		at, name = t.byIncarnation[n.trace.Copy], n.trace.CopyName
 	}
-	if m, ok := t.memory[key]; ok && at == nil && m.trace.Copy != "" && now.Sub(t.remembered)+t.memoryAge < copyLife {
-		at, name = t.byLife[m.trace.Copy], m.trace.CopyName
+	if m, ok := t.restored[key]; ok && at == nil && m.trace.Copy != "" && now.Sub(t.restoredAt)+t.restoredAge < copyTTL {
+		at, name = t.byIncarnation[m.trace.Copy], m.trace.CopyName
 	}
-	if at == nil || !at.open(now) || at.suspect(now) {
+	if at == nil || !at.available(now) || at.suspect(now) {
 		return nil, ""
 	}
 	return at, name
 }
 
-func (r *Run) shared(now time.Time) Shared {
-	s := Shared{Number: r.number, Target: r.target.life, Read: r.work.Read, Hold: r.work.Hold, Age: now.Sub(r.began), Trace: r.trace}
-	if r.first {
-		s.Read, s.Age = 0, r.firstAt.Sub(r.began)
+func (r *Run) summary(now time.Time) Shared {
+	s := Shared{Number: r.number, Target: r.target.incarnation, Read: r.work.Read, Hold: r.work.Hold, Age: now.Sub(r.startedAt), Trace: r.trace}
+	if r.begun {
+		s.Read, s.Age = 0, r.begunAt.Sub(r.startedAt)
 	}
 	return s
 }
 
-// memory is a trace from before this node's start.
-type memory struct {
+// restoredTrace is a trace from before this node's restart.
+type restoredTrace struct {
 	number uint64
 	trace  Trace
 }
 
-// nextNumber names a run. The caller holds the mutex.
-func (t *Tracker) nextNumber() uint64 {
-	t.numbers++
-	return t.numbers
+// nextRunNumber returns a new run number. The caller holds the mutex.
+func (t *Tracker) nextRunNumber() uint64 {
+	t.lastRunNumber++
+	return t.lastRunNumber
 }
 
-// SetOthers takes another node's runs in place of what it told before.
+// SetOthers replaces a peer's reported runs.
 func (t *Tracker) SetOthers(node string, runs []Shared) {
 	byTarget := map[string][]Shared{}
 	now := uptime.Now()
-	told := &sharedRuns{at: now, heard: now, traces: map[string]Trace{}}
+	report := &peerReport{receivedAt: now, aliveAt: now, traces: map[string]Trace{}}
 	for _, s := range runs {
 		if s.Trace.Key != "" {
-			told.traces[s.Trace.Key] = s.Trace
+			report.traces[s.Trace.Key] = s.Trace
 		}
 		if !s.Broken {
 			byTarget[s.Target] = append(byTarget[s.Target], s)
@@ -422,75 +417,75 @@
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	before := t.others[node]
-	t.forgetOther(node)
-	told.prompts = t.learnFromOthers(before, runs, told.at)
-	t.forgetSilentNodes(now)
-	t.others[node] = told
-	for key, trace := range told.traces {
-		t.read.note(key, trace.ReadAt, told.at)
-	}
-	for id, of := range byTarget {
-		if target := t.byLife[id]; target != nil {
-			holders := make([]*Target, len(of))
-			for i := range of {
-				holders[i] = t.byLife[of[i].Trace.Copy]
+	before := t.peers[node]
+	t.dropPeer(node)
+	report.pendingPrefills = t.observePeerPrefills(before, runs, report.receivedAt)
+	t.expirePeers(now)
+	t.peers[node] = report
+	for key, trace := range report.traces {
+		t.prompts.record(key, trace.ReadAt, report.receivedAt)
+	}
+	for id, runsAt := range byTarget {
+		if target := t.byIncarnation[id]; target != nil {
+			holders := make([]*Target, len(runsAt))
+			for i := range runsAt {
+				holders[i] = t.byIncarnation[runsAt[i].Trace.Copy]
 			}
-			if target.others == nil {
-				target.others = map[string]otherRuns{}
+			if target.peerRuns == nil {
+				target.peerRuns = map[string]peerRuns{}
 			}
-			target.others[node] = otherRuns{told: told, runs: of, holders: holders}
-			told.targets = append(told.targets, target)
+			target.peerRuns[node] = peerRuns{report: report, runs: runsAt, copyHolders: holders}
+			report.targets = append(report.targets, target)
 		}
 	}
-	t.count(node, told, true)
-	t.noteSilentAt(told)
+	t.count(node, report, true)
+	t.scheduleExpiry(report)
 }
 
-// StillThere notes that nodes are there, whose runs are as they told last.
+// StillThere records that nodes are alive and their last reports are still current.
 func (t *Tracker) StillThere(nodes []string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := uptime.Now()
 	for _, node := range nodes {
-		if o := t.others[node]; o != nil {
-			o.heard = now
+		if o := t.peers[node]; o != nil {
+			o.aliveAt = now
 			t.count(node, o, true)
 		}
 	}
 }
 
-// forgetOther drops what another node told. The caller holds the mutex.
-func (t *Tracker) forgetOther(node string) {
-	o := t.others[node]
+// dropPeer drops a peer's report. The caller holds the mutex.
+func (t *Tracker) dropPeer(node string) {
+	o := t.peers[node]
 	if o == nil {
 		return
 	}
 	t.count(node, o, false)
 	for _, target := range o.targets {
-		delete(target.others, node)
+		delete(target.peerRuns, node)
 	}
-	delete(t.others, node)
+	delete(t.peers, node)
 }
 
-// unreadRuns returns the runs known at a target whose prompts are still to be read. They
-// are valid until the next call. The caller holds the mutex.
-func (t *Target) unreadRuns(now time.Time) []Shared {
-	unread := t.tracker.unread[:0]
+// pendingPrefills returns the target's known runs with prefills pending. The result is
+// valid until the next call. The caller holds the mutex.
+func (t *Target) pendingPrefills(now time.Time) []Shared {
+	pending := t.tracker.pendingBuf[:0]
 	for r := range t.runs {
-		if s := r.shared(now); s.Read > 0 {
-			unread = append(unread, s)
+		if s := r.summary(now); s.Read > 0 {
+			pending = append(pending, s)
 		}
 	}
-	for _, o := range t.others {
-		age := now.Sub(o.told.at)
+	for _, o := range t.peerRuns {
+		age := now.Sub(o.report.receivedAt)
 		for _, s := range o.runs {
-			if s.Read > 0 && o.told.counted {
+			if s.Read > 0 && o.report.counted {
 				s.Age += age
-				unread = append(unread, s)
+				pending = append(pending, s)
 			}
 		}
 	}
-	t.tracker.unread = unread
-	return unread
+	t.tracker.pendingBuf = pending
+	return pending
 }
