--- a/balance/score.go
+++ b/balance/score.go
@@ -10,286 +10,280 @@
 	"github.com/walnutramp/walnutramp/internal/uptime"
 )
 
-// Choice says what a target is wanted for.
+// Choice describes the request that a target is selected for.
 type Choice struct {
 	Service string
 	Work    Work
-	// Key names what the request shares with others of its own; a request
-	// that comes again is best sent where the first one went.
+	// Key identifies the request or the prefix that it shares with others; a repeated
+	// request is best sent to the same target.
 	Key string
-	// Again says that the request with this key came before.
+	// Again says that a request with this key was sent before.
 	Again bool
-	// Exclude leaves targets out, such as those already tried.
+	// Exclude filters out targets, such as those already tried.
 	Exclude func(*Target) bool
-	// Copy says that the target is to keep a copy of a run.
+	// Copy selects the holder of a copy of a run.
 	Copy bool
-	// Admission says that the request is new: only a target with room for it
-	// is picked, where it is predicted to begin within a time.
+	// Admission marks a new request: only a target with capacity for it is selected,
+	// predicted to begin it within Within.
 	Admission bool
-	Within    time.Duration // 0 for no bound
-	// Aim is within which the answer of a new request has to begin; 0 for as
-	// soon as can be.
+	Within    time.Duration // 0 for no limit
+	// Aim is the objective for the time to the first event of a new request; 0 for as
+	// soon as possible.
 	Aim time.Duration
-	// Rank counts the ranks of more urgent requests, for which some room is
-	// kept.
+	// Rank is the number of more urgent ranks, for which memory is reserved.
 	Rank int
-	// FailedHalls counts the targets in a data hall that failed this request.
+	// FailedHalls counts the targets by data hall that failed this request.
 	FailedHalls map[string]int
-	// OtherHall asks for a data hall that is not this one, if one is there.
+	// OtherHall is a data hall that the target should not be in, if possible.
 	OtherHall string
 
-	usualHold float64 // what a run of the service takes up, in tokens
+	meanRunTokens float64 // mean memory of the service's runs, in tokens
 }
 
-// Costs in milliseconds of waiting.
+// Costs in milliseconds of wait.
 const (
-	avoidCost = 1e6
+	backoffCost = 1e6
 
-	copySuspectCost = 5e4
-	trySuspectCost  = 300.0
-	doubtCost       = 1500.0
-	failedHallCost  = 400.0 // for each target of the data hall that failed the request
-	sameHallCost    = 1e4
-	noiseCost       = 20.0
-	randomCost      = 100.0
-	requestCost     = 15.0  // of one more request under way at an engine
-	crowdWeight     = 0.6   // of the time that reading takes from each run under way there
-	homeGain        = 250.0 // for the target that the key names, so that it is found again
-	keptRead        = 0.2   // share of a prompt read again where it was read before
-	// keptGain is for a target to which a connection is kept: a new one takes a round trip
-	// and work of the target, and what is drawn between targets alike must not outweigh it.
-	keptGain   = 25.0
-	memoryCost = 100.0 // for each thousand tokens beyond a comfortable memory
-	// unseenCost is what a millisecond without word of other nodes costs, in
-	// milliseconds of waiting: several nodes choose the same idle engine in it.
-	unseenCost = 4.0
-	// nearShare is the part of its aim by which a new stream must begin sooner
-	// at an engine in another data hall to be sent there. To begin sooner than
-	// the aim gains nothing, and between halls each event is at the mercy of a
-	// link.
-	nearShare = 0.25
-	slotCost  = 30.0 // a request before this one at a plain service, times its share of the slots
+	copySuspectCost    = 5e4
+	runSuspectCost     = 300.0
+	hallSuspectCost    = 1500.0
+	failedHallCost     = 400.0 // per target of the data hall that failed the request
+	sameHallCost       = 1e4
+	tieBreakNoise      = 20.0
+	randomRange        = 100.0
+	requestCost        = 15.0  // per active run at an engine
+	interferenceWeight = 0.6   // part of the prefill time charged per active run that it delays
+	affinityBonus      = 250.0 // for the affinity target of the key
+	cachedReadShare    = 0.2   // part of a cached prompt that is prefilled again
+	// connectedBonus is the bonus for a target with an idle connection: a new one costs a
+	// round trip and work of the target, which random differences between equal targets
+	// must not outweigh.
+	connectedBonus = 25.0
+	memoryCost     = 100.0 // per thousand tokens above softMemoryShare
+	// reportDelayCost is the cost per millisecond of report delay, in milliseconds of wait:
+	// several nodes select the same idle engine during it.
+	reportDelayCost = 4.0
+	// crossHallAimShare is the part of Aim by which a new stream must begin sooner in
+	// another data hall to be sent there. Beginning sooner than Aim gains nothing, and
+	// a link between halls may lose packets.
+	crossHallAimShare = 0.25
+	slotCost          = 30.0 // per request ahead at a plain service, divided by its slots
 )
 
-// Pick returns the best target, or nil. Targets that lately failed are taken
-// only where no other is left.
+// Pick returns the best target, or nil. Targets in backoff are selected only if no
+// other is left.
 func (t *Tracker) Pick(c Choice) *Target {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	l := t.lookFor(&c)
-	if c.Copy && !t.roomForCopies(&c, l.pool) {
+	s := t.newScan(&c)
+	if c.Copy && !t.hasMemoryForCopy(&c, s.pool) {
 		return nil
 	}
-	candidates := l.candidates()
-	best := t.draw(candidates, t.rivals(l, candidates), t.readMS(c.Service, c.Work.Read))
+	candidates := s.candidates()
+	best := t.sampleBest(candidates, t.concurrentSelections(s, candidates), t.prefillMS(c.Service, c.Work.Read))
 	if best != nil {
-		t.turn++
-		best.turn = t.turn
+		t.roundRobinSeq++
+		best.roundRobinSeq = t.roundRobinSeq
 	}
 	return best
 }
 
-// lookFor returns a look for a choice. The caller holds the mutex.
-func (t *Tracker) lookFor(c *Choice) *look {
+// newScan prepares a selection. The caller holds the mutex.
+func (t *Tracker) newScan(c *Choice) *scan {
 	now := uptime.Now()
-	t.forgetSilentNodes(now)
-	l := &look{tracker: t, choice: c, pool: t.poolOf(c.Service), now: now, home: t.home(*c, now), keeper: t.keeper(*c, now)}
-	l.keep = !c.Copy && t.rng.IntN(lookElsewhere) > 0
-	l.pool.findDoubt(now)
-	c.usualHold = l.pool.usualHold(c)
-	l.taking = t.spillRegions(c, l.pool)
-	return l
+	t.expirePeers(now)
+	s := &scan{tracker: t, choice: c, pool: t.poolOf(c.Service), now: now, affine: t.affinityTarget(*c, now), cacheHolder: t.likelyCacheHolder(*c, now)}
+	s.preferConnected = !c.Copy && t.rng.IntN(exploreInterval) > 0
+	s.pool.markSuspectHalls(now)
+	c.meanRunTokens = s.pool.meanRunTokens(c)
+	s.spillRegions = t.spillRegions(c, s.pool)
+	return s
 }
 
-// Expected predicts the time to the first event at a target, for whoever
-// compares it with what came.
+// Expected predicts the time to the first event at a target, for comparison with the
+// actual one.
 func (t *Tracker) Expected(c Choice, at *Target) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := uptime.Now()
-	read := at.readMS(c.Work.Read, now)
-	if t.keeper(c, now) == at {
-		read *= keptRead
+	read := at.prefillMS(c.Work.Read, now)
+	if t.likelyCacheHolder(c, now) == at {
+		read *= cachedReadShare
 	}
 	return time.Duration((at.backlog(now) + read) * float64(time.Millisecond))
 }
 
-// Kept returns what a request asks of a target: where its prompt was read
-// before, most of it is in the cache.
+// Kept returns the work of c at a target, less the part of the prompt that is expected
+// in its cache.
 func (t *Tracker) Kept(c Choice, at *Target) Work {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	work := c.Work
-	if t.keeper(c, uptime.Now()) == at {
-		work.Read = int(float64(work.Read) * keptRead)
+	if t.likelyCacheHolder(c, uptime.Now()) == at {
+		work.Read = int(float64(work.Read) * cachedReadShare)
 		work.Cached = true
 	}
 	return work
 }
 
-// open reports whether a target takes new work now. The caller holds the mutex.
-func (t *Target) open(now time.Time) bool { return t.there(now) && !t.rest.holds(now) }
+// available reports whether a target accepts new work now. The caller holds the mutex.
+func (t *Target) available(now time.Time) bool { return t.accepting(now) && !t.cooldown.active(now) }
 
-// there reports whether a target takes new work, if not at this moment: it has not
-// ended and does not leave. The caller holds the mutex.
-func (t *Target) there(now time.Time) bool {
-	return !t.gone && t.State != discovery.TargetDraining && now.Sub(t.refused) > refusedLife
+// accepting reports whether a target accepts new work, if perhaps only after a cooldown: it
+// has not ended and is not draining. The caller holds the mutex.
+func (t *Target) accepting(now time.Time) bool {
+	return !t.ended && t.State != discovery.TargetDraining && now.Sub(t.refusedAt) > refusedTTL
 }
 
-// home returns the target that a key names, in this node's data hall if any there
-// takes work. The caller holds the mutex.
-func (t *Tracker) home(c Choice, now time.Time) *Target {
+// affinityTarget returns the affinity target of a key, in this node's data hall if any
+// there is available. The caller holds the mutex.
+func (t *Tracker) affinityTarget(c Choice, now time.Time) *Target {
 	p := t.poolOf(c.Service)
 	if c.Key == "" {
 		return nil
 	}
-	if near := p.halls[t.cfg.DataHall]; near != nil {
-		if home, _ := near.home(c.Key, now); home != nil {
-			return home
+	if local := p.halls[t.cfg.DataHall]; local != nil {
+		if best, _ := local.affinityTarget(c.Key, now); best != nil {
+			return best
 		}
 	}
 	var home *Target
 	highest := uint64(0)
-	for _, h := range p.order {
-		if target, weight := h.home(c.Key, now); target != nil && (home == nil || weight > highest) {
+	for _, h := range p.ordered {
+		if target, weight := h.affinityTarget(c.Key, now); target != nil && (home == nil || weight > highest) {
 			home, highest = target, weight
 		}
 	}
 	return home
 }
 
-// farCost is what speaks against a target in another data hall: the links
-// between halls lose packets now and then, and every event that is sent anew
-// comes late. Besides, what other nodes have just begun there is known later
-// than what they began in the own hall.
-func (t *Tracker) farCost(choice *Choice, target *Target, now time.Time) float64 {
+// crossHallCost returns the cost of a target in another data hall: links between halls lose
+// packets now and then, which delays events, and reports of runs there arrive later.
+func (t *Tracker) crossHallCost(choice *Choice, target *Target, now time.Time) float64 {
 	if t.inOtherRegion(target) {
 		return t.regionCost(choice, target.DataHall, now)
 	}
 	if choice.Work == (Work{}) {
-		return t.cfg.FarSlotCost
+		return t.cfg.RemoteHallSlotCost
 	}
-	known := t.cfg.FarCost + unseenCost*float64(t.farLag.Milliseconds())
-	return max(known, nearShare*float64(choice.Aim.Milliseconds()))
+	cost := t.cfg.RemoteHallCost + reportDelayCost*float64(t.crossHallLag.Milliseconds())
+	return max(cost, crossHallAimShare*float64(choice.Aim.Milliseconds()))
 }
 
-// score is the wait expected at a target that has so long to read, in milliseconds,
-// with what else speaks against it. The caller holds the mutex.
-func (t *Target) score(l *look, backlog float64) float64 {
-	cfg, c, now := &t.tracker.cfg, l.choice, l.now
-	score := t.tracker.rng.Float64() * noiseCost
+// score returns the predicted wait at a target with the given prefill backlog, plus
+// costs, in milliseconds. The caller holds the mutex.
+func (t *Target) score(s *scan, backlog float64) float64 {
+	cfg, c, now := &t.tracker.cfg, s.choice, s.now
+	score := t.tracker.rng.Float64() * tieBreakNoise
 	switch cfg.Policy {
 	case Random:
-		return t.common(c, now, t.tracker.rng.Float64()*randomCost)
+		return t.addCommonCosts(c, now, t.tracker.rng.Float64()*randomRange)
 	case RoundRobin:
-		return t.common(c, now, float64(t.turn))
+		return t.addCommonCosts(c, now, float64(t.roundRobinSeq))
 	case LeastReported:
-		return t.common(c, now, score+slotCost*float64(t.told.Running+t.told.Waiting))
+		return t.addCommonCosts(c, now, score+slotCost*float64(t.load.Running+t.load.Waiting))
 	}
 	if c.Work == (Work{}) {
 		score += t.slotWait(now)
 	} else {
-		score += t.engineWait(l, backlog)
+		score += t.engineWait(s, backlog)
 	}
-	if l.keep && now.Before(t.keptUntil) {
-		score -= keptGain
+	if s.preferConnected && now.Before(t.connectedUntil) {
+		score -= connectedBonus
 	}
 	if t.DataHall != cfg.DataHall {
-		score += t.tracker.farCost(c, t, now)
+		score += t.tracker.crossHallCost(c, t, now)
 	}
-	if t.tracker.inRegionOfRun(c, t) {
+	if t.tracker.copyInRunRegion(c, t) {
 		score += sameRegionCost
 	}
-	return t.common(c, now, score)
+	return t.addCommonCosts(c, now, score)
 }
 
-// common adds what speaks against a target under every policy. The caller holds
-// the mutex.
-func (t *Target) common(c *Choice, now time.Time, score float64) float64 {
+// addCommonCosts adds the costs that apply under every policy. The caller holds the mutex.
+func (t *Target) addCommonCosts(c *Choice, now time.Time, score float64) float64 {
 	score += failedHallCost * float64(c.FailedHalls[t.DataHall])
 	if c.OtherHall != "" && t.DataHall == c.OtherHall {
 		score += sameHallCost
 	}
-	if t.suspect(now) || c.Copy && t.unheard(now) {
+	if t.suspect(now) || c.Copy && t.unconfirmed(now) {
 		score += suspectCost(c)
 	}
-	if now.Before(t.avoid) {
-		score += avoidCost + t.avoid.Sub(now).Seconds()
+	if now.Before(t.backoffUntil) {
+		score += backoffCost + t.backoffUntil.Sub(now).Seconds()
 	}
 	return score
 }
 
-// slotWait is the wait at a plain service: own requests are known, others'
-// from what the target told last, which counts less as it grows older.
+// slotWait predicts the wait at a plain service from this node's active requests and
+// the latest reported load, which decays with age.
 func (t *Target) slotWait(now time.Time) float64 {
-	halvings := float64(now.Sub(t.toldAt)) / float64(t.tracker.cfg.LoadHalfLife)
-	others := float64(t.told.Running+t.told.Waiting-t.own) * math.Exp2(-halvings)
-	wait := (float64(len(t.runs)) + math.Max(0, others)) * slotCost / float64(max(1, t.Slots))
-	return wait + t.extraWork(now)
+	halvings := float64(now.Sub(t.loadAt)) / float64(t.tracker.cfg.LoadHalfLife)
+	peerLoad := float64(t.load.Running+t.load.Waiting-t.activeAtLoad) * math.Exp2(-halvings)
+	wait := (float64(len(t.runs)) + math.Max(0, peerLoad)) * slotCost / float64(max(1, t.Slots))
+	return wait + t.slowdownMS(now)
 }
 
-// mostSlowdown bounds a told slowdown: one wrong figure must not keep a target out
-// of use for long.
-const mostSlowdown = 20.0
+// maxSlowdown bounds a reported slowdown, so that one wrong value does not keep a
+// target unused for long.
+const maxSlowdown = 20.0
 
-// extraWork is how much longer than usual a request takes at a plain service, in
-// milliseconds, by the slowdown that the target told last.
-func (t *Target) extraWork(now time.Time) float64 {
-	whole := &t.tracker.paceOf(t.Service).wholeMS
-	if t.told.Slowdown == 0 || whole.seen == 0 {
+// slowdownMS returns the additional processing time at a plain service, in milliseconds,
+// from the latest reported slowdown.
+func (t *Target) slowdownMS(now time.Time) float64 {
+	runMS := &t.tracker.speedOf(t.Service).runMS
+	if t.load.Slowdown == 0 || runMS.samples == 0 {
 		return 0
 	}
-	halvings := float64(now.Sub(t.toldAt)) / float64(t.tracker.cfg.SlowdownHalfLife)
-	return whole.value * (min(t.told.Slowdown, mostSlowdown) - 1) * math.Exp2(-halvings)
+	halvings := float64(now.Sub(t.loadAt)) / float64(t.tracker.cfg.SlowdownHalfLife)
+	return runMS.value * (min(t.load.Slowdown, maxSlowdown) - 1) * math.Exp2(-halvings)
 }
 
-// suspectCost is what speaks against a target that may have ended. To find
-// out costs little, unless it were to keep a copy.
+// suspectCost returns the cost of a suspect target. Trying one costs little, unless it
+// is to keep a copy.
 func suspectCost(c *Choice) float64 {
 	if c.Copy {
 		return copySuspectCost
 	}
-	return trySuspectCost
+	return runSuspectCost
 }
 
-// engineWait predicts the time to the first event of an engine, and what the
-// run would cost others there, in milliseconds.
-func (t *Target) engineWait(l *look, backlog float64) float64 {
-	c := l.choice
-	read := t.readMS(c.Work.Read, l.now)
-	if t == l.keeper {
-		read *= keptRead
+// engineWait predicts the time to the first event at an engine, plus the delay of other
+// runs there, in milliseconds.
+func (t *Target) engineWait(s *scan, backlog float64) float64 {
+	c := s.choice
+	prefill := t.prefillMS(c.Work.Read, s.now)
+	if t == s.cacheHolder {
+		prefill *= cachedReadShare
 	}
-	crowd := (requestCost + crowdWeight*read) * float64(t.taken.runs)
-	if t == l.home && !c.Again {
-		read -= homeGain
+	interference := (requestCost + interferenceWeight*prefill) * float64(t.occupancy.runs)
+	if t == s.affine && !c.Again {
+		prefill -= affinityBonus
 	}
-	wait := backlog + read + crowd - t.ownershipGain()
-	comfort := comfortShare * float64(t.tracker.memoryOf(t.Service))
-	if over := float64(t.taken.held+t.taken.copies+c.Work.Hold) - comfort; over > 0 {
-		wait += memoryCost * over / 1000
+	wait := backlog + prefill + interference - t.ownershipBonus()
+	softLimit := softMemoryShare * float64(t.tracker.memoryOf(t.Service))
+	if excess := float64(t.occupancy.runTokens+t.occupancy.copyTokens+c.Work.Hold) - softLimit; excess > 0 {
+		wait += memoryCost * excess / 1000
 	}
 	return wait
 }
 
-// backlog is how long an engine still reads the prompts that came before, in
-// milliseconds, if it reads them one after the other. The caller holds the
-// mutex.
+// backlog predicts how long an engine takes to finish its pending prefills one after
+// the other, in milliseconds. The caller holds the mutex.
 func (t *Target) backlog(now time.Time) float64 {
-	if t.taken.unread == 0 {
+	if t.occupancy.pendingPrefills == 0 {
 		return 0
 	}
-	runs := t.unreadRuns(now)
+	runs := t.pendingPrefills(now)
 	slices.SortFunc(runs, func(a, b Shared) int { return cmp.Compare(b.Age, a.Age) })
 	finish := math.Inf(-1) // relative to now
 	for _, r := range runs {
 		start := -float64(r.Age.Milliseconds())
-		// A prompt whose time is over but that is not read yet is held to
-		// need a while longer.
-		finish = math.Max(math.Max(finish, start)+t.readMS(r.Read, now), lateRead)
+		// An overdue prefill is assumed to need a while longer.
+		finish = math.Max(math.Max(finish, start)+t.prefillMS(r.Read, now), overduePrefillMS)
 	}
 	return math.Max(0, finish)
 }
 
-// lateRead is what an overdue prompt is held to need still, in milliseconds.
-const lateRead = 100.0
+// overduePrefillMS is the assumed remaining time of an overdue prefill, in milliseconds.
+const overduePrefillMS = 100.0
--- a/balance/silence.go
+++ b/balance/silence.go
@@ -6,82 +6,83 @@
 	"github.com/walnutramp/walnutramp/internal/uptime"
 )
 
-// A target that loses power or is cut off answers nothing any more. Runs whose
-// events come show it within half a second; runs that wait for their first
-// event, or another node's, do not. So nodes tell each other.
+// A target that loses power or network does not answer at all. Runs that receive events
+// detect this within half a second; runs waiting for their first event, and other
+// nodes, do not. So nodes report unresponsive targets to each other.
 
-// OnSilence sets what is called when a target fell silent.
-func (t *Tracker) OnSilence(f func()) { t.silence = f }
+// OnSilence sets the function called when a target becomes unresponsive.
+func (t *Tracker) OnSilence(f func()) { t.onUnresponsive = f }
 
-// FellSilent notes that the target does not answer. Dark says that it answers
-// nothing at all; a run whose events stop may only have been put back.
-func (t *Target) FellSilent(dark bool) {
+// FellSilent records that the target does not answer. Unreachable says that it answers nothing
+// at all; otherwise the run may only have been preempted.
+func (t *Target) FellSilent(unreachable bool) {
 	t.tracker.mu.Lock()
-	t.noteSilent()
-	t.mute = uptime.Now()
-	t.silent = t.mute
-	if dark {
-		t.dark = t.mute
+	t.addUnresponsive()
+	t.ownUnresponsiveAt = uptime.Now()
+	t.unresponsiveAt = t.ownUnresponsiveAt
+	if unreachable {
+		t.unreachableAt = t.ownUnresponsiveAt
 	}
 	t.tracker.mu.Unlock()
 	t.Broke()
-	t.tracker.silence()
+	t.tracker.onUnresponsive()
 }
 
-// SilentTargets returns the lives of the targets that lately fell silent to this node.
+// SilentTargets returns the incarnations that recently became unresponsive to this
+// node.
 func (t *Tracker) SilentTargets() []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := uptime.Now()
-	var ids []string
-	t.eachFailed(now, func(target *Target) {
-		if now.Sub(target.mute) < hallDoubtTime {
-			ids = append(ids, target.life)
+	var incarnations []string
+	t.eachRecentlyFailed(now, func(target *Target) {
+		if now.Sub(target.ownUnresponsiveAt) < hallSuspectWindow {
+			incarnations = append(incarnations, target.incarnation)
 		}
 	})
-	return ids
+	return incarnations
 }
 
-// SetSilent takes another node's word that targets fell silent to it.
-func (t *Tracker) SetSilent(ids []string) {
-	if len(ids) == 0 {
+// SetSilent records a peer's report of unresponsive targets.
+func (t *Tracker) SetSilent(incarnations []string) {
+	if len(incarnations) == 0 {
 		return
 	}
 	t.mu.Lock()
 	now := uptime.Now()
-	for _, id := range ids {
-		if target := t.byLife[id]; target != nil && now.Sub(target.silent) > hallDoubtTime {
-			target.noteSilent()
-			target.silent = now
+	for _, id := range incarnations {
+		if target := t.byIncarnation[id]; target != nil && now.Sub(target.unresponsiveAt) > hallSuspectWindow {
+			target.addUnresponsive()
+			target.unresponsiveAt = now
 		}
 	}
 	t.mu.Unlock()
-	t.silence()
+	t.onUnresponsive()
 }
 
-// SilentSince reports whether the target has gone dark since then, or most
-// likely has with its data hall, and has not been heard by this node.
+// SilentSince reports whether the target, or most likely its whole data hall, has
+// become unresponsive since a time and has not answered this node after it.
 func (t *Target) SilentSince(since time.Time) bool {
 	t.tracker.mu.Lock()
 	defer t.tracker.mu.Unlock()
-	if t.heard.After(since) {
+	if t.answeredAt.After(since) {
 		return false
 	}
-	return t.dark.After(since) || t.tracker.hallSilent(t, since)
+	return t.unreachableAt.After(since) || t.tracker.hallUnresponsive(t, since)
 }
 
-// hallSilent reports whether so many of the service's targets in a target's
-// data hall have fallen silent since then that the others have, too, most
-// likely. The caller holds the mutex.
-func (t *Tracker) hallSilent(of *Target, since time.Time) bool {
+// hallUnresponsive reports whether so many of the service's targets in the target's
+// data hall have become unresponsive since a time that the others most likely have,
+// too. The caller holds the mutex.
+func (t *Tracker) hallUnresponsive(of *Target, since time.Time) bool {
 	if of.hall == nil {
 		return false
 	}
-	silent := 0
-	for _, target := range of.pool.silent {
-		if target.hall == of.hall && !target.gone && target.silent.After(since) {
-			silent++
+	unresponsive := 0
+	for _, target := range of.pool.unresponsive {
+		if target.hall == of.hall && !target.ended && target.unresponsiveAt.After(since) {
+			unresponsive++
 		}
 	}
-	return silent >= hallDoubtLeast && float64(silent) >= hallDoubtShare*float64(of.hall.present)
+	return unresponsive >= hallSuspectMin && float64(unresponsive) >= hallSuspectShare*float64(of.hall.present)
 }
--- a/balance/silence_test.go
+++ b/balance/silence_test.go
@@ -8,34 +8,34 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestHallThatFallsSilentIsKnownBySome(t *testing.T) {
+func TestDataHallFailureIsInferredFromSomeTargets(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		tracker := newTracker(append(listed("s", "north", "1", "2", "3", "4", "5", "6", "7", "8"), listed("s", "south", "9")...)...)
-		woken := 0
-		tracker.OnSilence(func() { woken++ })
+		tracker := newTracker(append(targetList("s", "north", "1", "2", "3", "4", "5", "6", "7", "8"), targetList("s", "south", "9")...)...)
+		notified := 0
+		tracker.OnSilence(func() { notified++ })
 		began := time.Now()
 		time.Sleep(time.Second)
-		last, far := tracker.byID["8"], tracker.byID["9"]
+		last, remote := tracker.byID["8"], tracker.byID["9"]
 		tracker.byID["1"].FellSilent(false)
-		require.False(t, last.SilentSince(began), "one of eight may have put its run back")
+		require.False(t, last.SilentSince(began), "one of eight may have preempted its run")
 		require.False(t, tracker.byID["1"].SilentSince(began))
 		tracker.SetSilent([]string{"2", "unknown"})
 		require.True(t, last.SilentSince(began))
-		require.False(t, far.SilentSince(began), "the other data hall is sound")
-		require.False(t, last.SilentSince(time.Now()), "a run that began later knew of it")
-		require.Equal(t, 2, woken)
-		require.Equal(t, []string{"1"}, tracker.SilentTargets(), "hearsay is not passed on")
+		require.False(t, remote.SilentSince(began), "the other data hall is healthy")
+		require.False(t, last.SilentSince(time.Now()), "a run that began later is unaffected")
+		require.Equal(t, 2, notified)
+		require.Equal(t, []string{"1"}, tracker.SilentTargets(), "peers' reports are not relayed")
 
 		last.Told(Load{})
-		require.False(t, last.SilentSince(began), "it was heard")
-		time.Sleep(2 * hallDoubtTime)
+		require.False(t, last.SilentSince(began), "it has answered")
+		time.Sleep(2 * hallSuspectWindow)
 		require.Empty(t, tracker.SilentTargets())
 	})
 }
 
-func TestDarkTargetIsKnownAtOnce(t *testing.T) {
+func TestUnreachableTargetIsDetectedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		tracker := newTracker(listed("s", "north", "1", "2", "3", "4")...)
+		tracker := newTracker(targetList("s", "north", "1", "2", "3", "4")...)
 		began := time.Now()
 		time.Sleep(time.Second)
 		tracker.byID["1"].FellSilent(true)
--- a/balance/update_bench_test.go
+++ b/balance/update_bench_test.go
@@ -8,16 +8,16 @@
 	"github.com/walnutramp/walnutramp/discovery"
 )
 
-// manyEngines returns so many targets of one data hall.
+// manyEngines returns n targets of one data hall.
 func manyEngines(n int) []discovery.Target {
 	var ids []string
 	for i := range n {
 		ids = append(ids, fmt.Sprint("engine-", i))
 	}
-	return listed("s", "north", ids...)
+	return targetList("s", "north", ids...)
 }
 
-// BenchmarkUpdate shows what a new list costs of which one target leaves.
+// BenchmarkUpdate measures a new list from which one target is missing.
 func BenchmarkUpdate(b *testing.B) {
 	for _, engines := range []int{100, 1000, 10000} {
 		b.Run(fmt.Sprint(engines), func(b *testing.B) {
@@ -32,7 +32,7 @@
 	}
 }
 
-// BenchmarkChange shows what one target of a long list costs that leaves and comes back.
+// BenchmarkChange measures the removal and return of one target of a long list.
 func BenchmarkChange(b *testing.B) {
 	for _, engines := range []int{100, 1000, 10000} {
 		b.Run(fmt.Sprint(engines), func(b *testing.B) {
