--- a/route/grant.go
+++ b/route/grant.go
@@ -11,20 +11,21 @@
 	"github.com/walnutramp/walnutramp/target"
 )
 
-// Result says how the use of a place ended.
+// Result says how the use of a Grant ended.
 type Result int
 
-// The results.
+// Results.
 const (
 	Unused   Result = iota // nothing was sent
-	Finished               // the stream came to its end
+	Finished               // the stream completed
 	Broken                 // the target refused or broke the connection
-	Stalled                // the target fell silent
-	Left                   // this side ended it
+	Stalled                // the target stopped sending tokens
+	Left                   // canceled by this node
 )
 
-// NoAnswer is the result of a request that brought no answer: it says nothing of its
-// target, if nothing was sent there since that had asked for rest.
+// NoAnswer returns the Result of a request that got no response. If nothing was sent
+// because the target had requested a cooldown, the failure says nothing about its
+// health.
 func NoAnswer(err error) Result {
 	if target.Rests(err) {
 		return Unused
@@ -32,43 +33,42 @@
 	return Broken
 }
 
-// Grant is a place at a target. Its holder calls Done once.
+// Grant is a slot at a target. The caller must call Done once.
 type Grant struct {
 	Target bundle.Target
 
 	router    *Router
-	state     *state
+	state     *targetState
 	req       Request
 	predicted time.Duration
 	prefill   int
-	begun     bool // the first token has come
+	started   bool // the first token has arrived
 	done      bool
 }
 
-// Predicted is the predicted time to first token.
+// Predicted returns the predicted time to first token.
 func (g *Grant) Predicted() time.Duration { return g.predicted }
 
-// FirstTokenLimit is how long the first token may take before the target
-// counts as stalled.
+// FirstTokenLimit is the time to first token after which the target counts as stalled.
 func (g *Grant) FirstTokenLimit() time.Duration {
-	return max(firstTokenSlack*g.predicted, firstTokenFloor)
+	return max(firstTokenFactor*g.predicted, firstTokenFloor)
 }
 
-// SilenceLimit is how long the target may be silent between tokens.
+// SilenceLimit is the gap between tokens after which the target counts as stalled.
 func (g *Grant) SilenceLimit() time.Duration {
 	r := g.router
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return g.state.silenceLimit(r.cfg.SilenceFloor, r.cfg.SilenceCap)
+	return g.state.stallLimit(r.cfg.SilenceFloor, r.cfg.SilenceCap)
 }
 
-// Tokens notes that tokens came after a silence.
-func (g *Grant) Tokens(silence time.Duration) {
+// Tokens records that tokens arrived after a gap.
+func (g *Grant) Tokens(gap time.Duration) {
 	r := g.router
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if g.begun {
-		g.state.observe(silence)
+	if g.started {
+		g.state.observeGap(gap)
 		return
 	}
 	g.begin()
@@ -76,35 +76,35 @@
 }
 
 func (g *Grant) begin() {
-	g.begun = true
-	g.state.prefill -= g.prefill
-	g.state.prefillOld = max(g.state.prefillOld-g.prefill, 0)
+	g.started = true
+	g.state.pendingPrefill -= g.prefill
+	g.state.prefillAtReport = max(g.state.prefillAtReport-g.prefill, 0)
 	if g.req.Resume {
 		g.state.resumes--
 	}
 }
 
-// Done gives the place back and says how its use ended.
+// Done releases the slot and records how its use ended. Further calls do nothing.
 func (g *Grant) Done(res Result) {
 	g.router.mu.Lock()
 	defer g.router.mu.Unlock()
 	g.router.finish(g, res)
 }
 
-// finish is Done for callers that hold the router's lock.
+// finish implements Done. The caller holds the mutex.
 func (r *Router) finish(g *Grant, res Result) {
 	if g.done {
 		return
 	}
 	g.done = true
-	if !g.begun {
+	if !g.started {
 		g.begin()
 	}
 	s := g.state
-	s.own--
+	s.active--
 	switch res {
 	case Broken, Stalled:
-		s.fail(time.Now())
+		s.recordFailure(time.Now())
 	case Finished:
 		s.failures = 0
 	}
@@ -112,7 +112,7 @@
 	r.dispatchAll()
 }
 
-// rankHash orders names for a key: rendezvous hashing.
+// rankHash returns the rendezvous hash of a key and a name.
 func rankHash(key uint64, name string) uint64 {
 	d := xxhash.New()
 	var b [8]byte
@@ -122,8 +122,9 @@
 	return d.Sum64()
 }
 
-// Hold takes a place at a target where the work already runs, whatever the
-// target's load or health. False means the bundle has no such target.
+// Hold takes a slot at a target where the work already runs, regardless of the target's
+// load and health. False means that the bundle has no such target or that the account's
+// limits refuse the request.
 func (r *Router) Hold(name walnutramp.TargetName, req Request) (*Grant, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -137,22 +138,22 @@
 	return r.place(s, req), true
 }
 
-// place counts req in at a target.
-func (r *Router) place(s *state, req Request) *Grant {
-	if s.share > 0 {
-		s.share--
+// place counts req at a target and returns the grant.
+func (r *Router) place(st *targetState, req Request) *Grant {
+	if st.shareLeft > 0 {
+		st.shareLeft--
 	}
-	g := &Grant{router: r, state: s, req: req, Target: s.spec, predicted: s.wait(req.PromptTokens), prefill: req.PromptTokens}
-	s.own++
-	s.prefill += req.PromptTokens
+	g := &Grant{router: r, state: st, req: req, Target: st.spec, predicted: st.predictedWait(req.PromptTokens), prefill: req.PromptTokens}
+	st.active++
+	st.pendingPrefill += req.PromptTokens
 	if req.Resume {
-		s.resumes++
+		st.resumes++
 	}
 	return g
 }
 
-// Forecast predicts the wait of a request at the best live target, leaving
-// out those it avoids where others live.
+// Forecast predicts the wait of a request at the best live target not in req.Avoid;
+// false if there is none.
 func (r *Router) Forecast(req Request) (time.Duration, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/route/limit.go
+++ b/route/limit.go
@@ -9,14 +9,14 @@
 	"golang.org/x/time/rate"
 )
 
-// usage is what an account uses of this node.
+// usage is what an account uses on this node.
 type usage struct {
-	running int
-	rate    *rate.Limiter
-	perSec  int
+	running       int
+	rate          *rate.Limiter
+	ratePerSecond int
 }
 
-// admit checks the account's limits and counts the request in.
+// admit checks the account's limits and counts the request.
 func (r *Router) admit(req Request) error {
 	u := r.usage[req.Account]
 	if u == nil {
@@ -30,11 +30,11 @@
 	limits := r.limits(req.Account)
 	if limits.Concurrent > 0 && u.running >= limits.Concurrent {
 		return walnutramp.NewError(walnutramp.CodeAccountLimit, walnutramp.NotRun,
-			"account %s runs %d requests, its limit", req.Account, u.running).WithRetryAfter(retryAfterLimit)
+			"account %s has %d concurrent requests, its limit", req.Account, u.running).WithRetryAfter(retryAfterLimit)
 	}
 	if !u.allow(limits.RequestsPerSecond) {
 		return walnutramp.NewError(walnutramp.CodeAccountLimit, walnutramp.NotRun,
-			"account %s is at %d requests a second", req.Account, limits.RequestsPerSecond).WithRetryAfter(retryAfterLimit)
+			"account %s exceeds its limit of %d requests per second", req.Account, limits.RequestsPerSecond).WithRetryAfter(retryAfterLimit)
 	}
 	u.running++
 	return nil
@@ -44,14 +44,14 @@
 	if perSecond <= 0 {
 		return true
 	}
-	if u.rate == nil || u.perSec != perSecond {
+	if u.rate == nil || u.ratePerSecond != perSecond {
 		u.rate = rate.NewLimiter(rate.Limit(perSecond), perSecond)
-		u.perSec = perSecond
+		u.ratePerSecond = perSecond
 	}
 	return u.rate.Allow()
 }
 
-// release counts a request of the account out.
+// release stops counting a request of the account.
 func (r *Router) release(a walnutramp.ClientAccount) {
 	if u := r.usage[a]; u != nil {
 		u.running--
@@ -67,26 +67,25 @@
 	return bundle.Limits{}
 }
 
-// retryBudget bounds how much is sent again: a ratio of first sends and a
-// floor a second.
+// retryBudget limits retries to a ratio of first attempts plus a constant rate.
 type retryBudget struct {
-	mu      sync.Mutex
-	ratio   float64
-	earned  float64
-	floor   *rate.Limiter
-	maximum float64
+	mu           sync.Mutex
+	ratio        float64
+	earned       float64
+	constantRate *rate.Limiter
+	maxEarned    float64
 }
 
-const retryBurst = 100 // sends again that may be saved up
+const maxEarnedRetries = 100 // retries that may accumulate
 
 func newRetryBudget(ratio, floor float64) *retryBudget {
-	return &retryBudget{ratio: ratio, floor: rate.NewLimiter(rate.Limit(floor), int(max(floor, 1))), maximum: retryBurst}
+	return &retryBudget{ratio: ratio, constantRate: rate.NewLimiter(rate.Limit(floor), int(max(floor, 1))), maxEarned: maxEarnedRetries}
 }
 
 func (b *retryBudget) earn() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.earned = min(b.earned+b.ratio, b.maximum)
+	b.earned = min(b.earned+b.ratio, b.maxEarned)
 }
 
 func (b *retryBudget) spend(now time.Time) bool {
@@ -96,5 +95,5 @@
 		b.earned--
 		return true
 	}
-	return b.floor.AllowN(now, 1)
+	return b.constantRate.AllowN(now, 1)
 }
--- a/route/queue.go
+++ b/route/queue.go
@@ -7,66 +7,66 @@
 	"github.com/walnutramp/walnutramp"
 )
 
-type pickResult struct {
+type grantResult struct {
 	grant *Grant
 	err   error
 }
 
-// waiter is a request that waits for a place.
+// waiter is a queued request.
 type waiter struct {
-	req      Request
-	result   chan pickResult
-	patience time.Duration // how long it may wait
-	finish   float64       // virtual time at which its account's share is used up
+	req     Request
+	result  chan grantResult
+	maxWait time.Duration // longest time in the queue
+	finish  float64       // virtual finish time of weighted fair queueing
 }
 
-// errShedSelf stands for the newcomer itself in shedFor's answer.
-var errShedSelf = &waiter{}
-
-// lane is the queue of one model: resumes on their own, others by priority,
-// and among equals by weighted fair queueing over accounts.
-type lane struct {
-	size    int
-	resumes []*waiter
-	classes []*class      // priority falling
-	gap     time.Duration // between places granted while some wait, smoothed
-	last    time.Time
+// shedSelf is returned by shedCandidate if the new request itself must be shed.
+var shedSelf = &waiter{}
+
+// modelQueue is the queue of one model: resumes first-in first-out, and new requests by
+// priority and, within a priority, by weighted fair queueing over accounts.
+type modelQueue struct {
+	size          int
+	resumes       []*waiter
+	priorities    []*priorityQueue // by descending priority
+	grantInterval time.Duration    // smoothed interval between grants while requests are queued
+	lastGrant     time.Time
 }
 
-// class is the waiters of one priority.
-type class struct {
-	priority int
-	virtual  float64
-	finished map[walnutramp.ClientAccount]float64
-	waiters  []*waiter // by finish rising
+// priorityQueue is the queue of one priority.
+type priorityQueue struct {
+	priority    int
+	virtualTime float64
+	lastFinish  map[walnutramp.ClientAccount]float64
+	waiters     []*waiter // by ascending finish
 }
 
-func newLane() *lane { return &lane{} }
+func newModelQueue() *modelQueue { return &modelQueue{} }
 
-func (l *lane) empty() bool { return l.size == 0 }
+func (q *modelQueue) empty() bool { return q.size == 0 }
 
-func (l *lane) push(w *waiter) {
-	l.size++
+func (q *modelQueue) push(w *waiter) {
+	q.size++
 	if w.req.Resume {
-		l.resumes = append(l.resumes, w)
+		q.resumes = append(q.resumes, w)
 		return
 	}
-	l.class(w.req.Priority).push(w)
+	q.priority(w.req.Priority).push(w)
 }
 
-func (l *lane) class(priority int) *class {
-	i, ok := slices.BinarySearchFunc(l.classes, priority, func(c *class, p int) int { return p - c.priority })
+func (q *modelQueue) priority(priority int) *priorityQueue {
+	i, ok := slices.BinarySearchFunc(q.priorities, priority, func(c *priorityQueue, p int) int { return p - c.priority })
 	if !ok {
-		c := &class{priority: priority, finished: map[walnutramp.ClientAccount]float64{}}
-		l.classes = slices.Insert(l.classes, i, c)
+		c := &priorityQueue{priority: priority, lastFinish: map[walnutramp.ClientAccount]float64{}}
+		q.priorities = slices.Insert(q.priorities, i, c)
 	}
-	return l.classes[i]
+	return q.priorities[i]
 }
 
-func (c *class) push(w *waiter) {
-	start := max(c.virtual, c.finished[w.req.Account])
+func (c *priorityQueue) push(w *waiter) {
+	start := max(c.virtualTime, c.lastFinish[w.req.Account])
 	w.finish = start + 1/float64(max(w.req.Weight, 1))
-	c.finished[w.req.Account] = w.finish
+	c.lastFinish[w.req.Account] = w.finish
 	i, _ := slices.BinarySearchFunc(c.waiters, w.finish, func(x *waiter, f float64) int {
 		if x.finish <= f {
 			return -1
@@ -76,15 +76,15 @@
 	c.waiters = slices.Insert(c.waiters, i, w)
 }
 
-// peek returns the resume or the new request that is next, or nil.
-func (l *lane) peek(resumes bool) *waiter {
+// peek returns the next resume or new request, or nil.
+func (q *modelQueue) peek(resumes bool) *waiter {
 	if resumes {
-		if len(l.resumes) == 0 {
+		if len(q.resumes) == 0 {
 			return nil
 		}
-		return l.resumes[0]
+		return q.resumes[0]
 	}
-	for _, c := range l.classes {
+	for _, c := range q.priorities {
 		if len(c.waiters) > 0 {
 			return c.waiters[0]
 		}
@@ -92,73 +92,73 @@
 	return nil
 }
 
-func (l *lane) remove(w *waiter) {
+func (q *modelQueue) remove(w *waiter) {
 	if w.req.Resume {
-		n := len(l.resumes)
-		l.resumes = slices.DeleteFunc(l.resumes, func(x *waiter) bool { return x == w })
-		l.size -= n - len(l.resumes)
+		n := len(q.resumes)
+		q.resumes = slices.DeleteFunc(q.resumes, func(x *waiter) bool { return x == w })
+		q.size -= n - len(q.resumes)
 		return
 	}
-	c := l.class(w.req.Priority)
+	c := q.priority(w.req.Priority)
 	i := slices.Index(c.waiters, w)
 	if i < 0 {
 		return
 	}
 	if i == 0 {
-		c.virtual = max(c.virtual, w.finish-1/float64(max(w.req.Weight, 1)))
+		c.virtualTime = max(c.virtualTime, w.finish-1/float64(max(w.req.Weight, 1)))
 	}
 	c.waiters = slices.Delete(c.waiters, i, i+1)
-	l.size--
+	q.size--
 }
 
-// shedFor names the waiter that must go so that req can wait: the last of
-// the lowest class, or errShedSelf. It returns nil while there is room.
-// Resumes are never shed.
-func (l *lane) shedFor(req Request, limit int) *waiter {
-	if req.Resume || l.size < limit {
+// shedCandidate returns the waiter to shed so that req can be queued: the last of the
+// lowest priority, or shedSelf. It returns nil while the queue has room. Resumes are
+// never shed.
+func (q *modelQueue) shedCandidate(req Request, limit int) *waiter {
+	if req.Resume || q.size < limit {
 		return nil
 	}
-	for i := len(l.classes) - 1; i >= 0; i-- {
-		c := l.classes[i]
+	for i := len(q.priorities) - 1; i >= 0; i-- {
+		c := q.priorities[i]
 		if len(c.waiters) == 0 {
 			continue
 		}
 		if c.priority >= req.Priority {
-			return errShedSelf
+			return shedSelf
 		}
 		w := c.waiters[len(c.waiters)-1]
-		l.remove(w)
+		q.remove(w)
 		return w
 	}
-	return errShedSelf
+	return shedSelf
 }
 
-// served notes that a place was granted to a waiter.
-func (l *lane) served(now time.Time) {
-	if since := now.Sub(l.last); since < maxGap {
-		l.gap += time.Duration(smoothing * float64(since-l.gap))
+// recordGrant records that a waiter was granted a slot.
+func (q *modelQueue) recordGrant(now time.Time) {
+	if interval := now.Sub(q.lastGrant); interval < maxGrantInterval {
+		q.grantInterval += time.Duration(meanSmoothing * float64(interval-q.grantInterval))
 	}
-	l.last = now
+	q.lastGrant = now
 }
 
-// maxGap bounds what counts as the time between two places: after it the
+// maxGrantInterval bounds the interval between two grants: a longer one means that the
 // queue was empty.
-const maxGap = 2 * time.Second
+const maxGrantInterval = 2 * time.Second
 
-// waitOf predicts how long a newcomer of a priority would wait.
-func (l *lane) waitOf(priority int) time.Duration {
+// predictedWait predicts the wait of a new request of a priority.
+func (q *modelQueue) predictedWait(priority int) time.Duration {
 	ahead := 0
-	for _, c := range l.classes {
+	for _, c := range q.priorities {
 		if c.priority >= priority {
 			ahead += len(c.waiters)
 		}
 	}
-	return time.Duration(ahead) * l.gap
+	return time.Duration(ahead) * q.grantInterval
 }
 
-// drainTime predicts how long the queue of now needs, between the bounds
-// that callers are told.
-func (l *lane) drainTime() time.Duration {
+// drainTime predicts how long the queue takes to drain, within the bounds of
+// Retry-After.
+func (q *modelQueue) drainTime() time.Duration {
 	const least, most = time.Second, 30 * time.Second
-	return min(max(time.Duration(l.size)*l.gap, least), most)
+	return min(max(time.Duration(q.size)*q.grantInterval, least), most)
 }
--- a/route/route.go
+++ b/route/route.go
@@ -1,7 +1,6 @@
-// Package route decides where each request runs and whether it runs at all:
-// admission, fair queues, limits, prediction of the time to first token,
-// choice among targets and their health. It is fed with lagged load reports
-// and corrects them by what this node has sent since.
+// Package route does admission control and target selection: fair queues, account
+// limits, prediction of the time to first token, and health tracking. Load reports lag,
+// so they are corrected by what this node has sent since.
 package route
 
 import (
@@ -16,21 +15,21 @@
 	"github.com/walnutramp/walnutramp/target"
 )
 
-// Config sets how a Router decides.
+// Config configures a Router.
 type Config struct {
 	Node         walnutramp.NodeName
 	DataHall     walnutramp.DataHall
-	PerModel     int           // targets of one model that the node works with
-	QueueLimit   int           // requests waiting per model before shedding
-	QueueTime    time.Duration // longest wait before a request is given up
-	HallPenalty  time.Duration // added to the predicted wait in another data hall
-	RetryRatio   float64       // sends again allowed per first send
-	RetryFloor   float64       // sends again always allowed, a second
-	ResumeRoom   int           // resumed prefills under way per target from this node
-	Choices      int           // random candidates compared
+	PerModel     int           // targets per model that the node uses
+	QueueLimit   int           // queued requests per model before shedding
+	QueueTime    time.Duration // longest time in the queue
+	HallPenalty  time.Duration // added to the predicted wait for another data hall
+	RetryRatio   float64       // retries allowed per first attempt
+	RetryFloor   float64       // retries per second always allowed
+	MaxResumes   int           // concurrent resumed prefills per target from this node
+	Candidates   int           // random candidates compared
 	Seed         uint64
-	InForce      func() bool                       // whether the node may take new work; nil means always
-	RestLeft     func(bundle.Target) time.Duration // for how long a target wants nothing from this node; nil for none
+	InForce      func() bool                       // whether the node may accept new work; nil for always
+	RestLeft     func(bundle.Target) time.Duration // remaining cooldown that a target requested from this node; nil for none
 	Policy       Policy
 	SilenceFloor time.Duration
 	SilenceCap   time.Duration
@@ -39,32 +38,32 @@
 // Option sets a field of Config.
 type Option func(*Config)
 
-// WithNode names the node and the data hall it stands in.
+// WithNode sets the node's name and data hall.
 func WithNode(n walnutramp.NodeName, h walnutramp.DataHall) Option {
 	return func(c *Config) { c.Node, c.DataHall = n, h }
 }
 
-// PerModel is how many targets of one model a node works with.
+// PerModel is the default number of targets per model that a node uses.
 const PerModel = 48
 
-// WithQueue bounds the wait: requests per model, and time per request.
+// WithQueue sets the queue limit per model and the longest time in the queue.
 func WithQueue(limit int, wait time.Duration) Option {
 	return func(c *Config) { c.QueueLimit, c.QueueTime = limit, wait }
 }
 
-// WithSeed makes the random choices repeatable.
+// WithSeed makes selection reproducible.
 func WithSeed(seed uint64) Option { return func(c *Config) { c.Seed = seed } }
 
-// WithInForce gives the test for whether new work may be taken.
+// WithInForce sets the check for whether new work may be accepted.
 func WithInForce(f func() bool) Option { return func(c *Config) { c.InForce = f } }
 
-// WithRestLeft tells for how long a target wants nothing from this node.
+// WithRestLeft sets the function that returns a target's remaining cooldown.
 func WithRestLeft(f func(bundle.Target) time.Duration) Option {
 	return func(c *Config) { c.RestLeft = f }
 }
 
 // WithChoices sets how many random candidates are compared.
-func WithChoices(n int) Option { return func(c *Config) { c.Choices = n } }
+func WithChoices(n int) Option { return func(c *Config) { c.Candidates = n } }
 
 func defaultConfig() Config {
 	return Config{
@@ -75,43 +74,43 @@
 		HallPenalty:  2 * time.Millisecond,
 		RetryRatio:   0.1,
 		RetryFloor:   10,
-		ResumeRoom:   4,
-		Choices:      3,
+		MaxResumes:   4,
+		Candidates:   3,
 		SilenceFloor: 300 * time.Millisecond,
 		SilenceCap:   1500 * time.Millisecond,
 	}
 }
 
-// Request is what a place at a target is asked for.
+// Request describes a request for a slot at a target.
 type Request struct {
 	Account      walnutramp.ClientAccount
 	Priority     int
 	Weight       int
 	Model        walnutramp.ModelName
 	PromptTokens int
-	PromptKey    uint64 // hash of the prompt's beginning; equal keys share a cached prefix
+	PromptKey    uint64 // hash of the prompt's prefix; equal keys share a cached prefix
 	Resume       bool
 	Avoid        []walnutramp.TargetName
 }
 
-// Router chooses targets for one node.
+// Router selects targets for one node.
 type Router struct {
 	cfg    Config
 	budget *retryBudget
 
-	mu      sync.Mutex
-	rng     *rand.Rand
-	nodes   int // that live, this one included
-	turn    int // of round robin
-	targets map[walnutramp.TargetName]*state
-	byModel map[walnutramp.ModelName][]*state
-	lanes   map[walnutramp.ModelName]*lane
-	usage   map[walnutramp.ClientAccount]*usage
-	leaving map[walnutramp.TargetName]bool // the platform's word
-	bundle  *bundle.Bundle
+	mu            sync.Mutex
+	rng           *rand.Rand
+	nodes         int // live, this one included
+	roundRobinSeq int
+	targets       map[walnutramp.TargetName]*targetState
+	byModel       map[walnutramp.ModelName][]*targetState
+	queues        map[walnutramp.ModelName]*modelQueue
+	usage         map[walnutramp.ClientAccount]*usage
+	leaving       map[walnutramp.TargetName]bool // as listed by the platform
+	bundle        *bundle.Bundle
 }
 
-// New returns a Router that knows no targets yet.
+// New returns a Router without targets.
 func New(opts ...Option) *Router {
 	cfg := defaultConfig()
 	for _, opt := range opts {
@@ -121,22 +120,22 @@
 		cfg:     cfg,
 		budget:  newRetryBudget(cfg.RetryRatio, cfg.RetryFloor),
 		rng:     rand.New(rand.NewPCG(cfg.Seed, 1)),
-		targets: map[walnutramp.TargetName]*state{},
-		byModel: map[walnutramp.ModelName][]*state{},
-		lanes:   map[walnutramp.ModelName]*lane{},
+		targets: map[walnutramp.TargetName]*targetState{},
+		byModel: map[walnutramp.ModelName][]*targetState{},
+		queues:  map[walnutramp.ModelName]*modelQueue{},
 		usage:   map[walnutramp.ClientAccount]*usage{},
 		leaving: map[walnutramp.TargetName]bool{},
 		bundle:  &bundle.Bundle{},
 	}
 }
 
-// Apply puts a bundle in force; what is known of targets that stay is kept.
+// Apply puts a bundle in force and keeps the state of targets that remain.
 func (r *Router) Apply(b *bundle.Bundle) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.bundle = b
-	next := make(map[walnutramp.TargetName]*state, len(b.Targets))
-	r.byModel = map[walnutramp.ModelName][]*state{}
+	next := make(map[walnutramp.TargetName]*targetState, len(b.Targets))
+	r.byModel = map[walnutramp.ModelName][]*targetState{}
 	used := map[walnutramp.TargetName]bool{}
 	for _, t := range Subset(r.cfg.Node, r.cfg.DataHall, b.Targets, r.cfg.PerModel) {
 		used[t.Name] = true
@@ -144,7 +143,7 @@
 	for _, t := range b.Targets {
 		s := r.targets[t.Name]
 		if s == nil || s.spec.Address != t.Address {
-			s = newState(t)
+			s = newTargetState(t)
 		}
 		s.spec = t
 		s.leaving = b.IsLeaving(t.Name)
@@ -166,7 +165,7 @@
 	r.dispatchAll()
 }
 
-// SetLeaving takes the platform's list of leaving targets.
+// SetLeaving sets the targets that the platform lists as leaving.
 func (r *Router) SetLeaving(names []walnutramp.TargetName) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -176,14 +175,14 @@
 	}
 }
 
-// SetNodes says how many nodes live, this one included.
+// SetNodes sets the number of live nodes, this one included.
 func (r *Router) SetNodes(n int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.nodes = n
 }
 
-// Report takes a target's load report.
+// Report records a target's load report.
 func (r *Router) Report(name walnutramp.TargetName, report target.LoadReport) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -191,105 +190,105 @@
 	if s == nil {
 		return
 	}
-	r.take(s, report)
+	r.applyReport(s, report)
 	r.dispatchAll()
 }
 
-// Unreachable notes that a target did not answer for its load.
+// Unreachable records that a target did not answer a load query.
 func (r *Router) Unreachable(name walnutramp.TargetName) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if s := r.targets[name]; s != nil {
-		s.fail(time.Now())
+		s.recordFailure(time.Now())
 	}
 }
 
-// Pick waits for a place at a target. The error is a *walnutramp.Error whose
-// outcome is not-run.
+// Pick waits for a slot at a target. The error is a *walnutramp.Error whose outcome is
+// not-run.
 func (r *Router) Pick(ctx context.Context, req Request) (*Grant, error) {
-	w, grant, err := r.enter(req)
+	w, grant, err := r.admitOrQueue(req)
 	if err != nil || grant != nil {
 		return grant, err
 	}
-	timer := time.NewTimer(w.patience)
+	timer := time.NewTimer(w.maxWait)
 	defer timer.Stop()
 	select {
 	case res := <-w.result:
 		return res.grant, res.err
 	case <-timer.C:
-		return r.leave(w, walnutramp.NewError(walnutramp.CodeQueueDeadline, walnutramp.NotRun,
-			"no place became free in %v", w.patience).WithRetryAfter(retryAfterQueue))
+		return r.dequeue(w, walnutramp.NewError(walnutramp.CodeQueueDeadline, walnutramp.NotRun,
+			"no target slot became free within %v", w.maxWait).WithRetryAfter(retryAfterQueue))
 	case <-ctx.Done():
-		return r.leave(w, walnutramp.NewError(walnutramp.CodeQueueDeadline, walnutramp.NotRun, "the caller left"))
+		return r.dequeue(w, walnutramp.NewError(walnutramp.CodeQueueDeadline, walnutramp.NotRun, "request canceled while queued"))
 	}
 }
 
-// How long callers are told to stay away.
+// Retry-After values.
 const (
 	retryAfterQueue    = 2 * time.Second
 	retryAfterNoTarget = 2 * time.Second
 	retryAfterLimit    = 1 * time.Second
 )
 
-func (r *Router) enter(req Request) (*waiter, *Grant, error) {
+func (r *Router) admitOrQueue(req Request) (*waiter, *Grant, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !req.Resume && r.cfg.InForce != nil && !r.cfg.InForce() {
 		return nil, nil, walnutramp.NewError(walnutramp.CodeNotInForce, walnutramp.NotRun,
-			"this node can't confirm its bundle now").WithRetryAfter(retryAfterNoTarget)
+			"node cannot confirm that its bundle is in force").WithRetryAfter(retryAfterNoTarget)
 	}
 	if len(r.live(req.Model, time.Now())) == 0 {
-		return nil, nil, r.noTarget(req.Model)
+		return nil, nil, r.noTargetError(req.Model)
 	}
 	if err := r.admit(req); err != nil {
 		return nil, nil, err
 	}
-	l := r.lane(req.Model)
-	if l.peek(req.Resume) == nil {
+	q := r.queue(req.Model)
+	if q.peek(req.Resume) == nil {
 		if grant := r.grant(req); grant != nil {
 			return nil, grant, nil
 		}
 	}
-	w := &waiter{req: req, result: make(chan pickResult, 1), patience: r.patience(req)}
-	if err := r.shed(l, w); err != nil {
+	w := &waiter{req: req, result: make(chan grantResult, 1), maxWait: r.maxWait(req)}
+	if err := r.shed(q, w); err != nil {
 		return nil, nil, err
 	}
-	l.push(w)
-	r.dispatch(l, req.Model)
+	q.push(w)
+	r.dispatch(q, req.Model)
 	return w, nil, nil
 }
 
-// patience is how long a request may wait.
-func (r *Router) patience(req Request) time.Duration {
+// maxWait returns the longest time that a request may be queued.
+func (r *Router) maxWait(req Request) time.Duration {
 	if r.bundle.Admission.Patience > 0 && !req.Resume {
 		return r.bundle.Admission.Patience
 	}
 	return r.cfg.QueueTime
 }
 
-// shed makes room for w, or refuses w: where it would have to wait longer
-// than it may, it is told so now.
-func (r *Router) shed(l *lane, w *waiter) error {
-	loser := l.shedFor(w.req, r.cfg.QueueLimit)
-	if loser == nil && !w.req.Resume && l.waitOf(w.req.Priority) > w.patience {
-		loser = errShedSelf
+// shed makes room in the queue for w, or rejects w if the queue is full of others that
+// go first or its predicted wait exceeds its limit.
+func (r *Router) shed(q *modelQueue, w *waiter) error {
+	victim := q.shedCandidate(w.req, r.cfg.QueueLimit)
+	if victim == nil && !w.req.Resume && q.predictedWait(w.req.Priority) > w.maxWait {
+		victim = shedSelf
 	}
-	if loser == nil {
+	if victim == nil {
 		return nil
 	}
 	overload := walnutramp.NewError(walnutramp.CodeOverloaded, walnutramp.NotRun,
-		"%d requests wait for model %s", l.size, w.req.Model).WithRetryAfter(l.drainTime())
-	if loser == errShedSelf {
+		"%d requests are queued for model %s", q.size, w.req.Model).WithRetryAfter(q.drainTime())
+	if victim == shedSelf {
 		r.release(w.req.Account)
 		return overload
 	}
-	r.release(loser.req.Account)
-	loser.result <- pickResult{err: overload}
+	r.release(victim.req.Account)
+	victim.result <- grantResult{err: overload}
 	return nil
 }
 
-// leave takes w out of its queue, unless a result came in meanwhile.
-func (r *Router) leave(w *waiter, err *walnutramp.Error) (*Grant, error) {
+// dequeue removes w from its queue, unless a result arrived meanwhile.
+func (r *Router) dequeue(w *waiter, err *walnutramp.Error) (*Grant, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	select {
@@ -303,70 +302,70 @@
 		return nil, err
 	default:
 	}
-	r.lane(w.req.Model).remove(w)
+	r.queue(w.req.Model).remove(w)
 	r.release(w.req.Account)
 	return nil, err
 }
 
-func (r *Router) lane(m walnutramp.ModelName) *lane {
-	l := r.lanes[m]
-	if l == nil {
-		l = newLane()
-		r.lanes[m] = l
+func (r *Router) queue(m walnutramp.ModelName) *modelQueue {
+	q := r.queues[m]
+	if q == nil {
+		q = newModelQueue()
+		r.queues[m] = q
 	}
-	return l
+	return q
 }
 
 func (r *Router) dispatchAll() {
-	for m, l := range r.lanes {
-		r.dispatch(l, m)
+	for m, q := range r.queues {
+		r.dispatch(q, m)
 	}
 }
 
-// dispatch grants places to waiters, best first, while there is room: to
-// resumes in theirs, and whether or not any of them waits, to new requests in
-// theirs. When the last target is gone every waiter is told at once.
-func (r *Router) dispatch(l *lane, m walnutramp.ModelName) {
-	if l.empty() {
+// dispatch grants slots to waiters in order while there is capacity. Resumes and new
+// requests have separate capacity, so neither blocks the other. If no target is live,
+// all waiters fail.
+func (r *Router) dispatch(q *modelQueue, m walnutramp.ModelName) {
+	if q.empty() {
 		return
 	}
 	if len(r.live(m, time.Now())) == 0 {
-		r.failLane(l, m)
+		r.failQueue(q, m)
 		return
 	}
 	for _, resumes := range []bool{true, false} {
-		for w := l.peek(resumes); w != nil; w = l.peek(resumes) {
+		for w := q.peek(resumes); w != nil; w = q.peek(resumes) {
 			grant := r.grant(w.req)
 			if grant == nil {
 				break
 			}
-			l.remove(w)
-			l.served(time.Now())
-			w.result <- pickResult{grant: grant}
+			q.remove(w)
+			q.recordGrant(time.Now())
+			w.result <- grantResult{grant: grant}
 		}
 	}
 }
 
-func (r *Router) failLane(l *lane, m walnutramp.ModelName) {
-	err := r.noTarget(m)
+func (r *Router) failQueue(q *modelQueue, m walnutramp.ModelName) {
+	err := r.noTargetError(m)
 	for _, resumes := range []bool{true, false} {
-		for w := l.peek(resumes); w != nil; w = l.peek(resumes) {
-			l.remove(w)
+		for w := q.peek(resumes); w != nil; w = q.peek(resumes) {
+			q.remove(w)
 			r.release(w.req.Account)
-			w.result <- pickResult{err: err}
+			w.result <- grantResult{err: err}
 		}
 	}
 }
 
-// noTarget is the answer where no target of a model takes requests now.
-func (r *Router) noTarget(m walnutramp.ModelName) *walnutramp.Error {
-	if left := r.restOfModel(m, time.Now()); left > 0 {
+// noTargetError returns the error for a model without available targets.
+func (r *Router) noTargetError(m walnutramp.ModelName) *walnutramp.Error {
+	if remaining := r.modelCooldown(m, time.Now()); remaining > 0 {
 		return walnutramp.NewError(walnutramp.CodeTargetsRest, walnutramp.NotRun,
-			"the targets of model %s asked for rest", m).WithRetryAfter(pause.Behind(left, r.rng.Float64()))
+			"all targets of model %s requested a cooldown", m).WithRetryAfter(pause.Behind(remaining, r.rng.Float64()))
 	}
 	return walnutramp.NewError(walnutramp.CodeNoTarget, walnutramp.NotRun,
 		"no live target serves model %s", m).WithRetryAfter(retryAfterNoTarget)
 }
 
-// SpendRetry reports whether something may be sent again now.
+// SpendRetry reports whether a retry is within the budget, and spends it.
 func (r *Router) SpendRetry() bool { return r.budget.spend(time.Now()) }
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -14,9 +14,9 @@
 	"github.com/walnutramp/walnutramp/target"
 )
 
-// newRouter returns a router over n engines of so many slots.
+// newRouter returns a router over n engines with the given slots each.
 func newRouter(n, slots int, edit func(*bundle.Bundle), opts ...Option) *Router {
-	b := &bundle.Bundle{Version: 1, Targets: engines(n)}
+	b := &bundle.Bundle{Version: 1, Targets: targetList(n)}
 	for i := range b.Targets {
 		b.Targets[i].Slots = slots
 	}
@@ -31,17 +31,17 @@
 	return r
 }
 
-func ask(account walnutramp.ClientAccount, priority, weight int) Request {
+func request(account walnutramp.ClientAccount, priority, weight int) Request {
 	return Request{Account: account, Priority: priority, Weight: weight, Model: "m", PromptTokens: 100}
 }
 
-func pick(t *testing.T, r *Router, req Request) *Grant {
+func mustPick(t *testing.T, r *Router, req Request) *Grant {
 	g, err := r.Pick(t.Context(), req)
 	require.NoError(t, err)
 	return g
 }
 
-func TestStaleReportDoesNotHerd(t *testing.T) {
+func TestStaleReportDoesNotCauseHerding(t *testing.T) {
 	r := newRouter(4, 16, nil)
 	for i := range 4 {
 		load := 8
@@ -52,15 +52,15 @@
 	}
 	sent := map[walnutramp.TargetName]int{}
 	for range 24 {
-		sent[pick(t, r, ask("a", 0, 1)).Target.Name]++
+		sent[mustPick(t, r, request("a", 0, 1)).Target.Name]++
 	}
 	require.Greater(t, sent["e0"], 6, "the idle target is preferred")
-	require.LessOrEqual(t, sent["e0"], 16, "and not flooded on the word of one report")
+	require.LessOrEqual(t, sent["e0"], 16, "but not overloaded because of a single report")
 }
 
-// TestNodesShareTheLastPlaces lets many nodes read the same report of an engine
-// with a few free places: together they must not send much more than fit.
-func TestNodesShareTheLastPlaces(t *testing.T) {
+// Nodes that read the same report of an almost full engine must not overload it
+// together.
+func TestNodesShareTheLastFreeSlots(t *testing.T) {
 	const nodes, slots, running = 12, 16, 13
 	sent := 0
 	for i := range nodes {
@@ -68,7 +68,7 @@
 		r.SetNodes(nodes)
 		r.Report("e0", target.LoadReport{Running: running, Slots: slots})
 		for range slots {
-			if _, err := r.Pick(t.Context(), ask("a", 0, 1)); err == nil {
+			if _, err := r.Pick(t.Context(), request("a", 0, 1)); err == nil {
 				sent++
 			}
 		}
@@ -77,16 +77,16 @@
 	require.LessOrEqual(t, sent, 2*(slots-running), "without shares %d nodes send %d", nodes, nodes*(slots-running))
 }
 
-func TestSharesFollowWeights(t *testing.T) {
+func TestFairQueueingFollowsWeights(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newRouter(1, 1, nil)
-		first := pick(t, r, ask("a", 0, 1))
+		first := mustPick(t, r, request("a", 0, 1))
 		var mu sync.Mutex
 		var order []walnutramp.ClientAccount
 		var wg sync.WaitGroup
 		wait := func(account walnutramp.ClientAccount, weight int) {
 			wg.Go(func() {
-				g, err := r.Pick(context.Background(), ask(account, 0, weight))
+				g, err := r.Pick(context.Background(), request(account, 0, weight))
 				if err != nil {
 					return
 				}
@@ -111,14 +111,14 @@
 	})
 }
 
-func TestPriorityGoesFirstAndIsShedLast(t *testing.T) {
+func TestHigherPriorityIsServedFirstAndShedLast(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newRouter(1, 1, nil, WithQueue(2, time.Hour))
-		first := pick(t, r, ask("a", 0, 1))
+		first := mustPick(t, r, request("a", 0, 1))
 		results := make(chan string, 4)
 		wait := func(name string, priority int) {
 			go func() {
-				g, err := r.Pick(context.Background(), ask("a", priority, 1))
+				g, err := r.Pick(context.Background(), request("a", priority, 1))
 				if err != nil {
 					e := walnutramp.AsError(err)
 					require.Equal(t, walnutramp.NotRun, e.Outcome)
@@ -134,7 +134,7 @@
 		wait("low 1", 0)
 		wait("low 2", 0)
 		wait("high", 1)
-		require.Equal(t, "low 2 shed", <-results, "the last of the lowest goes, at once")
+		require.Equal(t, "low 2 shed", <-results, "the last of the lowest priority is shed at once")
 		wait("low 3", 0)
 		require.Equal(t, "low 3 shed", <-results)
 		first.Done(Finished)
@@ -143,49 +143,49 @@
 	})
 }
 
-func TestPatienceBoundsTheWait(t *testing.T) {
+func TestQueueWaitIsBoundedByPatience(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newRouter(1, 1, func(b *bundle.Bundle) { b.Admission.Patience = 300 * time.Millisecond })
-		pick(t, r, ask("a", 0, 1))
+		mustPick(t, r, request("a", 0, 1))
 		began := time.Now()
-		_, err := r.Pick(t.Context(), ask("a", 0, 1))
+		_, err := r.Pick(t.Context(), request("a", 0, 1))
 		require.True(t, walnutramp.HasCode(err, walnutramp.CodeQueueDeadline), "%v", err)
 		require.Equal(t, 300*time.Millisecond, time.Since(began))
 	})
 }
 
-func TestWhoWouldWaitTooLongIsToldAtOnce(t *testing.T) {
+func TestRequestIsRejectedAtOnceIfPredictedWaitIsTooLong(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newRouter(1, 1, func(b *bundle.Bundle) { b.Admission.Patience = 300 * time.Millisecond })
-		pick(t, r, ask("a", 0, 1))
-		r.lane("m").gap = 200 * time.Millisecond
+		mustPick(t, r, request("a", 0, 1))
+		r.queue("m").grantInterval = 200 * time.Millisecond
 		for range 2 {
-			go r.Pick(context.Background(), ask("a", 0, 1))
+			go r.Pick(context.Background(), request("a", 0, 1))
 			synctest.Wait()
 		}
 		began := time.Now()
-		_, err := r.Pick(t.Context(), ask("a", 0, 1))
+		_, err := r.Pick(t.Context(), request("a", 0, 1))
 		require.True(t, walnutramp.HasCode(err, walnutramp.CodeOverloaded), "%v", err)
 		require.Zero(t, time.Since(began))
 		time.Sleep(time.Second)
 	})
 }
 
-func TestGreedyAccountIsHeldToItsLimit(t *testing.T) {
+func TestAccountConcurrencyLimitIsEnforced(t *testing.T) {
 	r := newRouter(4, 16, func(b *bundle.Bundle) { b.Accounts[0].Limits.Concurrent = 3 })
 	for range 3 {
-		pick(t, r, ask("a", 0, 1))
+		mustPick(t, r, request("a", 0, 1))
 	}
-	_, err := r.Pick(t.Context(), ask("a", 0, 1))
+	_, err := r.Pick(t.Context(), request("a", 0, 1))
 	require.True(t, walnutramp.HasCode(err, walnutramp.CodeAccountLimit))
-	pick(t, r, ask("b", 0, 1)).Done(Finished)
+	mustPick(t, r, request("b", 0, 1)).Done(Finished)
 }
 
 func TestRetriesStayWithinTheBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newRouter(4, 1000, nil)
 		for range 100 {
-			pick(t, r, ask("a", 0, 1)).Done(Finished)
+			mustPick(t, r, request("a", 0, 1)).Done(Finished)
 		}
 		spent := 0
 		for range 1000 {
@@ -193,30 +193,30 @@
 				spent++
 			}
 		}
-		require.InDelta(t, 20, spent, 1, "a tenth of 100 sends and the floor of 10")
+		require.InDelta(t, 20, spent, 1, "a tenth of 100 requests and the floor of 10")
 	})
 }
 
-func TestLyingReportIsCorrectedByOwnSends(t *testing.T) {
+func TestReportIsCorrectedByOwnRequests(t *testing.T) {
 	r := newRouter(2, 4, nil)
 	r.Report("e0", target.LoadReport{Running: 0, Slots: 4})
 	r.Report("e1", target.LoadReport{Running: 3, Slots: 4})
 	sent := map[walnutramp.TargetName]int{}
 	for range 5 {
-		sent[pick(t, r, ask("a", 0, 1)).Target.Name]++
-		r.Report("e0", target.LoadReport{Running: 0, Slots: 4}) // it never says more
+		sent[mustPick(t, r, request("a", 0, 1)).Target.Name]++
+		r.Report("e0", target.LoadReport{Running: 0, Slots: 4}) // it never reports more
 	}
-	require.Equal(t, 4, sent["e0"], "a target that claims to idle is filled to its slots and no further")
+	require.Equal(t, 4, sent["e0"], "a target that always reports to be idle is filled to its slots and no further")
 }
 
-func TestTargetsThatFailComeBack(t *testing.T) {
+func TestFailedTargetRecoversAfterBackoff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newRouter(1, 4, nil)
-		pick(t, r, ask("a", 0, 1)).Done(Broken)
-		_, err := r.Pick(t.Context(), ask("a", 0, 1))
+		mustPick(t, r, request("a", 0, 1)).Done(Broken)
+		_, err := r.Pick(t.Context(), request("a", 0, 1))
 		require.True(t, walnutramp.HasCode(err, walnutramp.CodeNoTarget))
 		require.Positive(t, walnutramp.AsError(err).RetryAfter)
 		time.Sleep(firstBackoff)
-		pick(t, r, ask("a", 0, 1)).Done(Finished)
+		mustPick(t, r, request("a", 0, 1)).Done(Finished)
 	})
 }
--- a/route/subset.go
+++ b/route/subset.go
@@ -9,35 +9,35 @@
 	"github.com/walnutramp/walnutramp/bundle"
 )
 
-// Subset returns the targets that a node works with: all of a model's where
-// they are few, else so many of them, drawn by rendezvous hash of the node's
-// name, half of them from its own data hall if that has them. What a node
-// spends on knowing its targets so does not grow with the site.
+// Subset returns the targets that a node uses: all of a model's if there are at most
+// perModel, else perModel of them by rendezvous hashing of the node's name, of which
+// half are from its own data hall where possible. It bounds a node's tracking cost on
+// large sites.
 func Subset(node walnutramp.NodeName, hall walnutramp.DataHall, targets []bundle.Target, perModel int) []bundle.Target {
 	byModel := map[walnutramp.ModelName][]bundle.Target{}
-	var chosen []bundle.Target
+	var subset []bundle.Target
 	for _, t := range targets {
 		if len(t.Models) == 0 {
-			chosen = append(chosen, t)
+			subset = append(subset, t)
 		}
 		for _, m := range t.Models {
 			byModel[m] = append(byModel[m], t)
 		}
 	}
-	taken := map[walnutramp.TargetName]bool{}
+	seen := map[walnutramp.TargetName]bool{}
 	for _, ts := range byModel {
-		for _, t := range pickSome(node, hall, ts, perModel) {
-			if !taken[t.Name] {
-				taken[t.Name] = true
-				chosen = append(chosen, t)
+		for _, t := range rendezvousSubset(node, hall, ts, perModel) {
+			if !seen[t.Name] {
+				seen[t.Name] = true
+				subset = append(subset, t)
 			}
 		}
 	}
-	slices.SortFunc(chosen, func(a, b bundle.Target) int { return cmp.Compare(a.Name, b.Name) })
-	return chosen
+	slices.SortFunc(subset, func(a, b bundle.Target) int { return cmp.Compare(a.Name, b.Name) })
+	return subset
 }
 
-func pickSome(node walnutramp.NodeName, hall walnutramp.DataHall, targets []bundle.Target, n int) []bundle.Target {
+func rendezvousSubset(node walnutramp.NodeName, hall walnutramp.DataHall, targets []bundle.Target, n int) []bundle.Target {
 	if len(targets) <= n {
 		return targets
 	}
@@ -47,16 +47,16 @@
 		order[i] = ranked{rankHash(key, string(targets[i].Name)), i}
 	}
 	slices.SortFunc(order, func(a, b ranked) int { return cmp.Compare(b.rank, a.rank) })
-	var near, far []bundle.Target
+	var local, remote []bundle.Target
 	for _, r := range order {
 		t := targets[r.index]
-		if t.DataHall == hall && len(near) < n/2 {
-			near = append(near, t)
-		} else if len(far) < n {
-			far = append(far, t)
+		if t.DataHall == hall && len(local) < n/2 {
+			local = append(local, t)
+		} else if len(remote) < n {
+			remote = append(remote, t)
 		}
 	}
-	return append(near, far[:n-len(near)]...)
+	return append(local, remote[:n-len(local)]...)
 }
 
 type ranked struct {
--- a/route/subset_test.go
+++ b/route/subset_test.go
@@ -9,7 +9,7 @@
 	"github.com/walnutramp/walnutramp/bundle"
 )
 
-func engines(n int) []bundle.Target {
+func targetList(n int) []bundle.Target {
 	var ts []bundle.Target
 	for i := range n {
 		ts = append(ts, bundle.Target{
@@ -20,12 +20,12 @@
 	return ts
 }
 
-func TestSubsetIsAllWhereTargetsAreFew(t *testing.T) {
-	require.Len(t, Subset("n", "h0", engines(36), 48), 36)
+func TestSubsetContainsAllOfFewTargets(t *testing.T) {
+	require.Len(t, Subset("n", "h0", targetList(36), 48), 36)
 }
 
 func TestSubsetsAreBoundedStableAndCoverEveryTarget(t *testing.T) {
-	targets := engines(2000)
+	targets := targetList(2000)
 	uses := map[walnutramp.TargetName]int{}
 	for i := range 440 {
 		node := walnutramp.NodeName(fmt.Sprintf("n%d", i))
@@ -36,5 +36,5 @@
 			uses[target.Name]++
 		}
 	}
-	require.Len(t, uses, 2000, "every target has a node that uses it")
+	require.Len(t, uses, 2000, "every target is used by some node")
 }
--- a/route/target.go
+++ b/route/target.go
@@ -10,62 +10,61 @@
 	"github.com/walnutramp/walnutramp/target"
 )
 
-// Health and smoothing constants.
+// Constants of health tracking and prediction.
 const (
-	firstBackoff       = 250 * time.Millisecond
-	maxBackoff         = 4 * time.Second
-	smoothing          = 1.0 / 8 // of mean silence between tokens
-	deviationSmoothing = 1.0 / 4 // of its deviation
-	silenceDeviations  = 8       // deviations above the mean before a stall is called
-	defaultPrefillRate = 4000.0  // tokens a second until a report tells
-	firstTokenSlack    = 4       // times the predicted wait before a first token is late
-	firstTokenFloor    = 700 * time.Millisecond
-	defaultInterval    = 40 * time.Millisecond
-	loadWeight         = 30 * time.Millisecond // predicted cost of a full batch
+	firstBackoff         = 250 * time.Millisecond
+	maxBackoff           = 4 * time.Second
+	meanSmoothing        = 1.0 / 8 // weight of the latest gap in the mean gap between tokens
+	deviationSmoothing   = 1.0 / 4 // weight of the latest gap in the mean deviation
+	stallDeviations      = 8       // deviations above the mean that count as a stall
+	defaultPrefillRate   = 4000.0  // tokens per second, if not reported
+	firstTokenFactor     = 4       // factor on the predicted wait for the first token
+	firstTokenFloor      = 700 * time.Millisecond
+	defaultTokenInterval = 40 * time.Millisecond
+	fullBatchDelay       = 30 * time.Millisecond // predicted delay of a full batch
 )
 
-// state is what the router knows of one target.
-type state struct {
+// targetState is the router's state of one target.
+type targetState struct {
 	spec     bundle.Target
 	leaving  bool
 	draining bool
 
-	report      target.LoadReport
-	share       int // requests this node may add near the top until the next report
-	own         int // requests of this node there now
-	ownAtReport int // the same when the report came
-	prefill     int // prompt tokens sent whose first token has not come
-	prefillOld  int // the same when the report came
-	resumes     int // resumed prefills under way
+	report          target.LoadReport
+	shareLeft       int // requests that this node may add above uncoordinatedShare until the next report
+	active          int // this node's active requests
+	activeAtReport  int // active when the report arrived
+	pendingPrefill  int // prompt tokens sent whose first token is pending
+	prefillAtReport int // pendingPrefill when the report arrived
+	resumes         int // resumed prefills in progress
 
 	failures  int
 	downUntil time.Time
 
-	meanSilence time.Duration
-	deviation   time.Duration
-	seen        bool
+	meanGap      time.Duration
+	gapDeviation time.Duration
+	reported     bool
 }
 
-func newState(t bundle.Target) *state {
-	return &state{spec: t, meanSilence: defaultInterval, deviation: defaultInterval}
+func newTargetState(t bundle.Target) *targetState {
+	return &targetState{spec: t, meanGap: defaultTokenInterval, gapDeviation: defaultTokenInterval}
 }
 
-func (r *Router) take(s *state, report target.LoadReport) {
+func (r *Router) applyReport(s *targetState, report target.LoadReport) {
 	s.report = report
-	s.share = r.shareOf(s)
-	s.ownAtReport = s.own
-	s.prefillOld = s.prefill
+	s.shareLeft = r.drawShare(s)
+	s.activeAtReport = s.active
+	s.prefillAtReport = s.pendingPrefill
 	s.draining = report.Draining
-	s.seen = true
+	s.reported = true
 	if s.failures > 0 && time.Now().After(s.downUntil) {
 		s.failures = 0
 	}
 }
 
-// shareOf draws how many of a target's free places are this node's: every
-// other node reads the same report, and together they must not send more than
-// there is room for.
-func (r *Router) shareOf(s *state) int {
+// drawShare returns this node's share of a target's free slots, rounded randomly: all
+// nodes read the same report and must not exceed its free slots together.
+func (r *Router) drawShare(s *targetState) int {
 	free := max(s.slots()-s.report.Running-s.report.Waiting, 0)
 	share := float64(free) / float64(max(r.nodes, 1))
 	whole := int(share)
@@ -75,97 +74,98 @@
 	return whole
 }
 
-func (s *state) fail(now time.Time) {
+func (s *targetState) recordFailure(now time.Time) {
 	s.failures++
 	backoff := firstBackoff << min(s.failures-1, 8)
 	s.downUntil = now.Add(min(backoff, maxBackoff))
 }
 
-func (s *state) up(now time.Time) bool { return !now.Before(s.downUntil) }
+func (s *targetState) backoffOver(now time.Time) bool { return !now.Before(s.downUntil) }
 
-// load predicts the requests at the target now.
-func (s *state) load() int {
-	return max(s.report.Running+s.report.Waiting+s.own-s.ownAtReport, s.own)
+// load predicts the current number of requests at the target.
+func (s *targetState) load() int {
+	return max(s.report.Running+s.report.Waiting+s.active-s.activeAtReport, s.active)
 }
 
-func (s *state) slots() int {
+func (s *targetState) slots() int {
 	if s.report.Slots > 0 {
 		return s.report.Slots
 	}
 	return s.spec.Slots
 }
 
-func (s *state) prefillRate() float64 {
+func (s *targetState) prefillRate() float64 {
 	if s.report.PrefillRate > 0 {
 		return s.report.PrefillRate
 	}
 	return defaultPrefillRate
 }
 
-// wait predicts the time to first token of a prompt with so many uncached
+// predictedWait predicts the time to first token of a prompt with the given uncached
 // tokens.
-func (s *state) wait(uncached int) time.Duration {
-	ahead := max(s.report.WaitingTokens+s.prefill-s.prefillOld, s.prefill)
+func (s *targetState) predictedWait(uncached int) time.Duration {
+	ahead := max(s.report.WaitingTokens+s.pendingPrefill-s.prefillAtReport, s.pendingPrefill)
 	seconds := float64(ahead+uncached) / s.prefillRate()
 	busy := float64(s.load()) / float64(s.slots())
-	return time.Duration(seconds*float64(time.Second)) + time.Duration(busy*float64(loadWeight))
+	return time.Duration(seconds*float64(time.Second)) + time.Duration(busy*float64(fullBatchDelay))
 }
 
-// observe takes the silence before a token.
-func (s *state) observe(silence time.Duration) {
-	diff := silence - s.meanSilence
-	s.meanSilence += time.Duration(smoothing * float64(diff))
-	s.deviation += time.Duration(deviationSmoothing * (math.Abs(float64(diff)) - float64(s.deviation)))
+// observeGap records the gap before a token.
+func (s *targetState) observeGap(gap time.Duration) {
+	diff := gap - s.meanGap
+	s.meanGap += time.Duration(meanSmoothing * float64(diff))
+	s.gapDeviation += time.Duration(deviationSmoothing * (math.Abs(float64(diff)) - float64(s.gapDeviation)))
 }
 
-// silenceLimit is how long a silence may last before it counts as a stall.
-func (s *state) silenceLimit(floor, limit time.Duration) time.Duration {
-	return min(max(s.meanSilence+silenceDeviations*s.deviation, floor), limit)
+// stallLimit returns the gap that counts as a stall.
+func (s *targetState) stallLimit(floor, limit time.Duration) time.Duration {
+	return min(max(s.meanGap+stallDeviations*s.gapDeviation, floor), limit)
 }
 
-// live returns the targets of a model that may get new work.
-func (r *Router) live(m walnutramp.ModelName, now time.Time) []*state {
-	var live []*state
+// live returns the targets of a model that accept new work now.
+func (r *Router) live(m walnutramp.ModelName, now time.Time) []*targetState {
+	var live []*targetState
 	for _, s := range r.byModel[m] {
-		if r.takesWork(s, now) && r.restLeft(s) <= 0 {
+		if r.accepting(s, now) && r.cooldown(s) <= 0 {
 			live = append(live, s)
 		}
 	}
 	return live
 }
 
-// takesWork reports whether a target may get new work, if not at this moment.
-func (r *Router) takesWork(s *state, now time.Time) bool {
-	return s.up(now) && !s.leaving && !s.draining && !r.leaving[s.spec.Name]
+// accepting reports whether a target accepts new work, if perhaps only after a
+// cooldown.
+func (r *Router) accepting(s *targetState, now time.Time) bool {
+	return s.backoffOver(now) && !s.leaving && !s.draining && !r.leaving[s.spec.Name]
 }
 
-// restLeft returns for how long a target wants nothing from this node.
-func (r *Router) restLeft(s *state) time.Duration {
+// cooldown returns the remaining cooldown of a target.
+func (r *Router) cooldown(s *targetState) time.Duration {
 	if r.cfg.RestLeft == nil {
 		return 0
 	}
 	return r.cfg.RestLeft(s.spec)
 }
 
-// restOfModel returns how long it takes until the first of a model's targets, which
-// all rest, takes work again; 0 if there are none.
-func (r *Router) restOfModel(m walnutramp.ModelName, now time.Time) time.Duration {
-	var least time.Duration
+// modelCooldown returns the shortest remaining cooldown of a model's targets; 0 if none
+// is in cooldown.
+func (r *Router) modelCooldown(m walnutramp.ModelName, now time.Time) time.Duration {
+	var shortest time.Duration
 	for _, s := range r.byModel[m] {
-		left := r.restLeft(s)
-		if r.takesWork(s, now) && left > 0 && (least == 0 || left < least) {
-			least = left
+		remaining := r.cooldown(s)
+		if r.accepting(s, now) && remaining > 0 && (shortest == 0 || remaining < shortest) {
+			shortest = remaining
 		}
 	}
-	return least
+	return shortest
 }
 
-// grant finds a place for req now, or returns nil.
+// grant places req at a target with capacity, or returns nil.
 func (r *Router) grant(req Request) *Grant {
 	live := r.live(req.Model, time.Now())
-	var s *state
+	var s *targetState
 	if r.cfg.Policy == Predicted {
-		s = r.chooseWithRoom(live, req)
+		s = r.chooseWithCapacity(live, req)
 	} else {
 		s = r.baseline(live)
 	}
@@ -178,47 +178,47 @@
 	return r.place(s, req)
 }
 
-func (r *Router) chooseWithRoom(live []*state, req Request) *state {
-	var room []*state
+func (r *Router) chooseWithCapacity(live []*targetState, req Request) *targetState {
+	var candidates []*targetState
 	for _, s := range live {
-		if r.hasRoom(s, req, len(live)) {
-			room = append(room, s)
+		if r.hasCapacity(s, req, len(live)) {
+			candidates = append(candidates, s)
 		}
 	}
-	if len(room) == 0 {
+	if len(candidates) == 0 {
 		return nil
 	}
-	return r.choose(room, req)
+	return r.choose(candidates, req)
 }
 
-func (r *Router) hasRoom(s *state, req Request, live int) bool {
+func (r *Router) hasCapacity(s *targetState, req Request, live int) bool {
 	if slices.Contains(req.Avoid, s.spec.Name) && live > 1 {
 		return false
 	}
 	if req.Resume {
-		return s.resumes < r.cfg.ResumeRoom
+		return s.resumes < r.cfg.MaxResumes
 	}
-	open := (s.slots()*openShare + 99) / 100
-	if !s.seen {
-		open = s.slots()
+	limit := (s.slots()*uncoordinatedShare + 99) / 100
+	if !s.reported {
+		limit = s.slots()
 	}
-	return s.load() < open || s.load() < s.slots() && s.share > 0
+	return s.load() < limit || s.load() < s.slots() && s.shareLeft > 0
 }
 
-// openShare is the percentage of a target's slots up to which nodes send
-// without regard to each other.
-const openShare = 75
+// uncoordinatedShare is the percentage of a target's slots up to which nodes send without
+// coordination.
+const uncoordinatedShare = 75
 
-// choose compares a few random candidates, and the one that the prompt's
-// beginning maps to, by predicted wait.
-func (r *Router) choose(room []*state, req Request) *state {
-	best := r.affine(room, req.PromptKey)
+// choose returns the target with the lowest predicted wait among a few random
+// candidates and the affinity target of the prompt key.
+func (r *Router) choose(candidates []*targetState, req Request) *targetState {
+	best := r.affinityTarget(candidates, req.PromptKey)
 	bestWait := time.Duration(math.MaxInt64)
 	if best != nil {
 		bestWait = r.cost(best, req) - affinityBonus
 	}
-	for range min(r.cfg.Choices, len(room)) {
-		s := room[r.rng.IntN(len(room))]
+	for range min(r.cfg.Candidates, len(candidates)) {
+		s := candidates[r.rng.IntN(len(candidates))]
 		if wait := r.cost(s, req); wait < bestWait {
 			best, bestWait = s, wait
 		}
@@ -226,17 +226,17 @@
 	return best
 }
 
-// affinityBonus is what a likely cached prefix is held to be worth.
+// affinityBonus is the time saved by a probable prefix-cache hit.
 const affinityBonus = 20 * time.Millisecond
 
-// affine returns the target that the prompt key ranks first, if it is there.
-func (r *Router) affine(room []*state, key uint64) *state {
+// affinityTarget returns the target that ranks highest for the prompt key, nil for key 0.
+func (r *Router) affinityTarget(candidates []*targetState, key uint64) *targetState {
 	if key == 0 {
 		return nil
 	}
-	var best *state
+	var best *targetState
 	var top uint64
-	for _, s := range room {
+	for _, s := range candidates {
 		if rank := rankHash(key, string(s.spec.Name)); best == nil || rank > top {
 			best, top = s, rank
 		}
@@ -244,8 +244,8 @@
 	return best
 }
 
-func (r *Router) cost(s *state, req Request) time.Duration {
-	wait := s.wait(req.PromptTokens)
+func (r *Router) cost(s *targetState, req Request) time.Duration {
+	wait := s.predictedWait(req.PromptTokens)
 	if s.spec.DataHall != r.cfg.DataHall {
 		wait += r.cfg.HallPenalty
 	}
