--- a/placement/controller.go
+++ b/placement/controller.go
@@ -11,70 +11,71 @@
 	"k8s.io/klog/v2"
 )
 
-// Leader tells whether this node may give orders.
+// Leader tells whether this node leads the control group.
 type Leader interface {
-	// Confirm reports whether a majority confirms, after it was asked, that
-	// this node leads.
+	// Confirm reports whether a majority has confirmed, since the call, that this node
+	// leads.
 	Confirm(ctx context.Context) bool
 	// Term returns the term in which this node leads, or 0.
 	Term() uint64
 }
 
-// Targets opens the way to give a target orders.
+// Targets gives access to targets.
 type Targets interface {
 	// Orders returns the target's order interface.
 	Orders(t bundle.Target) target.Orders
 }
 
-// Times of a controller.
 const (
-	// OrderLife bounds how long an order may be on its way.
-	OrderLife = 1 * time.Second
-	readTime  = 1 * time.Second
+	// OrderTimeout is the timeout of one order.
+	OrderTimeout = 1 * time.Second
+	readTimeout  = 1 * time.Second
 )
 
-// Config sets how a Controller works.
+// Config configures a Controller.
 type Config struct {
-	Interval time.Duration // between two rounds
-	// Inherit is how long a new leader waits before it orders a target that
-	// does not check fences: until no older leader's order can arrive.
-	Inherit time.Duration
+	Interval time.Duration
+	// TakeoverDelay is how long a new leader waits before it sends orders to a target that
+	// does not check fencing tokens: until orders of an older leader can no longer
+	// arrive.
+	TakeoverDelay time.Duration
 }
 
 // Option sets a field of Config.
 type Option func(*Config)
 
-// WithInterval sets the time between two rounds.
+// WithInterval sets the interval between reconciliation rounds.
 func WithInterval(d time.Duration) Option { return func(c *Config) { c.Interval = d } }
 
-// WithInherit sets how long a new leader waits for targets that do not check.
-func WithInherit(d time.Duration) Option { return func(c *Config) { c.Inherit = d } }
+// WithTakeoverDelay sets how long a new leader waits before it sends orders to targets that
+// do not check fencing tokens.
+func WithTakeoverDelay(d time.Duration) Option { return func(c *Config) { c.TakeoverDelay = d } }
 
-// Controller gives orders while its node leads the control group.
+// Controller sends orders while its node leads the control group.
 type Controller struct {
 	cfg     Config
 	leader  Leader
 	targets Targets
 	bundle  func() *bundle.Bundle
 
-	term     uint64    // in which orders were last given
-	since    time.Time // when that term was first seen here
-	sequence uint64
+	term       uint64    // of the latest round
+	termSeenAt time.Time // when term was first seen
+	sequence   uint64
 
 	cancel context.CancelFunc
 	done   chan struct{}
 }
 
-// NewController returns a controller that is not started.
+// NewController returns a Controller that is not started.
 func NewController(l Leader, t Targets, b func() *bundle.Bundle, opts ...Option) *Controller {
-	cfg := Config{Interval: 500 * time.Millisecond, Inherit: 4 * time.Second}
+	cfg := Config{Interval: 500 * time.Millisecond, TakeoverDelay: 4 * time.Second}
 	for _, opt := range opts {
 		opt(&cfg)
 	}
 	return &Controller{cfg: cfg, leader: l, targets: t, bundle: b, done: make(chan struct{})}
 }
 
-// Start begins giving orders; Close ends it.
+// Start starts sending orders until Close.
 func (c *Controller) Start() {
 	ctx, cancel := context.WithCancel(context.Background())
 	c.cancel = cancel
@@ -83,7 +84,7 @@
 		ticker := time.NewTicker(c.cfg.Interval)
 		defer ticker.Stop()
 		for {
-			c.round(ctx)
+			c.reconcile(ctx)
 			select {
 			case <-ticker.C:
 			case <-ctx.Done():
@@ -93,7 +94,7 @@
 	}()
 }
 
-// Close ends giving orders.
+// Close stops the controller and waits for it.
 func (c *Controller) Close() {
 	if c.cancel != nil {
 		c.cancel()
@@ -101,29 +102,29 @@
 	}
 }
 
-// round reads what targets hold and gives the orders that the plan says.
-func (c *Controller) round(ctx context.Context) {
+// reconcile reads what targets hold and sends the planned orders.
+func (c *Controller) reconcile(ctx context.Context) {
 	term := c.leader.Term()
 	b := c.bundle()
 	if term == 0 || !b.Placement.Orders {
 		return
 	}
 	if term != c.term {
-		c.term, c.since = term, time.Now()
+		c.term, c.termSeenAt = term, time.Now()
 	}
-	for _, step := range Plan(b, c.read(ctx, b)) {
-		if !step.Target.ChecksOrders && time.Since(c.since) < c.cfg.Inherit {
+	for _, step := range Plan(b, c.readPlaced(ctx, b)) {
+		if !step.Target.ChecksOrders && time.Since(c.termSeenAt) < c.cfg.TakeoverDelay {
 			continue
 		}
-		if !c.give(ctx, term, step) {
+		if !c.sendOrder(ctx, term, step) {
 			return
 		}
 	}
 }
 
-// read asks every engine what it holds.
-func (c *Controller) read(ctx context.Context, b *bundle.Bundle) map[walnutramp.TargetName]target.Placed {
-	ctx, cancel := context.WithTimeout(ctx, readTime)
+// readPlaced queries what every engine holds.
+func (c *Controller) readPlaced(ctx context.Context, b *bundle.Bundle) map[walnutramp.TargetName]target.Placed {
+	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
 	var mu sync.Mutex
 	placed := map[walnutramp.TargetName]target.Placed{}
@@ -146,11 +147,10 @@
 	return placed
 }
 
-// give sends one order, if a majority still confirms the leader; false ends
-// the round. An order whose answer is lost is not sent again as it is: the
-// next round reads what came of it.
-func (c *Controller) give(ctx context.Context, term uint64, s Step) bool {
-	confirmCtx, cancel := context.WithTimeout(ctx, OrderLife)
+// sendOrder sends one order if a majority still confirms this leader; false ends the round.
+// An order without an answer is not resent: the next round reads its effect.
+func (c *Controller) sendOrder(ctx context.Context, term uint64, s Step) bool {
+	confirmCtx, cancel := context.WithTimeout(ctx, OrderTimeout)
 	confirmed := c.leader.Confirm(confirmCtx) && c.leader.Term() == term
 	cancel()
 	if !confirmed {
@@ -158,7 +158,7 @@
 	}
 	c.sequence++
 	order := target.Order{Action: s.Action, Artifact: s.Artifact, Fence: target.Fence{Epoch: term, Sequence: c.sequence}}
-	orderCtx, cancel := context.WithTimeout(ctx, OrderLife)
+	orderCtx, cancel := context.WithTimeout(ctx, OrderTimeout)
 	defer cancel()
 	if err := c.targets.Orders(s.Target).Order(orderCtx, order); err != nil {
 		klog.V(1).InfoS("Order not answered", "target", s.Target.Name, "action", s.Action, "artifact", s.Artifact, "err", err)
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -18,56 +18,56 @@
 	"github.com/walnutramp/walnutramp/target"
 )
 
-// yard is a set of order books that several controllers order at.
-type yard struct {
-	mu    sync.Mutex
-	rng   *rand.Rand
-	books map[walnutramp.TargetName]*standin.OrderBook
-	b     *bundle.Bundle
-	loss  float64
-	late  time.Duration // longest an order may be on its way
-}
-
-func newYard(seed uint64, engines int, checks bool) *yard {
-	y := &yard{rng: rand.New(rand.NewPCG(seed, 17)), books: map[walnutramp.TargetName]*standin.OrderBook{}}
-	y.b = &bundle.Bundle{
+// cluster simulates engines that several controllers send orders to over a lossy network.
+type cluster struct {
+	mu         sync.Mutex
+	rng        *rand.Rand
+	orderBooks map[walnutramp.TargetName]*standin.OrderBook
+	bundle     *bundle.Bundle
+	loss       float64
+	maxDelay   time.Duration // longest delivery delay of an order
+}
+
+func newCluster(seed uint64, engines int, checks bool) *cluster {
+	c := &cluster{rng: rand.New(rand.NewPCG(seed, 17)), orderBooks: map[walnutramp.TargetName]*standin.OrderBook{}}
+	c.bundle = &bundle.Bundle{
 		Version: 1, Placement: bundle.Placement{Orders: true, Loads: 2},
 		Models: []bundle.Model{{Name: "m", Context: 1, Version: "2", Canary: 25}},
 	}
 	for i := range engines {
 		name := walnutramp.TargetName(fmt.Sprintf("e%d", i))
-		y.books[name] = standin.NewOrderBook(checks, time.Second, "m@1")
-		y.b.Targets = append(y.b.Targets, bundle.Target{
+		c.orderBooks[name] = standin.NewOrderBook(checks, time.Second, "m@1")
+		c.bundle.Targets = append(c.bundle.Targets, bundle.Target{
 			Name: name, Kind: bundle.KindEngine, Models: []walnutramp.ModelName{"m"}, ChecksOrders: checks,
 		})
 	}
-	return y
+	return c
 }
 
-func (y *yard) Orders(t bundle.Target) target.Orders { return &way{y, y.books[t.Name]} }
+func (c *cluster) Orders(t bundle.Target) target.Orders { return &lossyOrders{c, c.orderBooks[t.Name]} }
 
-func (y *yard) draw() (lost bool, delay time.Duration) {
-	y.mu.Lock()
-	defer y.mu.Unlock()
-	return y.rng.Float64() < y.loss, time.Duration(y.rng.Int64N(int64(y.late) + 1))
+func (c *cluster) drawFault() (lost bool, delay time.Duration) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.rng.Float64() < c.loss, time.Duration(c.rng.Int64N(int64(c.maxDelay) + 1))
 }
 
-type way struct {
-	y    *yard
+type lossyOrders struct {
+	c    *cluster
 	book *standin.OrderBook
 }
 
-func (w *way) Placed(context.Context) (target.Placed, error) { return w.book.Placed(), nil }
+func (w *lossyOrders) Placed(context.Context) (target.Placed, error) { return w.book.Placed(), nil }
 
-// Order loses orders and answers, repeats some, and delivers late.
-func (w *way) Order(ctx context.Context, o target.Order) error {
-	lost, delay := w.y.draw()
+// Order loses, repeats and delays orders and answers.
+func (w *lossyOrders) Order(ctx context.Context, o target.Order) error {
+	lost, delay := w.c.drawFault()
 	if !lost {
 		go func() {
 			time.Sleep(delay)
 			w.book.Take(o)
-			if again, more := w.y.draw(); again {
-				time.Sleep(min(more, placement.OrderLife))
+			if again, more := w.c.drawFault(); again {
+				time.Sleep(min(more, placement.OrderTimeout))
 				w.book.Take(o)
 			}
 		}()
@@ -75,7 +75,7 @@
 	select {
 	case <-time.After(delay):
 		if lost {
-			return errors.New("lost")
+			return errors.New("order lost")
 		}
 		return nil
 	case <-ctx.Done():
@@ -83,68 +83,67 @@
 	}
 }
 
-// throne says who leads; terms grow.
-type throne struct {
-	mu   sync.Mutex
-	term uint64
-	who  int
+// leadership tells which controller leads, in increasing terms.
+type leadership struct {
+	mu     sync.Mutex
+	term   uint64
+	leader int
 }
 
-func (t *throne) move(who int) {
+func (t *leadership) elect(controller int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.term++
-	t.who = who
+	t.leader = controller
 }
 
-type claimant struct {
-	t  *throne
-	id int
+type candidate struct {
+	leadership *leadership
+	controller int
 }
 
-func (c claimant) Term() uint64 {
-	c.t.mu.Lock()
-	defer c.t.mu.Unlock()
-	if c.t.who != c.id {
+func (c candidate) Term() uint64 {
+	c.leadership.mu.Lock()
+	defer c.leadership.mu.Unlock()
+	if c.leadership.leader != c.controller {
 		return 0
 	}
-	return c.t.term
+	return c.leadership.term
 }
 
-func (c claimant) Confirm(context.Context) bool { return c.Term() != 0 }
+func (c candidate) Confirm(context.Context) bool { return c.Term() != 0 }
 
-// settle runs three controllers while leaders change, checking at each moment
-// that no rule is broken, and returns how long until all targets hold what
-// they should.
-func settle(t *testing.T, y *yard, changes int) time.Duration {
-	th := &throne{}
-	th.move(0)
-	var cs []*placement.Controller
+// converge runs three controllers through leader changes, checks the invariants
+// throughout, and returns the time until all targets hold what they should.
+func converge(t *testing.T, c *cluster, changes int) time.Duration {
+	leaders := &leadership{}
+	leaders.elect(0)
+	var controllers []*placement.Controller
 	for i := range 3 {
-		c := placement.NewController(claimant{th, i}, y, func() *bundle.Bundle { return y.b }, placement.WithInherit(3*time.Second))
-		c.Start()
-		cs = append(cs, c)
+		ctl := placement.NewController(candidate{leaders, i}, c, func() *bundle.Bundle { return c.bundle }, placement.WithTakeoverDelay(3*time.Second))
+		ctl.Start()
+		controllers = append(controllers, ctl)
 	}
-	began := time.Now()
-	for n := 0; !y.done(); n++ {
+	start := time.Now()
+	for n := 0; !c.converged(); n++ {
 		time.Sleep(250 * time.Millisecond)
-		y.check(t)
+		c.checkInvariants(t)
 		if n%16 == 15 && n/16 < changes {
-			th.move((th.who + 1) % 3)
+			leaders.elect((leaders.leader + 1) % 3)
 		}
-		require.Less(t, time.Since(began), 5*time.Minute, "orders never settle")
+		require.Less(t, time.Since(start), 5*time.Minute, "targets do not converge")
 	}
-	took := time.Since(began)
-	for _, c := range cs {
-		c.Close()
+	took := time.Since(start)
+	for _, ctl := range controllers {
+		ctl.Close()
 	}
-	time.Sleep(10 * time.Second) // late orders arrive
-	require.True(t, y.done(), "a late order undid the end state")
+	time.Sleep(10 * time.Second) // for delayed orders to arrive
+	require.True(t, c.converged(), "a delayed order changed the final state")
 	return took
 }
 
-func (y *yard) done() bool {
-	for _, b := range y.books {
+func (c *cluster) converged() bool {
+	for _, b := range c.orderBooks {
 		copies := b.Placed().Copies
 		if len(copies) != 1 || copies["m@2"] != target.CopyReady {
 			return false
@@ -153,12 +152,12 @@
 	return true
 }
 
-// check holds the rules that must hold at every moment.
-func (y *yard) check(t *testing.T) {
+// checkInvariants checks the invariants.
+func (c *cluster) checkInvariants(t *testing.T) {
 	ready, loading, canary := 0, 0, 0
-	first := (len(y.books) + 3) / 4
-	for i := range len(y.books) {
-		copies := y.books[walnutramp.TargetName(fmt.Sprintf("e%d", i))].Placed().Copies
+	first := (len(c.orderBooks) + 3) / 4
+	for i := range len(c.orderBooks) {
+		copies := c.orderBooks[walnutramp.TargetName(fmt.Sprintf("e%d", i))].Placed().Copies
 		for _, s := range copies {
 			if s == target.CopyReady {
 				ready++
@@ -170,34 +169,34 @@
 			canary++
 		}
 		if _, has := copies["m@2"]; has && i >= first {
-			require.Equal(t, first, canary, "the rest began before the canary share was ready")
+			require.Equal(t, first, canary, "the rest started before the canary share was ready")
 		}
 	}
 	require.NotZero(t, ready, "the last ready copy was unloaded")
-	require.LessOrEqual(t, loading, y.b.Placement.Loads+1, "the weight store is asked for too much")
+	require.LessOrEqual(t, loading, c.bundle.Placement.Loads+1, "too many concurrent loads from the weight store")
 }
 
 func TestRolloutUnderLossAndLeaderChanges(t *testing.T) {
 	for seed := range uint64(40) {
 		synctest.Test(t, func(t *testing.T) {
-			y := newYard(seed, 8, true)
-			y.loss, y.late = 0.2, 800*time.Millisecond
-			settle(t, y, 4)
+			c := newCluster(seed, 8, true)
+			c.loss, c.maxDelay = 0.2, 800*time.Millisecond
+			converge(t, c, 4)
 		})
 	}
 }
 
-func TestRolloutToTargetsThatDoNotCheck(t *testing.T) {
+func TestRolloutToTargetsWithoutFencing(t *testing.T) {
 	for seed := range uint64(40) {
 		synctest.Test(t, func(t *testing.T) {
-			y := newYard(seed, 6, false)
-			y.loss, y.late = 0.2, 800*time.Millisecond
-			settle(t, y, 3)
+			c := newCluster(seed, 6, false)
+			c.loss, c.maxDelay = 0.2, 800*time.Millisecond
+			converge(t, c, 3)
 		})
 	}
 }
 
-// TestStaleLeaderIsRefused delivers an older leader's order after a newer's.
+// An older leader's order that arrives after a newer leader's must be refused.
 func TestStaleLeaderIsRefused(t *testing.T) {
 	book := standin.NewOrderBook(true, time.Second, "m@1", "m@2")
 	newer := target.Order{Action: target.UnloadArtifact, Artifact: "m@1", Fence: target.Fence{Epoch: 3, Sequence: 1}}
@@ -208,15 +207,15 @@
 }
 
 func TestPlanKeepsTheLastReadyCopy(t *testing.T) {
-	y := newYard(1, 2, true)
-	y.b.Targets[0].Models = nil
+	c := newCluster(1, 2, true)
+	c.bundle.Targets[0].Models = nil
 	placed := map[walnutramp.TargetName]target.Placed{
 		"e0": {Copies: map[string]target.CopyState{"m@1": target.CopyReady}},
 		"e1": {Copies: map[string]target.CopyState{"m@2": target.CopyLoading}},
 	}
-	require.Empty(t, placement.Plan(y.b, placed))
+	require.Empty(t, placement.Plan(c.bundle, placed))
 	placed["e1"].Copies["m@2"] = target.CopyReady
-	steps := placement.Plan(y.b, placed)
+	steps := placement.Plan(c.bundle, placed)
 	require.Len(t, steps, 1)
 	require.Equal(t, target.UnloadArtifact, steps[0].Action)
 	require.Equal(t, "m@1", steps[0].Artifact)
--- a/placement/plan.go
+++ b/placement/plan.go
@@ -1,7 +1,6 @@
-// Package placement brings what engines hold to what the bundle says, by
-// fenced orders that one leader gives: within what the weight store bears, a
-// canary share before the rest, and never unloading the last ready copy of a
-// model that is in use.
+// Package placement reconciles the models that engines hold with the bundle. One leader
+// sends fenced orders, with limited concurrent loads from the weight store, a canary
+// share first, and without unloading the last ready copy of a model in use.
 package placement
 
 import (
@@ -21,12 +20,12 @@
 	Artifact string
 }
 
-// Plan returns the orders to give next, at most one a target. Targets whose
-// state is not known get none and are taken to hold nothing.
+// Plan returns the next orders, at most one per target. Targets whose state is unknown
+// get none and count as holding nothing.
 func Plan(b *bundle.Bundle, placed map[walnutramp.TargetName]target.Placed) []Step {
 	p := &planner{bundle: b, placed: placed, busy: map[walnutramp.TargetName]bool{}}
-	p.loads()
-	p.unloads()
+	p.planLoads()
+	p.planUnloads()
 	return p.steps
 }
 
@@ -37,14 +36,13 @@
 	steps  []Step
 }
 
-func (p *planner) step(t bundle.Target, action target.OrderAction, artifact string) {
+func (p *planner) addStep(t bundle.Target, action target.OrderAction, artifact string) {
 	p.busy[t.Name] = true
 	p.steps = append(p.steps, Step{t, action, artifact})
 }
 
-// targets returns the engines that should hold a model, those that know
-// nothing of the model first in the order of their names.
-func (p *planner) targets(m bundle.Model) []bundle.Target {
+// enginesFor returns the engines that should hold a model, by name.
+func (p *planner) enginesFor(m bundle.Model) []bundle.Target {
 	var ts []bundle.Target
 	for _, t := range p.bundle.Targets {
 		if t.Kind == bundle.KindEngine && slices.Contains(t.Models, m.Name) && !p.bundle.IsLeaving(t.Name) {
@@ -55,24 +53,24 @@
 	return ts
 }
 
-// loads orders what is wanted and not there, as far as the weight store
-// bears.
-func (p *planner) loads() {
-	room := p.bundle.Placement.Loads - p.loading()
+// planLoads plans the loads of missing artifacts within the limit on concurrent
+// loads.
+func (p *planner) planLoads() {
+	free := p.bundle.Placement.Loads - p.loadingCount()
 	for _, m := range p.bundle.Models {
-		for _, t := range p.due(m) {
+		for _, t := range p.eligibleForLoad(m) {
 			placed, known := p.placed[t.Name]
 			_, there := placed.Copies[m.Artifact()]
-			if room <= 0 || !known || there || p.busy[t.Name] || isLoading(placed) {
+			if free <= 0 || !known || there || p.busy[t.Name] || isLoading(placed) {
 				continue
 			}
-			p.step(t, target.LoadArtifact, m.Artifact())
-			room--
+			p.addStep(t, target.LoadArtifact, m.Artifact())
+			free--
 		}
 	}
 }
 
-func (p *planner) loading() int {
+func (p *planner) loadingCount() int {
 	n := 0
 	for _, placed := range p.placed {
 		for _, s := range placed.Copies {
@@ -93,10 +91,10 @@
 	return false
 }
 
-// due returns the targets that may load a model now: its canary share, and
-// once that is ready all.
-func (p *planner) due(m bundle.Model) []bundle.Target {
-	ts := p.targets(m)
+// eligibleForLoad returns the targets that may load a model now: its canary share, or
+// all once those are ready.
+func (p *planner) eligibleForLoad(m bundle.Model) []bundle.Target {
+	ts := p.enginesFor(m)
 	if m.Canary == 0 {
 		return ts
 	}
@@ -109,9 +107,9 @@
 	return ts
 }
 
-// unloads orders away what is not wanted, unless it is the last ready copy of
-// a model of the bundle, or the target does not hold its successor yet.
-func (p *planner) unloads() {
+// planUnloads plans the unloading of artifacts that are not wanted, except the last ready
+// copy of a model in use and those whose successor is not ready on the target.
+func (p *planner) planUnloads() {
 	for _, t := range p.bundle.Targets {
 		placed, known := p.placed[t.Name]
 		if t.Kind != bundle.KindEngine || !known || p.busy[t.Name] {
@@ -123,15 +121,15 @@
 		}
 		slices.Sort(artifacts)
 		for _, a := range artifacts {
-			if p.removable(t, placed, a) {
-				p.step(t, target.UnloadArtifact, a)
+			if p.canUnload(t, placed, a) {
+				p.addStep(t, target.UnloadArtifact, a)
 				break
 			}
 		}
 	}
 }
 
-func (p *planner) removable(t bundle.Target, placed target.Placed, artifact string) bool {
+func (p *planner) canUnload(t bundle.Target, placed target.Placed, artifact string) bool {
 	name := modelOf(artifact)
 	m, inUse := p.bundle.Model(name)
 	if !inUse {
@@ -152,16 +150,16 @@
 	return walnutramp.ModelName(name)
 }
 
-// readyElsewhere reports whether any other copy of the model is ready, on
-// another target or another version on this one, that is not on its way out.
-func (p *planner) readyElsewhere(not walnutramp.TargetName, artifact string, name walnutramp.ModelName) bool {
+// readyElsewhere reports whether another copy of the model is ready that this plan does
+// not unload: on another target, or another version on this one.
+func (p *planner) readyElsewhere(exclude walnutramp.TargetName, artifact string, name walnutramp.ModelName) bool {
 	for _, t := range p.bundle.Targets {
 		if p.bundle.IsLeaving(t.Name) {
 			continue
 		}
 		for a, s := range p.placed[t.Name].Copies {
-			same := t.Name == not && a == artifact
-			if s == target.CopyReady && modelOf(a) == name && !same && !p.goes(t.Name, a) {
+			same := t.Name == exclude && a == artifact
+			if s == target.CopyReady && modelOf(a) == name && !same && !p.unloads(t.Name, a) {
 				return true
 			}
 		}
@@ -169,8 +167,8 @@
 	return false
 }
 
-// goes reports whether a step of this plan unloads a copy.
-func (p *planner) goes(t walnutramp.TargetName, artifact string) bool {
+// unloads reports whether this plan unloads a copy.
+func (p *planner) unloads(t walnutramp.TargetName, artifact string) bool {
 	return slices.ContainsFunc(p.steps, func(s Step) bool {
 		return s.Target.Name == t && s.Action == target.UnloadArtifact && s.Artifact == artifact
 	})
