--- a/quota/holder.go
+++ b/quota/holder.go
@@ -8,26 +8,27 @@
 	"k8s.io/klog/v2"
 )
 
-// Holder is a node's part of the amount. Its methods may be called from any task.
+// Holder tracks a node's share of the quota. Its methods are safe for concurrent use.
 type Holder struct {
 	span time.Duration
 
-	mu    sync.Mutex
-	epoch uint64    // 0 before the first word
-	nodes int       // by the newest word
-	asked time.Time // for the newest word
-	from  time.Time // when the part may be used
+	mu          sync.Mutex
+	epoch       uint64    // 0 before the first assignment
+	setSize     int       // in the latest assignment
+	requestedAt time.Time // when the latest assignment was requested
+	usableFrom  time.Time // when the share becomes usable
 }
 
-// NewHolder returns the holder of a part of an amount for a span, which is nothing before
-// the first word.
+// NewHolder returns a Holder for a quota per span, with no share until the first
+// assignment.
 func NewHolder(span time.Duration) *Holder { return &Holder{span: span} }
 
-// Take takes the answer to a question.
-func (h *Holder) Take(w Word, asked time.Time) {
+// Take applies the assignment in an answer to a request sent at requestedAt. It ignores late
+// or reordered answers.
+func (h *Holder) Take(w Word, requestedAt time.Time) {
 	now := uptime.Now()
-	told := asked.Add(-w.Age)
-	if w.Nodes <= 0 || now.Sub(told) > AskLimit {
+	issuedAt := requestedAt.Add(-w.Age)
+	if w.Nodes <= 0 || now.Sub(issuedAt) > AskLimit {
 		return
 	}
 	h.mu.Lock()
@@ -35,28 +36,28 @@
 	switch {
 	case h.epoch == 0 && w.First:
 		h.join(w, now)
-	case h.epoch != w.Epoch || told.Sub(h.asked) > AwayTime:
-		h.join(w, now.Add(joinTime(h.span)))
-	case told.Before(h.asked):
+	case h.epoch != w.Epoch || issuedAt.Sub(h.requestedAt) > MaxAbsence:
+		h.join(w, now.Add(joinDelay(h.span)))
+	case issuedAt.Before(h.requestedAt):
 		return
 	}
-	h.epoch, h.nodes, h.asked = w.Epoch, w.Nodes, told
+	h.epoch, h.setSize, h.requestedAt = w.Epoch, w.Nodes, issuedAt
 }
 
-// join has the part used from a time on. The caller holds the mutex.
+// join makes the share usable from a time on. The caller holds the mutex.
 func (h *Holder) join(w Word, from time.Time) {
-	h.from = from
-	klog.InfoS("Part of the bound on repeats", "nodes", w.Nodes, "first", w.First, "in_ms", uptime.Until(from).Milliseconds())
+	h.usableFrom = from
+	klog.InfoS("Retry quota share assigned", "nodes", w.Nodes, "first", w.First, "in_ms", uptime.Until(from).Milliseconds())
 }
 
-// Part returns the share of the whole amount, from 0 to 1, that this node may have
-// used within the span that ends now.
+// Part returns the share of the quota, from 0 to 1, that this node may have used within
+// the span that ends now.
 func (h *Holder) Part() float64 {
 	now := uptime.Now()
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.nodes == 0 || now.Before(h.from) || now.Sub(h.asked) > WordLife {
+	if h.setSize == 0 || now.Before(h.usableFrom) || now.Sub(h.requestedAt) > ShareTTL {
 		return 0
 	}
-	return 1 / float64(h.nodes)
+	return 1 / float64(h.setSize)
 }
--- a/quota/quota.go
+++ b/quota/quota.go
@@ -1,40 +1,40 @@
-// Package quota parts an amount that all nodes of a site together may use within any
-// span of time, so that what nodes use of it never adds up to more, whoever is killed,
-// started, silent or told late.
+// Package quota divides a quota per span of time among all nodes of a site so that the
+// nodes together never exceed it, whatever nodes crash, start, are partitioned or hear
+// late.
 //
-// The control group keeps the set of nodes that may hold a part in its log. Its leader
-// tells a node of the set how many are in it, and for a while the node may use one part of
-// as many. A node that comes in waits until every smaller number that others were told
-// has run out, and a span more. A node that falls silent stays in the set until it has
-// long ceased to hold a part. So of the nodes that use a part within one span, each
-// was told a number no lower than theirs: docs/design/repeats.md has the proof.
+// The control group keeps the set of nodes that may hold a share in its log. Its leader
+// tells each of them the size of the set, n, and for a limited time the node may use
+// 1/n of the quota. A node that joins waits until all assignments of a smaller n have
+// expired, and one span more. A node that falls silent stays in the set until its share
+// has certainly expired. So of the nodes that use a share within one span, each was
+// told an n no lower than their number; docs/design/repeats.md has the proof.
 package quota
 
 import "time"
 
-// Times that all nodes of a site must agree on.
+// Times that must be the same on all nodes of a site.
 const (
-	// WordLife is how long a node goes by a word after it asked for it.
-	WordLife = 4 * time.Second
-	// AskLimit is how long after the question an answer counts.
+	// ShareTTL is how long an assigned share is valid, from the request for it.
+	ShareTTL = 4 * time.Second
+	// AskLimit is how long after the request an answer is accepted.
 	AskLimit = 2500 * time.Millisecond
-	// AwayTime is for how long a node may be without a word and take its part up again
-	// at the next one.
-	AwayTime = 30 * time.Second
+	// MaxAbsence is how long a node may go without an assignment and resume its share at
+	// once with the next one.
+	MaxAbsence = 30 * time.Second
 )
 
-// joinTime is how long a node that comes in waits before it uses its part of an amount
-// for a span.
-func joinTime(span time.Duration) time.Duration { return WordLife + span }
+// joinDelay is how long a node that joins waits before it uses its share.
+func joinDelay(span time.Duration) time.Duration { return ShareTTL + span }
 
-// keepTime is how long a silent node stays in the set.
-func keepTime(span time.Duration) time.Duration { return AwayTime + AskLimit + WordLife + span }
+// evictDelay is how long a silent node stays in the set.
+func evictDelay(span time.Duration) time.Duration { return MaxAbsence + AskLimit + ShareTTL + span }
 
-// Word is what the group's leader tells a node of the set.
+// Word is the assignment of a share that the control group's leader sends to a node in
+// the set.
 type Word struct {
-	Nodes int    // in the set; 0 for no word
-	Epoch uint64 // names the set; another one has nothing to do with it
-	// First says that the node's process was in the set before it was opened.
+	Nodes int    // in the set; 0 for no assignment
+	Epoch uint64 // identifies the set; assignments of different sets are unrelated
+	// First says that the node's process joined the set before it was opened.
 	First bool
-	Age   time.Duration // since the leader was asked, where another node passes it on
+	Age   time.Duration // since the leader was asked, if relayed by another node
 }
--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -18,44 +18,44 @@
 	schedulesInCI = 200
 )
 
-// model is a group and its nodes in virtual time. The set is what is agreed on; each
-// leader has a register of its own.
+// model simulates the control group and its nodes in virtual time. The set is
+// replicated; each leader has its own register.
 type model struct {
-	rng     *rand.Rand
-	set     Set
-	leaders []*Register
-	leads   int
-	slow    time.Duration // that a question or an answer takes at most
-	nodes   []*modelNode
-	used    []use
+	rng      *rand.Rand
+	set      Set
+	leaders  []*Register
+	leader   int
+	maxDelay time.Duration // longest one-way delay of a request or an answer
+	nodes    []*modelNode
+	used     []use
 }
 
-// modelNode is one address, with the life that runs there now.
+// modelNode is one address and the process that runs there.
 type modelNode struct {
-	self   Node
-	part   *Holder
-	up     bool
-	began  time.Time // when this life began
-	cutOff time.Time // until when no question reaches the group
-	asks   []modelAsk
+	self             Node
+	holder           *Holder
+	up               bool
+	startedAt        time.Time // when this process started
+	partitionedUntil time.Time // partitioned from the group until then
+	requests         []modelRequest
 }
 
-// modelAsk is a question under way.
-type modelAsk struct {
-	asked, reaches, answered time.Time
-	word                     Word
-	noted                    bool
+// modelRequest is a request in flight.
+type modelRequest struct {
+	sentAt, arrivesAt, answeredAt time.Time
+	assignment                    Word
+	recorded                      bool
 }
 
-// use is what one node used of the amount at a time.
+// use is a part of the quota that a node used.
 type use struct {
-	at   time.Time
-	node int
-	part float64
+	at    time.Time
+	node  int
+	share float64
 }
 
 func newModel(seed uint64, nodes int) *model {
-	m := &model{rng: rand.New(rand.NewPCG(seed, 1)), slow: 1500 * time.Millisecond}
+	m := &model{rng: rand.New(rand.NewPCG(seed, 1)), maxDelay: 1500 * time.Millisecond}
 	for range 3 {
 		m.leaders = append(m.leaders, NewRegister(testSpan))
 	}
@@ -71,42 +71,42 @@
 
 func (m *model) start(i int) {
 	n := m.nodes[i]
-	n.self.Life, n.part, n.up, n.asks = m.rng.Uint64()|1, NewHolder(testSpan), true, nil
-	n.began = uptime.Now()
+	n.self.Life, n.holder, n.up, n.requests = m.rng.Uint64()|1, NewHolder(testSpan), true, nil
+	n.startedAt = uptime.Now()
 }
 
-// step lets 100 ms pass: questions go out, reach the leader, and are answered.
+// step advances 100 ms: nodes send requests, the leader answers, and answers arrive.
 func (m *model) step(open bool) {
 	time.Sleep(100 * time.Millisecond)
 	now := uptime.Now()
-	r := m.leaders[m.leads]
+	r := m.leaders[m.leader]
 	for _, n := range m.nodes {
-		if !n.up || now.Before(n.cutOff) {
+		if !n.up || now.Before(n.partitionedUntil) {
 			continue
 		}
-		if len(n.asks) == 0 || now.Sub(n.asks[len(n.asks)-1].asked) > time.Second {
-			reaches := now.Add(m.upTo(m.slow))
-			n.asks = append(n.asks, modelAsk{asked: now, reaches: reaches, answered: reaches.Add(m.upTo(m.slow))})
+		if len(n.requests) == 0 || now.Sub(n.requests[len(n.requests)-1].sentAt) > time.Second {
+			arrivesAt := now.Add(m.delay(m.maxDelay))
+			n.requests = append(n.requests, modelRequest{sentAt: now, arrivesAt: arrivesAt, answeredAt: arrivesAt.Add(m.delay(m.maxDelay))})
 		}
-		for i := range n.asks {
-			ask := &n.asks[i]
-			if !ask.noted && !now.Before(ask.reaches) {
-				ask.noted = true
+		for i := range n.requests {
+			req := &n.requests[i]
+			if !req.recorded && !now.Before(req.arrivesAt) {
+				req.recorded = true
 				r.Note(n.self)
-				ask.word = r.Word(m.set, n.self)
+				req.assignment = r.Word(m.set, n.self)
 			}
 		}
-		for len(n.asks) > 0 && n.asks[0].noted && !now.Before(n.asks[0].answered) {
-			n.part.Take(n.asks[0].word, n.asks[0].asked)
-			n.asks = n.asks[1:]
+		for len(n.requests) > 0 && n.requests[0].recorded && !now.Before(n.requests[0].answeredAt) {
+			n.holder.Take(n.requests[0].assignment, n.requests[0].sentAt)
+			n.requests = n.requests[1:]
 		}
 	}
 	next, in, out := r.Next(m.set)
 	next.Open = next.Open || open
 	if len(in)+len(out) > 0 || next.Open != m.set.Open {
 		switch m.rng.IntN(6) {
-		case 0: // it came to nothing
-		case 1: // what came of it is not known
+		case 0: // the change is lost
+		case 1: // the change is applied, but the leader does not learn of it
 			m.set = next
 		default:
 			m.set = next
@@ -115,22 +115,22 @@
 	}
 }
 
-func (m *model) upTo(d time.Duration) time.Duration { return time.Duration(m.rng.Int64N(int64(d))) }
+func (m *model) delay(d time.Duration) time.Duration { return time.Duration(m.rng.Int64N(int64(d))) }
 
-// befall has something happen to a node, or to the leader.
-func (m *model) befall() {
+// injectFault injects a random fault: a crash, restart, partition or change of leader.
+func (m *model) injectFault() {
 	i := m.rng.IntN(len(m.nodes))
 	n := m.nodes[i]
 	switch m.rng.IntN(6) {
 	case 0, 1:
-		m.start(i) // killed, and started again
+		m.start(i) // restart after a crash
 	case 2:
 		n.up = false
 	case 3:
-		n.cutOff = uptime.Now().Add(m.upTo(2 * AwayTime))
+		n.partitionedUntil = uptime.Now().Add(m.delay(2 * MaxAbsence))
 	case 4:
-		m.leads = m.rng.IntN(len(m.leaders))
-		m.leaders[m.leads].Begin()
+		m.leader = m.rng.IntN(len(m.leaders))
+		m.leaders[m.leader].Begin()
 	case 5:
 		if !n.up {
 			m.start(i)
@@ -138,8 +138,8 @@
 	}
 }
 
-// useAll has nodes use all of their parts that they have not used within the span.
-func (m *model) useAll(nodes int) {
+// useShares has random nodes use what is left of their shares within the span.
+func (m *model) useShares(nodes int) {
 	now := uptime.Now()
 	for range nodes {
 		i := m.rng.IntN(len(m.nodes))
@@ -147,21 +147,22 @@
 		if !n.up {
 			continue
 		}
-		left := n.part.Part()
+		left := n.holder.Part()
 		for _, u := range m.used {
-			if u.node == i && now.Sub(u.at) < testSpan && !u.at.Before(n.began) { // its life before is forgotten
-				left -= u.part
+			if u.node == i && now.Sub(u.at) < testSpan && !u.at.Before(n.startedAt) { // a new process does not know what its predecessor used
+				left -= u.share
 			}
 		}
 		if left > 1e-9 {
-			m.used = append(m.used, use{at: now, node: i, part: left})
+			m.used = append(m.used, use{at: now, node: i, share: left})
 		}
 	}
 }
 
-// Whatever befalls nodes and leaders, parts that are used within any span never add up
-// to more than the whole; and when all is calm for a while, all of it can be used.
-func TestPartsNeverAddUpToMoreThanTheWhole(t *testing.T) {
+// Under random crashes, partitions and changes of leader, the shares used within any
+// span must never add up to more than the quota, and after recovery all of it must be
+// usable.
+func TestSharesNeverExceedTheQuota(t *testing.T) {
 	schedules := schedulesInCI
 	if text := os.Getenv("WALNUTRAMP_QUOTA_SCHEDULES"); text != "" {
 		var err error
@@ -175,16 +176,16 @@
 			for step := range 1500 {
 				m.step(step >= 20)
 				if step < 1200 && m.rng.IntN(25) == 0 {
-					m.befall()
+					m.injectFault()
 				}
 				if m.rng.IntN(1+int(seed%30)) == 0 {
-					m.useAll(1 + m.rng.IntN(len(m.nodes)))
+					m.useShares(1 + m.rng.IntN(len(m.nodes)))
 				}
 			}
 			for last, u := range m.used {
 				sum := 0.0
 				for first := last; first >= 0 && u.at.Sub(m.used[first].at) < testSpan; first-- {
-					sum += m.used[first].part
+					sum += m.used[first].share
 				}
 				most = max(most, sum)
 				require.LessOrEqual(t, sum, 1+1e-6, "seed %d", seed)
@@ -192,16 +193,16 @@
 			used += len(m.used)
 		})
 	}
-	t.Logf("used %d times, at most %.3f of the whole within a span", used, most)
+	t.Logf("used %d times, at most %.3f of the quota within a span", used, most)
 	require.Greater(t, most, 0.99)
 }
 
-// After a time of calm each node of a site has its part, and a node that was away for a
-// while has it as soon as it is told again.
-func TestNodesHaveTheirPartsInCalm(t *testing.T) {
+// Without faults each node must have its share, and a node that was partitioned for
+// less than MaxAbsence must have it again at once.
+func TestNodesHaveTheirSharesWithoutFaults(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := newModel(3, 8)
-		m.slow = 200 * time.Millisecond
+		m.maxDelay = 200 * time.Millisecond
 		for i := range m.nodes {
 			m.start(i)
 		}
@@ -215,18 +216,18 @@
 		}
 		steps(60)
 		for i, n := range m.nodes {
-			require.InDelta(t, 1./8, n.part.Part(), 1e-9, "node %d, which was there first", i)
+			require.InDelta(t, 1./8, n.holder.Part(), 1e-9, "node %d, which joined before the set was opened", i)
 		}
 		away := m.nodes[2]
-		away.cutOff = uptime.Now().Add(AwayTime - 8*time.Second)
+		away.partitionedUntil = uptime.Now().Add(MaxAbsence - 8*time.Second)
 		steps(100)
-		require.Zero(t, away.part.Part(), "it has not heard of the group for long")
+		require.Zero(t, away.holder.Part(), "its assignment has expired")
 		steps(180)
-		require.InDelta(t, 1./8, away.part.Part(), 1e-9, "it goes on")
+		require.InDelta(t, 1./8, away.holder.Part(), 1e-9, "it resumes its share")
 		m.start(5)
 		steps(100)
-		require.Zero(t, m.nodes[5].part.Part(), "its process before may have used the part")
+		require.Zero(t, m.nodes[5].holder.Part(), "its previous process may have used the share")
 		steps(150)
-		require.InDelta(t, 1./8, m.nodes[5].part.Part(), 1e-9, "a span has passed")
+		require.InDelta(t, 1./8, m.nodes[5].holder.Part(), 1e-9, "a span has passed")
 	})
 }
--- a/quota/register.go
+++ b/quota/register.go
@@ -8,51 +8,50 @@
 	"github.com/walnutramp/walnutramp/internal/uptime"
 )
 
-// Register is what the group's leader knows of the nodes that ask. It says which changes
-// of the set the group has to agree on, and what nodes may be told. Its methods may
-// be called from any task.
+// Register is the leader's record of the nodes that request a share. It proposes
+// changes of the set and decides what nodes may be told. Its methods are safe for
+// concurrent use.
 type Register struct {
 	span time.Duration
 
-	mu       sync.Mutex
-	began    time.Time // when this member's present time as leader began
-	noted    map[string]notedNode
-	removing map[string]bool // a removal was begun, whatever came of it
+	mu          sync.Mutex
+	leaderSince time.Time // when this member became leader
+	heard       map[string]heardNode
+	removing    map[string]bool // removals that were proposed, whatever their outcome
 }
 
-type notedNode struct {
+type heardNode struct {
 	at   time.Time
 	life uint64
 }
 
-// NewRegister returns the register of an amount for a span.
+// NewRegister returns a Register for a quota per span.
 func NewRegister(span time.Duration) *Register {
-	return &Register{span: span, noted: map[string]notedNode{}, removing: map[string]bool{}}
+	return &Register{span: span, heard: map[string]heardNode{}, removing: map[string]bool{}}
 }
 
-// Begin notes that this member begins to lead. Nodes that another leader heard count as
-// heard now; what this one heard before, as any member, still holds.
+// Begin records that this member becomes leader. Nodes known to an earlier leader count
+// as heard now; what this member recorded as a follower remains valid.
 func (r *Register) Begin() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.began = uptime.Now()
+	r.leaderSince = uptime.Now()
 	clear(r.removing)
 }
 
-// Note notes that a node asked. Who passes a node's question on may not know its life, 0
-// then.
+// Note records a node's request. A relay may not know the node's Life and leaves it 0.
 func (r *Register) Note(n Node) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if n.Life == 0 {
-		n.Life = r.noted[n.Address].life
+		n.Life = r.heard[n.Address].life
 	}
-	r.noted[n.Address] = notedNode{at: uptime.Now(), life: n.Life}
+	r.heard[n.Address] = heardNode{at: uptime.Now(), life: n.Life}
 }
 
-// Next returns the set that the group should agree on next, by the one that it has, and
-// which nodes come in and go out with that; none of both where nothing is due.
-func (r *Register) Next(set Set) (next Set, in, out []string) {
+// Next returns the set that the group should agree on next and the nodes that join and
+// leave with it; joining and leaving are empty if no change is due.
+func (r *Register) Next(set Set) (next Set, joining, leaving []string) {
 	now := uptime.Now()
 	next = set.Clone()
 	if next.Epoch == 0 {
@@ -60,26 +59,26 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for address, n := range r.noted {
-		if now.Sub(n.at) > keepTime(r.span) {
-			delete(r.noted, address)
+	for address, n := range r.heard {
+		if now.Sub(n.at) > evictDelay(r.span) {
+			delete(r.heard, address)
 		} else if !set.has(address) || r.removing[address] {
 			next.add(address, n.life)
-			in = append(in, address)
+			joining = append(joining, address)
 		}
 	}
 	for address := range set.Lives {
-		_, heard := r.noted[address]
-		if !heard && now.Sub(r.began) > keepTime(r.span) {
+		_, heard := r.heard[address]
+		if !heard && now.Sub(r.leaderSince) > evictDelay(r.span) {
 			delete(next.Lives, address)
 			r.removing[address] = true
-			out = append(out, address)
+			leaving = append(leaving, address)
 		}
 	}
-	return next, in, out
+	return next, joining, leaving
 }
 
-// Agreed notes that the group has agreed on a set that Next returned.
+// Agreed records that the group has committed a set returned by Next.
 func (r *Register) Agreed(set Set) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -88,8 +87,9 @@
 	}
 }
 
-// Word returns what may be told of a set, as a confirmed leader holds it, to those who
-// asked: nothing while one of them is not in it for sure, or the set is not open.
+// Word returns the assignment for the nodes that asked, given the set as a confirmed
+// leader holds it: none while the set is not open, or while one of them may not be in
+// it.
 func (r *Register) Word(set Set, asked ...Node) Word {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/quota/set.go
+++ b/quota/set.go
@@ -5,24 +5,24 @@
 	"slices"
 )
 
-// Set is the nodes that may hold a part, as the group agreed on them. A change of it is
-// the whole set as it is to be, so that members which missed one hold the same again.
+// Set is the replicated set of nodes that may hold a share. A change carries the whole
+// set, so that members that missed one converge.
 type Set struct {
-	Epoch uint64 // 0 before there is one
-	// Open says that nodes may be told of their parts. None was before.
+	Epoch uint64 // 0 before the first set
+	// Open says that nodes may be told their shares. Before, no node had one.
 	Open bool
-	// Lives are the nodes by address, each with the life of its process where that came
-	// in before the set was opened, else 0.
+	// Lives maps node addresses to the process that joined before the set was opened, 0
+	// for later ones.
 	Lives map[string]uint64
 }
 
-// Node is one life of a node.
+// Node is one process of a node.
 type Node struct {
 	Address string
-	Life    uint64 // names its process; 0 where that is not known
+	Life    uint64 // identifies the process; 0 if unknown
 }
 
-// Clone returns a copy.
+// Clone returns a deep copy.
 func (s Set) Clone() Set {
 	s.Lives = maps.Clone(s.Lives)
 	if s.Lives == nil {
@@ -31,7 +31,7 @@
 	return s
 }
 
-// add adds a node, with its life where that is among the first.
+// add adds a node; its life is kept only until the set is opened.
 func (s *Set) add(address string, life uint64) {
 	if s.Open {
 		life = 0
