--- a/topology/roundtrip.go
+++ b/topology/roundtrip.go
@@ -3,49 +3,48 @@
 import "time"
 
 const (
-	// roundTripWeight is that of the newest round trip in the mean: a few even out
-	// the queues on a link, and a link that was changed is known after some ten.
+	// roundTripWeight is the weight of the latest sample in the mean: it smooths
+	// queueing delays and adapts to a changed link within about ten samples.
 	roundTripWeight = 0.2
-	// roundTripOutlier bounds a round trip to so many times the mean: a packet that
-	// was sent again says nothing of the distance.
+	// roundTripOutlier bounds the ratio of a sample to the mean, as retransmissions say
+	// nothing about distance.
 	roundTripOutlier = 2
-	// roundTripLife is how long a mean counts that nothing was added to: routes
-	// between regions change within minutes, not seconds.
-	roundTripLife = 5 * time.Minute
+	// roundTripTTL is how long a mean without new samples is valid: routes between
+	// regions change within minutes, not seconds.
+	roundTripTTL = 5 * time.Minute
 )
 
-// RoundTrips are the times to data halls and back, as measured by what is sent
-// there anyway. The zero value knows none. Its owner guards it.
+// RoundTrips holds the mean round-trip times to data halls, measured on regular
+// traffic. The zero value is empty. It is not safe for concurrent use.
 type RoundTrips struct {
 	halls map[string]roundTrip
 }
 
 type roundTrip struct {
-	mean time.Duration
-	at   time.Time // of the newest
+	mean      time.Duration
+	updatedAt time.Time // latest sample
 }
 
-// Observe takes a round trip to a data hall.
+// Observe records a round trip to a data hall.
 func (r *RoundTrips) Observe(hall string, took time.Duration, now time.Time) {
 	if r.halls == nil {
 		r.halls = map[string]roundTrip{}
 	}
 	known, ok := r.halls[hall]
-	if !ok || now.Sub(known.at) > roundTripLife {
-		r.halls[hall] = roundTrip{mean: took, at: now}
+	if !ok || now.Sub(known.updatedAt) > roundTripTTL {
+		r.halls[hall] = roundTrip{mean: took, updatedAt: now}
 		return
 	}
 	took = min(took, roundTripOutlier*known.mean)
 	known.mean += time.Duration(roundTripWeight * float64(took-known.mean))
-	known.at = now
+	known.updatedAt = now
 	r.halls[hall] = known
 }
 
-// To returns the time to a data hall and back; false where none was measured
-// lately.
+// To returns the mean round trip to a data hall; false if none was measured recently.
 func (r *RoundTrips) To(hall string, now time.Time) (time.Duration, bool) {
 	known, ok := r.halls[hall]
-	if !ok || now.Sub(known.at) > roundTripLife {
+	if !ok || now.Sub(known.updatedAt) > roundTripTTL {
 		return 0, false
 	}
 	return known.mean, true
--- a/topology/roundtrip_test.go
+++ b/topology/roundtrip_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestRoundTripIsSmoothedAndAges(t *testing.T) {
+func TestRoundTripIsSmoothedAndExpires(t *testing.T) {
 	var r RoundTrips
 	now := time.Now()
 	_, known := r.To("b1", now)
@@ -15,7 +15,7 @@
 	for range 20 {
 		r.Observe("b1", 24*time.Millisecond, now)
 	}
-	r.Observe("b1", 2*time.Second, now) // sent again
+	r.Observe("b1", 2*time.Second, now) // a retransmission
 	took, known := r.To("b1", now)
 	require.True(t, known)
 	require.Less(t, took, 30*time.Millisecond)
@@ -23,10 +23,10 @@
 		r.Observe("b1", 60*time.Millisecond, now)
 	}
 	took, _ = r.To("b1", now)
-	require.InDelta(t, 60, took.Milliseconds(), 2, "the link was changed")
-	_, known = r.To("b1", now.Add(roundTripLife+time.Second))
+	require.InDelta(t, 60, took.Milliseconds(), 2, "the link has changed")
+	_, known = r.To("b1", now.Add(roundTripTTL+time.Second))
 	require.False(t, known)
-	r.Observe("b1", 10*time.Millisecond, now.Add(roundTripLife+time.Second))
-	took, _ = r.To("b1", now.Add(roundTripLife+time.Second))
-	require.Equal(t, 10*time.Millisecond, took, "what was measured long ago does not count")
+	r.Observe("b1", 10*time.Millisecond, now.Add(roundTripTTL+time.Second))
+	took, _ = r.To("b1", now.Add(roundTripTTL+time.Second))
+	require.Equal(t, 10*time.Millisecond, took, "an expired mean is discarded")
 }
--- a/topology/topology.go
+++ b/topology/topology.go
@@ -1,47 +1,45 @@
-// Package topology tells how far data halls are from each other: halls of one
-// region are near, and what passes between regions takes longer and costs
-// more. Whoever chooses where a request runs, or whom to tell what, asks it.
+// Package topology tells how far apart data halls are. Between regions latency and cost
+// are higher than within one. Target selection and gossip depend on it.
 package topology
 
 import "slices"
 
-// Distance says how far two data halls are from each other.
+// Distance is how far apart two data halls are.
 type Distance int
 
-// The distances, the nearest first.
+// Distances in increasing order.
 const (
 	SameHall Distance = iota
 	SameRegion
 	OtherRegion
 )
 
-// Map is the site as one data hall sees it. The zero Map knows no regions:
-// every other hall is then in the same one. It is not changed after it is made.
+// Map is the topology as seen from one data hall. The zero Map has no regions, so all
+// other halls are in the same one. It is immutable.
 type Map struct {
-	hall    string
+	local   string
 	regions map[string]string // by data hall
-	several bool              // there is more than one region
+	several bool              // more than one region
 }
 
-// New returns the map of a data hall; regions names each hall's region.
+// New returns the Map seen from a data hall; regions maps data halls to regions.
 func New(hall string, regions map[string]string) Map {
-	m := Map{hall: hall, regions: regions}
+	m := Map{local: hall, regions: regions}
 	m.several = len(m.Regions()) > 1
 	return m
 }
 
-// Hall returns the own data hall.
-func (m Map) Hall() string { return m.hall }
+// Hall returns the local data hall.
+func (m Map) Hall() string { return m.local }
 
-// Region returns the region of a data hall, empty where it is not known.
+// Region returns the region of a data hall, empty if unknown.
 func (m Map) Region(hall string) string { return m.regions[hall] }
 
-// Distance returns how far a data hall is from the own one. A hall whose
-// region is not known is held to be in the own region.
-func (m Map) Distance(hall string) Distance { return m.Between(m.hall, hall) }
+// Distance returns how far a data hall is from the local one.
+func (m Map) Distance(hall string) Distance { return m.Between(m.local, hall) }
 
-// Between returns how far two data halls are from each other. Where a region is
-// not known, they are held to be in the same one.
+// Between returns how far apart two data halls are. A data hall of unknown region
+// counts as being in the other's region.
 func (m Map) Between(a, b string) Distance {
 	in, other := m.regions[a], m.regions[b]
 	switch {
@@ -53,8 +51,8 @@
 	return OtherRegion
 }
 
-// OwnRegion returns the region of the own data hall, empty where it is not known.
-func (m Map) OwnRegion() string { return m.regions[m.hall] }
+// OwnRegion returns the region of the local data hall, empty if unknown.
+func (m Map) OwnRegion() string { return m.regions[m.local] }
 
 // Regions returns the names of all regions, sorted.
 func (m Map) Regions() []string {
