--- a/route/grant.go
+++ b/route/grant.go
@@ -59,7 +59,7 @@
 	r := g.router
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return g.state.stallLimit(r.cfg.SilenceFloor, r.cfg.SilenceCap)
+	return g.state.stallLimit(r.cfg.StallFloor, r.cfg.StallCap)
 }
 
 // Tokens records that tokens arrived after a gap.
--- a/route/route.go
+++ b/route/route.go
@@ -21,7 +21,7 @@
 	DataHall     walnutramp.DataHall
 	PerModel     int           // targets per model that the node uses
 	QueueLimit   int           // queued requests per model before shedding
-	QueueTime    time.Duration // longest time in the queue
+	MaxQueueTime time.Duration // longest time in the queue
 	HallPenalty  time.Duration // added to the predicted wait for another data hall
 	RetryRatio   float64       // retries allowed per first attempt
 	RetryFloor   float64       // retries per second always allowed
@@ -29,10 +29,10 @@
 	Candidates   int           // random candidates compared
 	Seed         uint64
 	InForce      func() bool                       // whether the node may accept new work; nil for always
-	RestLeft     func(bundle.Target) time.Duration // remaining cooldown that a target requested from this node; nil for none
+	CooldownLeft func(bundle.Target) time.Duration // remaining cooldown that a target requested from this node; nil for none
 	Policy       Policy
-	SilenceFloor time.Duration
-	SilenceCap   time.Duration
+	StallFloor   time.Duration
+	StallCap     time.Duration
 }
 
 // Option sets a field of Config.
@@ -48,7 +48,7 @@
 
 // WithQueue sets the queue limit per model and the longest time in the queue.
 func WithQueue(limit int, wait time.Duration) Option {
-	return func(c *Config) { c.QueueLimit, c.QueueTime = limit, wait }
+	return func(c *Config) { c.QueueLimit, c.MaxQueueTime = limit, wait }
 }
 
 // WithSeed makes selection reproducible.
@@ -59,7 +59,7 @@
 
 // WithRestLeft sets the function that returns a target's remaining cooldown.
 func WithRestLeft(f func(bundle.Target) time.Duration) Option {
-	return func(c *Config) { c.RestLeft = f }
+	return func(c *Config) { c.CooldownLeft = f }
 }
 
 // WithChoices sets how many random candidates are compared.
@@ -70,14 +70,14 @@
 		PerModel:     PerModel,
 		Policy:       Predicted,
 		QueueLimit:   256,
-		QueueTime:    20 * time.Second,
+		MaxQueueTime: 20 * time.Second,
 		HallPenalty:  2 * time.Millisecond,
 		RetryRatio:   0.1,
 		RetryFloor:   10,
 		MaxResumes:   4,
 		Candidates:   3,
-		SilenceFloor: 300 * time.Millisecond,
-		SilenceCap:   1500 * time.Millisecond,
+		StallFloor:   300 * time.Millisecond,
+		StallCap:     1500 * time.Millisecond,
 	}
 }
 
@@ -263,7 +263,7 @@
 	if r.bundle.Admission.Patience > 0 && !req.Resume {
 		return r.bundle.Admission.Patience
 	}
-	return r.cfg.QueueTime
+	return r.cfg.MaxQueueTime
 }
 
 // shed makes room in the queue for w, or rejects w if the queue is full of others that
--- a/route/target.go
+++ b/route/target.go
@@ -141,10 +141,10 @@
 
 // cooldown returns the remaining cooldown of a target.
 func (r *Router) cooldown(s *targetState) time.Duration {
-	if r.cfg.RestLeft == nil {
+	if r.cfg.CooldownLeft == nil {
 		return 0
 	}
-	return r.cfg.RestLeft(s.spec)
+	return r.cfg.CooldownLeft(s.spec)
 }
 
 // modelCooldown returns the shortest remaining cooldown of a model's targets; 0 if none
