--- a/balance/silence.go
+++ b/balance/silence.go
@@ -13,8 +13,8 @@
 // OnSilence sets the function called when a target becomes unresponsive.
 func (t *Tracker) OnSilence(f func()) { t.onUnresponsive = f }
 
-// FellSilent records that the target does not answer. Unreachable says that it answers nothing
-// at all; otherwise the run may only have been preempted.
+// FellSilent records that the target does not answer. Unreachable says that it answers
+// nothing at all; otherwise the run may only have been preempted.
 func (t *Target) FellSilent(unreachable bool) {
 	t.tracker.mu.Lock()
 	t.addUnresponsive()
--- a/placement/plan.go
+++ b/placement/plan.go
@@ -60,8 +60,8 @@
 	for _, m := range p.bundle.Models {
 		for _, t := range p.eligibleForLoad(m) {
 			placed, known := p.placed[t.Name]
-			_, there := placed.Copies[m.Artifact()]
-			if free <= 0 || !known || there || p.busy[t.Name] || isLoading(placed) {
+			_, exists := placed.Copies[m.Artifact()]
+			if free <= 0 || !known || exists || p.busy[t.Name] || isLoading(placed) {
 				continue
 			}
 			p.addStep(t, target.LoadArtifact, m.Artifact())
--- a/quota/holder.go
+++ b/quota/holder.go
@@ -16,15 +16,15 @@
 	epoch       uint64    // 0 before the first assignment
 	setSize     int       // in the latest assignment
 	requestedAt time.Time // when the latest assignment was requested
-	usableFrom  time.Time // when the share becomes usable
+	usableFrom  time.Time
 }
 
 // NewHolder returns a Holder for a quota per span, with no share until the first
 // assignment.
 func NewHolder(span time.Duration) *Holder { return &Holder{span: span} }
 
-// Take applies the assignment in an answer to a request sent at requestedAt. It ignores late
-// or reordered answers.
+// Take applies the assignment in an answer to a request sent at requestedAt. It ignores
+// late or reordered answers.
 func (h *Holder) Take(w Word, requestedAt time.Time) {
 	now := uptime.Now()
 	issuedAt := requestedAt.Add(-w.Age)
