--- a/loadshare/lending_test.go
+++ b/loadshare/borrow_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// spendAll takes all repeats that a node may take now, and returns how many.
+// spendAll spends all retries that a node has, and returns how many.
 func (n *siteNode) spendAll() int {
 	b := n.budgets.Of("s")
 	for spent := 0; ; spent++ {
@@ -18,34 +18,34 @@
 	}
 }
 
-// One node needs more repeats than it has: peers lend theirs, each once. Where half of the
-// datagrams are lost and nodes are gone, fewer come, and never more than there are.
-func TestNodesLendRepeats(t *testing.T) {
+// One node borrows the retries of all peers, each once. With 50 % packet loss and an
+// unreachable node it gets fewer, and never exceeds the site's budget.
+func TestNodesLendRetries(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		const nodes, each = 8, 10
+		const nodes, retriesPerNode = 8, 10
 		s := newSite(t, nodes, 2)
 		defer s.close()
 		time.Sleep(settleTime)
-		needs := s.nodes[0]
-		spent := needs.spendAll()
-		require.Equal(t, each, spent)
+		borrower := s.nodes[0]
+		spent := borrower.spendAll()
+		require.Equal(t, retriesPerNode, spent)
 		for vain := 0; vain < 5; vain++ {
-			for needs.Borrow(t.Context(), "s") {
-				spent += needs.spendAll()
+			for borrower.Borrow(t.Context(), "s") {
+				spent += borrower.spendAll()
 				vain = 0
 			}
-			time.Sleep(borrowRest)
+			time.Sleep(borrowBackoff)
 		}
-		require.Equal(t, nodes*each, spent, "all that the site has")
+		require.Equal(t, nodes*retriesPerNode, spent, "the budget of the whole site")
 		for _, n := range s.nodes[1:] {
-			require.Zero(t, n.spendAll(), "it was lent")
+			require.Zero(t, n.spendAll(), "its retries were lent")
 		}
 	})
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(t, 8, 2)
 		defer s.close()
 		time.Sleep(settleTime)
-		s.cutOff(s.nodes[1])
+		s.isolate(s.nodes[1])
 		s.network.mu.Lock()
 		lost, before := 0, s.network.drop
 		s.network.drop = func(from, to string) bool { lost++; return lost%2 == 0 || before(from, to) }
@@ -64,8 +64,9 @@
 	})
 }
 
-// A call that finds nobody who lends gives up soon, and the next ones at once for a while.
-func TestBorrowingInVainIsShort(t *testing.T) {
+// A failed borrow must return within its timeouts, and further ones immediately during
+// the backoff.
+func TestFailedBorrowBacksOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(t, 8, 2)
 		defer s.close()
@@ -75,16 +76,16 @@
 		}
 		began := time.Now()
 		require.False(t, s.nodes[0].Borrow(t.Context(), "s"))
-		require.Less(t, time.Since(began), 2*borrowWait)
+		require.Less(t, time.Since(began), 2*borrowTimeout)
 		sent := s.nodes[0].Stats().Datagrams
 		require.False(t, s.nodes[0].Borrow(t.Context(), "s"))
-		require.Equal(t, sent, s.nodes[0].Stats().Datagrams, "nobody is asked")
+		require.Equal(t, sent, s.nodes[0].Stats().Datagrams, "no peer is asked during the backoff")
 		for _, n := range s.nodes[1:] {
-			s.cutOff(n)
+			s.isolate(n)
 		}
-		time.Sleep(borrowRest)
+		time.Sleep(borrowBackoff)
 		began = time.Now()
 		require.False(t, s.nodes[0].Borrow(t.Context(), "s"))
-		require.LessOrEqual(t, time.Since(began), (borrowTries+1)*borrowWait)
+		require.LessOrEqual(t, time.Since(began), (borrowAttempts+1)*borrowTimeout)
 	})
 }
--- a/loadshare/failures_test.go
+++ b/loadshare/failures_test.go
@@ -16,11 +16,10 @@
 	"github.com/walnutramp/walnutramp/internal/shortname"
 )
 
-// settleTime is how long nodes of a test that start together take to know each
-// other's data halls and to subscribe.
+// settleTime is how long nodes that start together take to learn each other's
+// data halls and to subscribe.
 const settleTime = 3 * time.Second
 
-// byAddress returns the node at an address.
 func (s *siteOf) byAddress(address string) *siteNode {
 	i := slices.IndexFunc(s.nodes, func(n *siteNode) bool { return n.conn.address == address })
 	return s.nodes[i]
@@ -28,18 +27,18 @@
 
 // relayOf returns the relay that a node subscribes to.
 func (s *siteOf) relayOf(n *siteNode) *siteNode {
-	l := n.layoutNow()
+	l := n.currentLayout()
 	return s.byAddress(l.sources(l.hall)[0])
 }
 
-// plain returns a node of a hall that relays nothing.
-func (s *siteOf) plain() *siteNode {
-	i := slices.IndexFunc(s.nodes, func(n *siteNode) bool { return !n.layoutNow().isRelay() })
+// nonRelay returns a node that is not a relay.
+func (s *siteOf) nonRelay() *siteNode {
+	i := slices.IndexFunc(s.nodes, func(n *siteNode) bool { return !n.currentLayout().isRelay() })
 	return s.nodes[i]
 }
 
-// cutOff has a node say and hear nothing any more, as after a loss of power.
-func (s *siteOf) cutOff(n *siteNode) {
+// isolate drops all traffic to and from a node, as after a power loss.
+func (s *siteOf) isolate(n *siteNode) {
 	lost := n.conn.address
 	before := s.network.drop
 	s.network.mu.Lock()
@@ -47,42 +46,42 @@
 	s.network.drop = func(from, to string) bool { return from == lost || to == lost || before(from, to) }
 }
 
-// othersSee returns how many nodes but one know of work at an engine.
-func (s *siteOf) othersSee(engine string, but *siteNode) int {
-	count := s.see(engine)
+// othersThatSee returns how many nodes other than one know of a run at an engine.
+func (s *siteOf) othersThatSee(engine string, but *siteNode) int {
+	count := s.nodesThatSee(engine)
 	if but.sees(engine) {
 		count--
 	}
 	return count
 }
 
-func TestNextRelayTakesOver(t *testing.T) {
+func TestRelayFailover(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(t, 60, 3)
 		defer s.close()
 		time.Sleep(settleTime)
-		lost := s.relayOf(s.plain())
-		s.cutOff(lost)
-		time.Sleep(feedSilence + 300*time.Millisecond)
-		run := s.plain().begin("i-5", "")
+		lost := s.relayOf(s.nonRelay())
+		s.isolate(lost)
+		time.Sleep(feedTimeout + 300*time.Millisecond)
+		run := s.nonRelay().begin("i-5", "")
 		time.Sleep(150 * time.Millisecond)
-		require.Equal(t, 59, s.othersSee("i-5", lost))
+		require.Equal(t, 59, s.othersThatSee("i-5", lost))
 		run.End(balance.RunEnd{})
 		time.Sleep(150 * time.Millisecond)
-		require.Zero(t, s.othersSee("i-5", lost))
+		require.Zero(t, s.othersThatSee("i-5", lost))
 	})
 }
 
-// A relay that was frozen wakes with old timers, old subscribers and a queue of
-// datagrams. Nobody takes its old word for new, and it learns what it missed.
-func TestRelayThatWakesUndoesNothing(t *testing.T) {
+// A relay that was frozen resumes with expired timers, old subscribers and queued
+// datagrams. Its stale state must not replace newer state, and it must catch up.
+func TestFrozenRelayDoesNotRestoreStaleState(t *testing.T) {
 	for _, frozen := range []time.Duration{100 * time.Millisecond, time.Second, 6 * time.Second} {
 		t.Run(frozen.String(), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				s := newSite(t, 60, 3)
 				defer s.close()
 				time.Sleep(settleTime)
-				node := s.plain()
+				node := s.nonRelay()
 				relay := s.relayOf(node)
 				old := node.begin("i-5", "")
 				time.Sleep(200 * time.Millisecond)
@@ -94,34 +93,34 @@
 				for range 30 {
 					time.Sleep(50 * time.Millisecond)
 					if frozen > time.Second {
-						require.Zero(t, s.othersSee("i-5", relay), "an old word counts for nothing")
+						require.Zero(t, s.othersThatSee("i-5", relay), "stale state is ignored")
 					}
 				}
-				require.Zero(t, s.see("i-5"))
-				require.Equal(t, 60, s.see("i-6"))
+				require.Zero(t, s.nodesThatSee("i-5"))
+				require.Equal(t, 60, s.nodesThatSee("i-6"))
 			})
 		})
 	}
 }
 
-// A relay that hears but is not heard is left, too.
-func TestRelayThatIsNotHeardIsLeft(t *testing.T) {
+// A relay that receives but cannot send must be replaced by its subscribers.
+func TestRelayThatCannotSendIsReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(t, 60, 3)
 		defer s.close()
 		time.Sleep(settleTime)
-		mute := s.relayOf(s.plain()).conn.address
+		mute := s.relayOf(s.nonRelay()).conn.address
 		s.network.mu.Lock()
 		s.network.drop = func(from, _ string) bool { return from == mute }
 		s.network.mu.Unlock()
-		time.Sleep(feedSilence + 300*time.Millisecond)
-		s.plain().begin("i-5", "")
+		time.Sleep(feedTimeout + 300*time.Millisecond)
+		s.nonRelay().begin("i-5", "")
 		time.Sleep(150 * time.Millisecond)
-		require.Equal(t, 60, s.see("i-5"))
+		require.Equal(t, 60, s.nodesThatSee("i-5"))
 	})
 }
 
-func TestLostDatagramsAreMadeGood(t *testing.T) {
+func TestRecoveryFromPacketLoss(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(t, 60, 3)
 		defer s.close()
@@ -131,17 +130,17 @@
 		s.network.mu.Unlock()
 		time.Sleep(settleTime)
 		for range 10 {
-			run := s.plain().begin("i-5", "")
-			time.Sleep(2500 * time.Millisecond) // two reports in full
-			require.GreaterOrEqual(t, s.see("i-5"), 59, "one may just be asking again")
+			run := s.nonRelay().begin("i-5", "")
+			time.Sleep(2500 * time.Millisecond) // two full reports
+			require.GreaterOrEqual(t, s.nodesThatSee("i-5"), 59, "one node may be waiting for a retransmission")
 			run.End(balance.RunEnd{})
 			time.Sleep(2500 * time.Millisecond)
-			require.LessOrEqual(t, s.see("i-5"), 1)
+			require.LessOrEqual(t, s.nodesThatSee("i-5"), 1)
 		}
 	})
 }
 
-func TestAllNodesStartAgainTogether(t *testing.T) {
+func TestSimultaneousRestartOfAllNodes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(t, 120, 6)
 		time.Sleep(settleTime)
@@ -154,16 +153,16 @@
 		defer s.close()
 		s.setPeers()
 		time.Sleep(1500 * time.Millisecond)
-		require.Zero(t, s.see("i-5"))
+		require.Zero(t, s.nodesThatSee("i-5"))
 		s.nodes[6].begin("i-6", "")
 		time.Sleep(300 * time.Millisecond)
-		require.Equal(t, 120, s.see("i-6"))
+		require.Equal(t, 120, s.nodesThatSee("i-6"))
 	})
 }
 
-// A data hall of engines ends, and everybody finds out. A node's link carries
-// 10 Mbit/s: telling that to all must not fill it.
-func TestEndOfAHallOfEnginesFillsNoLink(t *testing.T) {
+// When all engines of a data hall fail, every node reports it. The resulting
+// traffic must not saturate a node's 10 Mbit/s link.
+func TestDataHallFailureDoesNotSaturateLinks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(t, 300, 6)
 		defer s.close()
@@ -173,7 +172,7 @@
 		s.network.mu.Lock()
 		s.network.drop = func(string, string) bool { return rng.Float64() < 0.02 }
 		s.network.mu.Unlock()
-		for i, n := range s.nodes { // as many runs as engines have
+		for i, n := range s.nodes { // as many runs as the engines have slots
 			for e := range 3 {
 				n.begin(fmt.Sprint("i-", (i+e*7)%siteEngines), "")
 			}
@@ -198,19 +197,18 @@
 		time.Sleep(2 * time.Second)
 		s.network.mu.Lock()
 		most := 0
-		for _, bytes := range s.network.out {
+		for _, bytes := range s.network.sentBytes {
 			most = max(most, bytes/2)
 		}
 		s.network.mu.Unlock()
-		t.Logf("the busiest node sends %d bytes a second", most)
-		require.Less(t, most, 400<<10, "a third of its link")
+		t.Logf("the busiest node sends %d bytes per second", most)
+		require.Less(t, most, 400<<10, "a third of the link's bandwidth")
 	})
 }
 
-// A node that becomes a relay gives up the feed that told it of all nodes. What
-// only that feed knew must not stay for ever: nobody says any more that it is
-// over.
-func TestNodeThatBecomesARelayForgetsWhatOnlyItsFeedTold(t *testing.T) {
+// A node that becomes a relay drops its site feed. Runs known only from that feed
+// must be removed, since no other feed reports their end.
+func TestNewRelayDropsStateOfReplacedFeed(t *testing.T) {
 	network := newDatagramNet()
 	tracker := balance.NewTracker(balance.WithSeed(1))
 	tracker.Update(engines(1))
@@ -218,32 +216,33 @@
 		balance.NewBudgets(balance.BudgetConfig{Ratio: 1, Slack: 10, Window: time.Second}), WithDataHall("a"))
 	now := time.Now()
 	f := newFeed(scopeSite, "a")
-	f.source, f.heard = addressOf(1), now
+	f.source, f.receivedAt = addressOf(1), now
 	s.feeds[feedKey{scopeSite, "a"}] = f
-	s.takeFeed(f.source, &feedPart{Scope: scopeSite, Parts: 1, Sections: []section{{
-		Node: 7, Runs: []shortRun{{Number: 1, Target: shortname.Of("i-5"), Read: 90000, Hold: 8000}},
+	s.handleFeed(f.source, &feedDatagram{Scope: scopeSite, Parts: 1, Deltas: []nodeDelta{{
+		Node: 7, Runs: []compactRun{{Number: 1, Target: shortname.Of("i-5"), Read: 90000, Hold: 8000}},
 	}}})
 	n := &siteNode{Sharer: s, tracker: tracker}
 	require.True(t, n.sees("i-5"))
-	l := s.layoutNow()
+	l := s.currentLayout()
 	require.True(t, l.isRelay())
-	s.tendRelayed(l, now)
+	s.maintainRelayed(l, now)
 	require.Empty(t, s.relay.origins)
 	require.False(t, n.sees("i-5"))
 }
 
-// What is garbled, or told by who was not asked, changes nothing.
-func TestGarbledAndLyingDatagramsChangeNothing(t *testing.T) {
+// Corrupt datagrams, and feed datagrams from nodes that are not the feed's source,
+// must not change a node's state.
+func TestCorruptAndUnsolicitedDatagramsAreIgnored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(t, 60, 3)
 		defer s.close()
 		time.Sleep(settleTime)
-		victim := s.plain()
-		liar := s.nodes[slices.IndexFunc(s.nodes, func(n *siteNode) bool { return n != victim && n != s.relayOf(victim) })]
-		lie := message{Feed: &feedPart{Scope: scopeSite, Parts: 1, Sections: []section{{
-			Node: 7, Runs: []shortRun{{Number: 1, Target: shortname.Of("i-5"), Read: 1 << 40, Hold: -5}},
+		victim := s.nonRelay()
+		other := s.nodes[slices.IndexFunc(s.nodes, func(n *siteNode) bool { return n != victim && n != s.relayOf(victim) })]
+		lie := message{Feed: &feedDatagram{Scope: scopeSite, Parts: 1, Deltas: []nodeDelta{{
+			Node: 7, Runs: []compactRun{{Number: 1, Target: shortname.Of("i-5"), Read: 1 << 40, Hold: -5}},
 		}}}}
-		victim.take(liar.conn.address, lie)
+		victim.handle(other.conn.address, lie)
 		require.False(t, victim.sees("i-5"))
 		text, err := msgpack.Marshal(lie)
 		require.NoError(t, err)
@@ -252,23 +251,23 @@
 			garbled := slices.Clone(text)
 			garbled[rng.IntN(len(garbled))] = byte(rng.IntN(256))
 			if m, err := decode(garbled[:1+rng.IntN(len(garbled))]); err == nil {
-				victim.take(liar.conn.address, m)
+				victim.handle(other.conn.address, m)
 			}
 		}
-		run := liar.begin("i-6", "")
+		run := other.begin("i-6", "")
 		time.Sleep(300 * time.Millisecond)
 		require.True(t, victim.sees("i-6"))
 		run.End(balance.RunEnd{})
 	})
 }
 
-// FuzzDatagram has a node take any datagram without harm.
+// FuzzDatagram checks that a node handles arbitrary datagrams without panicking.
 func FuzzDatagram(f *testing.F) {
 	for _, m := range []message{
-		{Sequence: 1, Full: true, DataHall: "a", Runs: []run{{Number: 1, Target: "1", Read: 5}}, Over: []uint64{2}, Asks: true},
-		{Feed: &feedPart{Scope: scopeSite, Number: 1, Parts: 2, Part: 1, Sections: []section{{Node: 1, Gone: true}, {Node: 2, Runs: []shortRun{{Number: 1}}}}}},
-		{Subscribe: &subscribe{Scope: scopeHall, Whole: true}},
-		{Traces: []traceNote{{Key: "k", Over: true}}, Lookup: &lookup{ID: 1, Key: "k"}, Found: &found{ID: 1}},
+		{Sequence: 1, Full: true, DataHall: "a", Runs: []run{{Number: 1, Target: "1", Read: 5}}, Finished: []uint64{2}, WantDataHall: true},
+		{Feed: &feedDatagram{Scope: scopeSite, Sequence: 1, Parts: 2, Part: 1, Deltas: []nodeDelta{{Node: 1, Removed: true}, {Node: 2, Runs: []compactRun{{Number: 1}}}}}},
+		{Subscribe: &subscribeRequest{Scope: scopeHall, Snapshot: true}},
+		{Traces: []traceUpdate{{Key: "k", Finished: true}}, Lookup: &lookupRequest{ID: 1, Key: "k"}, LookupReply: &lookupReply{ID: 1}},
 	} {
 		text, err := msgpack.Marshal(m)
 		if err != nil {
@@ -291,18 +290,18 @@
 	s := New(network.listen(addressOf(0)), balance.NewTracker(balance.WithSeed(1)),
 		balance.NewBudgets(balance.BudgetConfig{Ratio: 1, Slack: 10, Window: time.Second}), WithDataHall("a"))
 	peer := addressOf(1)
-	s.SetPeers(peersAt([]string{peer}))
+	s.SetPeers(peersFromAddresses([]string{peer}))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		m, err := decode(text)
 		if err != nil {
 			return
 		}
-		s.take(peer, m)
+		s.handle(peer, m)
 		s.relayMu.Lock()
 		s.feeds[feedKey{scopeSite, "a"}] = &feed{scope: scopeSite, hall: "a", source: peer, nodes: map[uint32]bool{}, synced: true}
 		s.relayMu.Unlock()
-		s.take(peer, m)
+		s.handle(peer, m)
 		s.flush(s.relay.site)
-		s.tendRelayed(s.layoutNow(), time.Now())
+		s.maintainRelayed(s.currentLayout(), time.Now())
 	})
 }
--- a/loadshare/feed.go
+++ b/loadshare/feed.go
@@ -6,198 +6,197 @@
 	"github.com/walnutramp/walnutramp/balance"
 )
 
-// Times of a subscription.
+// Subscription timing.
 const (
-	renewEvery = 800 * time.Millisecond // of a subscription that is in order
-	// askLost is the pause before lost datagrams are asked for again; it doubles
-	// with each question.
-	askLost = 60 * time.Millisecond
-	// askWhole is the same for everything there is: some 20 kB on a site of 300
-	// nodes, which many may want at once and get one after the other.
-	askWhole = time.Second
-	// lostFor is how long datagrams may be lost before everything is asked for.
-	lostFor = time.Second
-	// feedSilence is how long a feed may be silent before the next relay is
-	// asked: three heartbeats, of which two may be lost.
-	feedSilence = 500 * time.Millisecond
-	// missedTime is how long a relay that fell silent is asked last.
-	missedTime = 3 * time.Second
+	renewInterval = 800 * time.Millisecond // of a synced subscription
+	// resendInterval is the time between requests for lost datagrams; it doubles
+	// with each request.
+	resendInterval = 60 * time.Millisecond
+	// snapshotInterval is the time between requests for a snapshot: about 20 kB on
+	// a site of 300 nodes. Relays send snapshots one after the other.
+	snapshotInterval = time.Second
+	// gapTimeout is how long datagrams may be missing before a snapshot is requested.
+	gapTimeout = time.Second
+	// feedTimeout is how long a feed may be silent before failover to the next
+	// relay: three heartbeats, of which two may be lost.
+	feedTimeout = 500 * time.Millisecond
+	// sourceBackoff is how long a relay that timed out is tried last.
+	sourceBackoff = 3 * time.Second
 )
 
-// feed is what one relay tells this node.
+// feed is this node's subscription to a relay.
 type feed struct {
 	scope  scope
-	hall   string // of the relay; empty for a region's
-	region string // that scopeRegion tells of
-	source string // its address, empty while there is none
-
-	asked  time.Time // when it was asked last
-	heard  time.Time // when it was heard last
-	since  time.Time // when this source was chosen
-	synced bool      // everything was told, and since then all changes up to number
-	stale  bool      // everything is to be told again; changes still hold
-	lacks  time.Time // since when a datagram is missing; zero for none
-	asks   int       // for what is missing
-	number uint64    // of its newest datagram
-	part   int       // of those that tell everything: how many came
-	nodes  map[uint32]bool
-	fresh  map[uint32]bool // told so far of everything
-	// missed notes when a source fell silent, by address. A relay that can't tell
-	// of one region may be sound for all else, so a region's feed has its own notes.
-	missed map[string]time.Time
-	counts map[string]balance.Count
+	hall   string // of the relay; empty for scopeRegion
+	region string // of scopeRegion
+	source string // address of the relay; empty for none
+
+	requestedAt    time.Time // time of the last request
+	receivedAt     time.Time // time of the last datagram
+	sourceSince    time.Time // when the current source was chosen
+	synced         bool      // a snapshot and all changes up to sequence were applied
+	stale          bool      // needs a new snapshot; changes are applied meanwhile
+	gapSince       time.Time // since when a datagram has been missing; zero for none
+	resendRequests int       // requests for the missing datagrams
+	sequence       uint64    // of the last datagram applied
+	partsReceived  int       // parts of the current snapshot received
+	nodes          map[uint32]bool
+	snapshotNodes  map[uint32]bool // nodes in the snapshot received so far
+	// failedAt is when each source timed out, by address. Set only for regions: a
+	// relay that has lost one region may still serve all other feeds.
+	failedAt map[string]time.Time
+	counts   map[string]balance.Count
 }
 
 func newFeed(s scope, hall string) *feed {
 	return &feed{scope: s, hall: hall, nodes: map[uint32]bool{}}
 }
 
-// newRegionFeed returns the feed that tells of a region.
+// newRegionFeed returns a feed of a region's runs.
 func newRegionFeed(region string) *feed {
 	f := newFeed(scopeRegion, "")
-	f.region, f.missed = region, map[string]time.Time{}
+	f.region, f.failedAt = region, map[string]time.Time{}
 	return f
 }
 
-// current reports whether all that the source tells is known.
-func (f *feed) current(now time.Time) bool { return f.synced && now.Sub(f.heard) <= feedSilence }
+// current reports whether the feed is synced and its source alive.
+func (f *feed) current(now time.Time) bool { return f.synced && now.Sub(f.receivedAt) <= feedTimeout }
 
-// choose takes the first of the sources that did not fall silent lately, and
-// reports whether that is another one than before.
-func (f *feed) choose(sources []string, missed map[string]time.Time, now time.Time) bool {
-	if f.source != "" && now.Sub(later(f.heard, f.since)) > feedSilence {
-		missed[f.source] = now
+// chooseSource selects the first source that has not timed out recently, and
+// reports whether the source changed.
+func (f *feed) chooseSource(sources []string, failedAt map[string]time.Time, now time.Time) bool {
+	if f.source != "" && now.Sub(laterOf(f.receivedAt, f.sourceSince)) > feedTimeout {
+		failedAt[f.source] = now
 		f.synced = false
 	}
 	best := ""
 	for _, s := range sources {
-		if now.Sub(missed[s]) > missedTime {
+		if now.Sub(failedAt[s]) > sourceBackoff {
 			best = s
 			break
 		}
 	}
 	if best == "" && len(sources) > 0 {
-		best = oldest(sources, missed)
+		best = leastRecentlyFailed(sources, failedAt)
 	}
 	if best == f.source {
 		return false
 	}
-	f.source, f.since, f.synced, f.asked = best, now, false, time.Time{}
+	f.source, f.sourceSince, f.synced, f.requestedAt = best, now, false, time.Time{}
 	return true
 }
 
-// oldest returns the source that fell silent first.
-func oldest(sources []string, missed map[string]time.Time) string {
+// leastRecentlyFailed returns the source whose last timeout is oldest.
+func leastRecentlyFailed(sources []string, failedAt map[string]time.Time) string {
 	best := sources[0]
 	for _, s := range sources {
-		if missed[s].Before(missed[best]) {
+		if failedAt[s].Before(failedAt[best]) {
 			best = s
 		}
 	}
 	return best
 }
 
-func later(a, b time.Time) time.Time {
+func laterOf(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
 	}
 	return b
 }
 
-// due reports whether the source is to be asked now.
-func (f *feed) due(now time.Time) bool {
+// requestDue reports whether a request to the source is due.
+func (f *feed) requestDue(now time.Time) bool {
 	if f.source == "" {
 		return false
 	}
-	pause := renewEvery
+	interval := renewInterval
 	switch {
 	case !f.synced || f.stale:
-		pause = askWhole
-	case !f.lacks.IsZero():
-		pause = askLost << min(f.asks, longestBackoff)
+		interval = snapshotInterval
+	case !f.gapSince.IsZero():
+		interval = resendInterval << min(f.resendRequests, maxBackoffShift)
 	}
-	return now.Sub(f.asked) >= pause
+	return now.Sub(f.requestedAt) >= interval
 }
 
-// longestBackoff bounds how often a pause is doubled.
-const longestBackoff = 3
+// maxBackoffShift bounds how often resendInterval is doubled.
+const maxBackoffShift = 3
 
-// question returns what the source is asked now.
-func (f *feed) question(now time.Time) subscribe {
-	f.asked = now
-	q := subscribe{Scope: f.scope, Region: f.region, Whole: !f.synced || f.stale}
-	if !q.Whole && !f.lacks.IsZero() {
-		q.From = f.number + 1
-		f.asks++
+// nextRequest returns the request to send to the source.
+func (f *feed) nextRequest(now time.Time) subscribeRequest {
+	f.requestedAt = now
+	req := subscribeRequest{Scope: f.scope, Region: f.region, Snapshot: !f.synced || f.stale}
+	if !req.Snapshot && !f.gapSince.IsZero() {
+		req.ResendFrom = f.sequence + 1
+		f.resendRequests++
 	}
-	return q
+	return req
 }
 
-// take takes a datagram of the source. It returns the sections to apply, in
-// their order; ask says that the source is to be asked at once for what is
-// missing.
-func (f *feed) take(p *feedPart, now time.Time) (sections []section, ask bool) {
-	f.heard = now
+// handle processes a datagram from the source. It returns the deltas to apply, in
+// order, and whether missing datagrams are to be requested immediately.
+func (f *feed) handle(p *feedDatagram, now time.Time) (deltas []nodeDelta, requestNow bool) {
+	f.receivedAt = now
 	if p.Counts != nil {
 		f.counts = p.Counts
 	}
 	if p.Parts > 0 {
-		return f.takeWhole(p), false
+		return f.handleSnapshotPart(p), false
 	}
-	if !f.synced || p.Number <= f.number {
-		return nil, false // everything was asked for, or it came late
+	if !f.synced || p.Sequence <= f.sequence {
+		return nil, false // a snapshot is pending, or a duplicate
 	}
-	if p.Beat || p.Number != f.number+1 {
-		return nil, f.lost(now)
+	if p.Heartbeat || p.Sequence != f.sequence+1 {
+		return nil, f.noteGap(now)
 	}
-	f.number, f.lacks, f.asks = p.Number, time.Time{}, 0
-	f.note(p.Sections)
-	return p.Sections, false
+	f.sequence, f.gapSince, f.resendRequests = p.Sequence, time.Time{}, 0
+	f.trackNodes(p.Deltas)
+	return p.Deltas, false
 }
 
-// lost notes that a datagram is missing, and reports whether that is to be
-// asked for at once.
-func (f *feed) lost(now time.Time) bool {
-	if f.lacks.IsZero() {
-		f.lacks = now
+// noteGap records a missing datagram, and reports whether to request it
+// immediately.
+func (f *feed) noteGap(now time.Time) bool {
+	if f.gapSince.IsZero() {
+		f.gapSince = now
 		return true
 	}
-	if now.Sub(f.lacks) > lostFor {
+	if now.Sub(f.gapSince) > gapTimeout {
 		f.synced = false
 	}
 	return false
 }
 
-// takeWhole takes a part of everything there is. Runs that are not told any
-// more are cleared with the last part.
-func (f *feed) takeWhole(p *feedPart) (sections []section) {
+// handleSnapshotPart processes one part of a snapshot. The last part removes the
+// nodes that the snapshot lacks.
+func (f *feed) handleSnapshotPart(p *feedDatagram) (deltas []nodeDelta) {
 	if p.Part == 0 {
-		f.fresh, f.part = map[uint32]bool{}, 0
-		f.number = p.Number
-	} else if f.fresh == nil || p.Part != f.part || p.Number != f.number {
-		f.fresh = nil
+		f.snapshotNodes, f.partsReceived = map[uint32]bool{}, 0
+		f.sequence = p.Sequence
+	} else if f.snapshotNodes == nil || p.Part != f.partsReceived || p.Sequence != f.sequence {
+		f.snapshotNodes = nil
 		return nil
 	}
-	f.part++
-	for _, s := range p.Sections {
-		f.fresh[s.Node] = true
-		sections = append(sections, section{Node: s.Node, Gone: true}, s)
+	f.partsReceived++
+	for _, s := range p.Deltas {
+		f.snapshotNodes[s.Node] = true
+		deltas = append(deltas, nodeDelta{Node: s.Node, Removed: true}, s)
 	}
-	if f.part == p.Parts {
+	if f.partsReceived == p.Parts {
 		for node := range f.nodes {
-			if !f.fresh[node] {
-				sections = append(sections, section{Node: node, Gone: true})
+			if !f.snapshotNodes[node] {
+				deltas = append(deltas, nodeDelta{Node: node, Removed: true})
 			}
 		}
-		f.nodes, f.fresh, f.synced, f.stale, f.lacks, f.asks = f.fresh, nil, true, false, time.Time{}, 0
+		f.nodes, f.snapshotNodes, f.synced, f.stale, f.gapSince, f.resendRequests = f.snapshotNodes, nil, true, false, time.Time{}, 0
 	}
-	return sections
+	return deltas
 }
 
-// note keeps which nodes the source tells of.
-func (f *feed) note(sections []section) {
-	for _, s := range sections {
-		if s.Gone {
+// trackNodes records which nodes the feed covers.
+func (f *feed) trackNodes(deltas []nodeDelta) {
+	for _, s := range deltas {
+		if s.Removed {
 			delete(f.nodes, s.Node)
 		} else {
 			f.nodes[s.Node] = true
@@ -205,12 +204,12 @@
 	}
 }
 
-// drop forgets all that was told; it returns the sections that say so.
-func (f *feed) drop() []section {
-	var gone []section
+// reset discards the feed's state, and returns the deltas that remove its nodes.
+func (f *feed) reset() []nodeDelta {
+	var removed []nodeDelta
 	for node := range f.nodes {
-		gone = append(gone, section{Node: node, Gone: true})
+		removed = append(removed, nodeDelta{Node: node, Removed: true})
 	}
-	f.nodes, f.fresh, f.synced, f.counts = map[uint32]bool{}, nil, false, nil
-	return gone
+	f.nodes, f.snapshotNodes, f.synced, f.counts = map[uint32]bool{}, nil, false, nil
+	return removed
 }
--- a/loadshare/layout.go
+++ b/loadshare/layout.go
@@ -9,101 +9,100 @@
 	"github.com/walnutramp/walnutramp/topology"
 )
 
-// On a site of many nodes, words pass through relays: some nodes of each data
-// hall, named by rendezvous hash among those that are there. A node reports to
-// the relays of its hall and subscribes to one of them; relays subscribe to a
-// relay of each other hall of their region. So what a node sends and hears does
-// not grow with the number of nodes. Word of another region comes in through one
-// of a region's relays at a time, its importer, to which the others subscribe.
-
-// Sizes of the layout.
+// On large sites updates pass through relays: some nodes of each data hall, chosen
+// by rendezvous hashing among the live ones. A node reports to the relays of its
+// hall and subscribes to one of them; relays subscribe to a relay of each other
+// hall of their region. The traffic of a node thus does not grow with the number
+// of nodes. Updates from another region enter through one relay at a time, the
+// importer, to which the region's other relays subscribe.
+
+// Sizes of the relay overlay.
 const (
-	// directNodes is up to how many nodes each tells every other by itself:
-	// with 3 ms a peer (farPace) that is about as quick as the two or three
-	// steps through relays, and needs none of them.
-	directNodes = 32
-	// relaySpan is how many nodes a relay serves, more or less. A flush of its
-	// news is that many datagrams.
-	relaySpan = 16
-	// leastRelays bears the loss of one.
-	leastRelays = 2
-	// traceHolders is how many nodes keep the trace of a run.
-	traceHolders = 2
-	// regionImporters is how many relays of a region may be asked for word of
-	// another one: the second is asked while the first is silent.
-	regionImporters = 2
-	// exportersFirst is how many relays of another region an importer asks before
-	// it asks another importer.
-	exportersFirst = 2
+	// maxDirectNodes is the largest site without relays: up to it, a full mesh at
+	// 3 ms per peer (otherHallPacing) is about as fast as two or three relay hops.
+	maxDirectNodes = 32
+	// nodesPerRelay is about how many nodes a relay serves, and so how many
+	// datagrams it sends per flush.
+	nodesPerRelay = 16
+	// minRelays tolerates the loss of one.
+	minRelays = 2
+	// traceReplicas is how many nodes of a region store the trace of a run.
+	traceReplicas = 2
+	// importersPerRegion is how many relays of a region may import another one;
+	// the second is used while the first is unresponsive.
+	importersPerRegion = 2
+	// primaryExporters is how many relays of another region an importer tries
+	// before it falls back to another importer.
+	primaryExporters = 2
 )
 
-// place is where a node stands.
-type place struct {
+// location is where a node runs and whether it has a disk.
+type location struct {
 	dataHall string
-	disk     bool // it keeps traces over a loss of power
+	disk     bool // traces survive a power loss
 }
 
-// layout says which nodes relay, and which keep traces.
+// layout assigns the roles of relays and trace stores to nodes.
 type layout struct {
-	own     string              // this node's address
-	hall    string              // its data hall
-	region  string              // its region; empty on a site of one
-	relayed bool                // words pass through relays
-	relays  map[string][]string // addresses by data hall, the first ranked first
-	keepers map[string][]string // nodes that keep traces, by region
-	unknown []string            // peers whose data hall is not known yet
-	regions topology.Map
-	// regionOfPeer is that of each node; nil on a site of one region.
+	own         string              // this node's address
+	hall        string              // its data hall
+	region      string              // its region; empty on a site of one
+	relayed     bool                // updates pass through relays
+	relays      map[string][]string // addresses by data hall, highest rank first
+	traceStores map[string][]string // addresses of nodes that may store traces, by region
+	unknownHall []string            // peers whose data hall is not known
+	regions     topology.Map
+	// regionOfPeer is the region of each node; nil on a site of one region.
 	regionOfPeer map[netip.AddrPort]string
 }
 
-// newLayout works the layout out from where this node and its peers stand.
-func newLayout(own string, places map[string]place, regions topology.Map) *layout {
-	l := &layout{own: own, hall: places[own].dataHall, relays: map[string][]string{}, keepers: map[string][]string{}, regions: regions}
+// newLayout computes the layout from the locations of this node and its peers.
+func newLayout(own string, locations map[string]location, regions topology.Map) *layout {
+	l := &layout{own: own, hall: locations[own].dataHall, relays: map[string][]string{}, traceStores: map[string][]string{}, regions: regions}
 	l.region = l.regionOf(l.hall)
-	l.relayed = throughRelays(len(places), l.hall)
+	l.relayed = usesRelays(len(locations), l.hall)
 	withDisk := map[string][]string{}
-	for address, p := range places {
-		if p.dataHall == "" {
-			l.unknown = append(l.unknown, address)
+	for address, loc := range locations {
+		if loc.dataHall == "" {
+			l.unknownHall = append(l.unknownHall, address)
 			continue
 		}
-		l.relays[p.dataHall] = append(l.relays[p.dataHall], address)
-		region := l.regionOf(p.dataHall)
-		l.keepers[region] = append(l.keepers[region], address)
-		if p.disk {
+		l.relays[loc.dataHall] = append(l.relays[loc.dataHall], address)
+		region := l.regionOf(loc.dataHall)
+		l.traceStores[region] = append(l.traceStores[region], address)
+		if loc.disk {
 			withDisk[region] = append(withDisk[region], address)
 		}
 	}
-	maps.Copy(l.keepers, withDisk)
+	maps.Copy(l.traceStores, withDisk)
 	if l.region != "" {
-		l.regionOfPeer = l.regionsOfPeers(places)
+		l.regionOfPeer = l.regionsOfPeers(locations)
 	}
 	for hall, nodes := range l.relays {
 		rendezvous.Sort(nodes, hall)
-		n := max(leastRelays, (len(nodes)+relaySpan-1)/relaySpan)
+		n := max(minRelays, (len(nodes)+nodesPerRelay-1)/nodesPerRelay)
 		l.relays[hall] = nodes[:min(n, len(nodes))]
 	}
 	return l
 }
 
-// throughRelays reports whether words pass through relays, on a site of so many
-// nodes, as far as a node of a data hall is concerned.
-func throughRelays(nodes int, hall string) bool { return nodes > directNodes && hall != "" }
+// usesRelays reports whether a node of a data hall uses relays on a site of this
+// many nodes.
+func usesRelays(nodes int, hall string) bool { return nodes > maxDirectNodes && hall != "" }
 
-// isRelay reports whether this node is one of its data hall's relays.
+// isRelay reports whether this node is a relay of its data hall.
 func (l *layout) isRelay() bool { return slices.Contains(l.relays[l.hall], l.own) }
 
-// sources returns the relays of a data hall in the order in which this node
-// subscribes to them, so that nodes spread over all.
+// sources returns the relays of a data hall in this node's order of preference,
+// which spreads subscribers over them.
 func (l *layout) sources(hall string) []string {
 	sources := slices.Clone(l.relays[hall])
 	rendezvous.Sort(sources, l.own)
 	return sources
 }
 
-// regionOf returns the region of a data hall, empty on a site of one. A hall
-// whose region is not known is held to be in the own one.
+// regionOf returns the region of a data hall, empty on a site of one. A hall of
+// unknown region counts as part of this node's region.
 func (l *layout) regionOf(hall string) string {
 	if !l.regions.Several() {
 		return ""
@@ -114,7 +113,7 @@
 	return l.regions.OwnRegion()
 }
 
-// otherRegions returns the regions but the own one that have relays, sorted.
+// otherRegions returns the other regions that have relays, sorted.
 func (l *layout) otherRegions() []string {
 	var others []string
 	for hall := range l.relays {
@@ -137,56 +136,56 @@
 	return all
 }
 
-// exporters returns the relays of another region in the order in which this node
-// subscribes to them.
+// exporters returns the relays of another region in this node's order of
+// preference.
 func (l *layout) exporters(region string) []string {
 	all := l.relaysIn(region)
 	rendezvous.Sort(all, l.own)
 	return all
 }
 
-// importers returns the relays of the own region that may be asked for word of
-// another one, the first ranked first.
+// importers returns the relays of this region that import another one, highest
+// rank first.
 func (l *layout) importers(region string) []string {
 	all := l.relaysIn(l.region)
 	rendezvous.Sort(all, region)
-	return all[:min(regionImporters, len(all))]
+	return all[:min(importersPerRegion, len(all))]
 }
 
-// regionSources returns whom this relay asks for word of another region, in this
-// order. An importer that others ask takes that word from the other region
-// itself. It asks another importer after two relays there were silent: then its
-// own link to that region is cut, most likely.
-func (l *layout) regionSources(region string, asked bool) []string {
+// regionSources returns the sources of another region's feed for this relay, in
+// order of preference. An importer with subscribers uses that region's own relays;
+// after two of them timed out it tries another importer, since its own link to the
+// region is probably down.
+func (l *layout) regionSources(region string, hasSubscribers bool) []string {
 	importers, exporters := l.importers(region), l.exporters(region)
 	rank := slices.Index(importers, l.own)
 	switch {
 	case rank < 0:
 		return importers
-	case rank > 0 && !asked:
+	case rank > 0 && !hasSubscribers:
 		return slices.Concat(importers[:rank], exporters)
 	}
-	first, rest := cut(exporters, exportersFirst)
+	first, rest := splitAt(exporters, primaryExporters)
 	return slices.Concat(first, without(importers, l.own), rest)
 }
 
-// holders returns the nodes of the own region that keep the trace of a key: a
-// client that comes again comes to its own region, mostly.
-func (l *layout) holders(key string) []string { return l.holdersIn(l.region, key) }
+// traceStoresOf returns the nodes of this region that store the trace of a key.
+// Clients mostly reconnect to the same region.
+func (l *layout) traceStoresOf(key string) []string { return l.traceStoresIn(l.region, key) }
 
-// holdersIn returns the nodes of a region that keep the trace of a key.
-func (l *layout) holdersIn(region, key string) []string {
-	keepers := slices.Clone(l.keepers[region])
-	rendezvous.Sort(keepers, key)
-	return keepers[:min(traceHolders, len(keepers))]
+// traceStoresIn returns the nodes of a region that store the trace of a key.
+func (l *layout) traceStoresIn(region, key string) []string {
+	stores := slices.Clone(l.traceStores[region])
+	rendezvous.Sort(stores, key)
+	return stores[:min(traceReplicas, len(stores))]
 }
 
-// holdersAnywhere returns the nodes of all regions that keep the trace of a key,
-// those of the own region first.
-func (l *layout) holdersAnywhere(key string) []string {
-	all := l.holders(key)
+// traceStoresAnywhere returns the nodes of all regions that store the trace of a
+// key, those of this region first.
+func (l *layout) traceStoresAnywhere(key string) []string {
+	all := l.traceStoresOf(key)
 	for _, region := range l.otherRegions() {
-		all = append(all, l.holdersIn(region, key)...)
+		all = append(all, l.traceStoresIn(region, key)...)
 	}
 	return all
 }
--- a/loadshare/loadshare.go
+++ b/loadshare/loadshare.go
@@ -1,8 +1,8 @@
-// Package loadshare lets entry nodes tell each other what they have under way
-// at the targets, so that they do not all choose the same one from the same
-// old report. A node tells changes in datagrams, and now and then all there
-// is, which makes good what was lost. Nodes of its own data hall are told
-// sooner than the others.
+// Package loadshare exchanges in-flight load between entry nodes, so that they do
+// not all pick the same target from the same outdated load report. A node sends
+// changes to its runs, the requests in progress at targets, as UDP datagrams, and
+// periodically its full state, which repairs packet loss. Nodes of the same data
+// hall are updated more often than the others.
 package loadshare
 
 import (
@@ -23,67 +23,66 @@
 	"k8s.io/klog/v2"
 )
 
-// Sharer tells peers of this node's runs, and learns theirs.
+// Sharer exchanges the runs of this node with its peers.
 type Sharer struct {
-	conn     net.PacketConn
-	tracker  *balance.Tracker
-	budgets  *balance.Budgets
-	ledger   *quarantine.Ledger
-	place    place // of this node
-	regions  topology.Map
-	short    uint32    // its name in feeds
-	near     *audience // of the own data hall, told directly
-	far      *audience // of the others, told directly
-	up       *audience // relays, told where there are any
-	traces   toldTraces
-	count    counters
-	tendSoon chan struct{}
-	news     chan struct{} // there is something new to write down
-	file     string        // of the memory; empty for none
-	started  time.Time
-	sequence atomic.Uint64
-
-	mu      sync.Mutex
-	peers   map[string]*net.UDPAddr
-	namedAt time.Time                  // when the newest peers were named last
-	unnamed map[string]time.Time       // peers that the newest naming lacks: when they were named last
-	heard   map[string]*sender         // by address
-	layout  *layout                    // nil if it is to be worked out anew
-	lookups uint64                     // numbers lookups
-	asked   map[uint64]chan *traceNote // lookups that wait
-
-	borrows borrowing // of repeats
-
-	askedHalls time.Time // only used by the task that tends subscriptions
-
-	relayMu sync.Mutex
-	relay   *relay
-	feeds   map[feedKey]*feed
-	missed  map[string]time.Time // when a relay fell silent, by address
-	thereAt time.Time            // when the tracker was told who is there
+	conn           net.PacketConn
+	tracker        *balance.Tracker
+	budgets        *balance.Budgets
+	ledger         *quarantine.Ledger
+	location       location // of this node
+	regions        topology.Map
+	shortID        uint32     // of this node's address, used in feeds
+	sameHall       *peerGroup // same data hall, direct
+	otherHalls     *peerGroup // other data halls, direct
+	relayGroup     *peerGroup // relays, on sites that use them
+	sentTraces     sentTraces
+	counters       counters
+	maintainSignal chan struct{}
+	saveSignal     chan struct{} // there are changes to save
+	stateFile      string        // empty for none
+	started        time.Time
+	sequence       atomic.Uint64
+
+	mu             sync.Mutex
+	peers          map[string]*net.UDPAddr
+	peersUpdatedAt time.Time                    // when SetPeers or PeersStill was last called
+	absentSince    map[string]time.Time         // peers missing from the last SetPeers: when they were last listed
+	senders        map[string]*sender           // by address
+	layout         *layout                      // cached; nil if it must be recomputed
+	lastLookup     uint64                       // ID of the last lookup
+	pendingLookups map[uint64]chan *traceUpdate // by lookup ID
+
+	borrows borrowState // of retries
+
+	hallsQueriedAt time.Time // used only by maintainSubscriptions
+
+	relayMu            sync.Mutex
+	relay              *relay
+	feeds              map[feedKey]*feed
+	failedRelays       map[string]time.Time // when each relay timed out, by address
+	livenessReportedAt time.Time            // when the live nodes were last passed to the tracker
 }
 
-// WithDataHall names the data hall of this node.
-func WithDataHall(hall string) Option { return func(s *Sharer) { s.place.dataHall = hall } }
+// WithDataHall sets the data hall of this node.
+func WithDataHall(hall string) Option { return func(s *Sharer) { s.location.dataHall = hall } }
 
-// WithTopology tells which data halls are in which region.
+// WithTopology sets the regions of the data halls.
 func WithTopology(m topology.Map) Option { return func(s *Sharer) { s.regions = m } }
 
-// WithQuarantine sets which notes of targets that ended under requests nodes tell
-// each other.
+// WithQuarantine sets the ledger whose crash reports nodes exchange.
 func WithQuarantine(l *quarantine.Ledger) Option { return func(s *Sharer) { s.ledger = l } }
 
 // New returns a sharer that sends and receives on conn.
 func New(conn net.PacketConn, tracker *balance.Tracker, budgets *balance.Budgets, opts ...Option) *Sharer {
 	s := &Sharer{
-		conn: conn, tracker: tracker, budgets: budgets, near: newAudience(true, nearPace), far: newAudience(false, farPace),
-		up: newRelayAudience(), tendSoon: make(chan struct{}, 1), short: shortname.Of(conn.LocalAddr().String()),
-		relay: newRelay(), feeds: map[feedKey]*feed{}, missed: map[string]time.Time{}, asked: map[uint64]chan *traceNote{},
-		news: make(chan struct{}, 1), started: uptime.Now(),
-		borrows: borrowing{pending: map[uint64]*pendingBorrow{}, vain: map[string]time.Time{}},
-		peers:   map[string]*net.UDPAddr{}, unnamed: map[string]time.Time{}, heard: map[string]*sender{},
-	}
-	// A sender that restarts begins at a later time, and so higher.
+		conn: conn, tracker: tracker, budgets: budgets, sameHall: newPeerGroup(true, sameHallPacing), otherHalls: newPeerGroup(false, otherHallPacing),
+		relayGroup: newRelayGroup(), maintainSignal: make(chan struct{}, 1), shortID: shortname.Of(conn.LocalAddr().String()),
+		relay: newRelay(), feeds: map[feedKey]*feed{}, failedRelays: map[string]time.Time{}, pendingLookups: map[uint64]chan *traceUpdate{},
+		saveSignal: make(chan struct{}, 1), started: uptime.Now(),
+		borrows: borrowState{pending: map[uint64]*pendingBorrow{}, refusedAt: map[string]time.Time{}},
+		peers:   map[string]*net.UDPAddr{}, absentSince: map[string]time.Time{}, senders: map[string]*sender{},
+	}
+	// Sequence numbers start at the current time so that they grow across restarts.
 	s.sequence.Store(uint64(time.Now().UnixNano()))
 	for _, opt := range opts {
 		opt(s)
@@ -93,111 +92,111 @@
 	}
 	s.ledger.OnNews(s.Changed)
 	s.relay.addRegions(s.regions)
-	s.count.addRegions(s.regions)
+	s.counters.addRegions(s.regions)
 	tracker.OnChange(s.Changed)
-	if s.file != "" {
-		s.place.disk = true
-		s.recall()
+	if s.stateFile != "" {
+		s.location.disk = true
+		s.restore()
 	}
 	return s
 }
 
-// Changed says that the tracker's runs changed.
+// Changed signals that the tracker's runs or the ledger changed.
 func (s *Sharer) Changed() {
-	s.near.wake()
-	s.far.wake()
-	s.up.wake()
+	s.sameHall.wake()
+	s.otherHalls.wake()
+	s.relayGroup.wake()
 }
 
-// peerLife is how long a node is told after it was last named: a new leader
-// of the control group knows the entries only once they have asked it.
-const peerLife = 6 * time.Second
+// peerRetention is how long a peer is kept after it was last listed: a new leader
+// of the control group learns of entry nodes only when they contact it.
+const peerRetention = 6 * time.Second
 
-// strangerTime is how long after its start a node hears nodes that it was not
-// told of: those that kept their peers over a restart speak before anybody
-// else can name them.
-const strangerTime = 2 * time.Second
+// unknownSenderGrace is how long after its start a node accepts datagrams from
+// unlisted senders: nodes that restored their peers from disk send before any list
+// arrives.
+const unknownSenderGrace = 2 * time.Second
 
-// Peer is a node that is there.
+// Peer is another live node.
 type Peer struct {
 	Address  string // numeric host:port
-	DataHall string // empty if it is not known: the peer is asked
-	Disk     bool   // it keeps traces over a loss of power
+	DataHall string // empty if unknown; it is then queried
+	Disk     bool   // traces survive a power loss
 }
 
-// SetPeers names the nodes that are there.
+// SetPeers sets the list of live nodes.
 func (s *Sharer) SetPeers(peers []Peer) {
 	if first, changed := s.setPeers(peers); changed {
 		s.peersChanged()
 		if first {
-			s.askForEnds()
+			s.requestCrashes()
 		}
 	}
 }
 
-// PeersStill says that those named last are still there.
+// PeersStill confirms that the last list of peers is still valid.
 func (s *Sharer) PeersStill() {
 	if s.confirmPeers() {
 		s.peersChanged()
 	}
 }
 
-// confirmPeers notes that the newest peers are still there, and forgets those that were
-// not named for long. It reports whether there were any.
+// confirmPeers refreshes the last list of peers, and reports whether it dropped any
+// absent peers.
 func (s *Sharer) confirmPeers() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.namedAt = uptime.Now()
-	return s.forgetUnnamed()
+	s.peersUpdatedAt = uptime.Now()
+	return s.dropAbsentPeers()
 }
 
-// forgetUnnamed drops the peers that were not named for long, and reports whether there
-// were any. The caller holds the mutex.
-func (s *Sharer) forgetUnnamed() (dropped bool) {
-	for a, named := range s.unnamed {
-		if uptime.Since(named) >= peerLife {
-			delete(s.unnamed, a)
+// dropAbsentPeers drops the peers that have not been listed for peerRetention, and
+// reports whether there were any. The caller holds the mutex.
+func (s *Sharer) dropAbsentPeers() (dropped bool) {
+	for a, listedAt := range s.absentSince {
+		if uptime.Since(listedAt) >= peerRetention {
+			delete(s.absentSince, a)
 			delete(s.peers, a)
-			delete(s.heard, a)
+			delete(s.senders, a)
 			dropped = true
 		}
 	}
 	return dropped
 }
 
-// setPeers takes the nodes that are there. It reports whether that changes anything, and
-// whether they are the first that this node is told of.
-func (s *Sharer) setPeers(named []Peer) (first, changed bool) {
+// setPeers replaces the list of live nodes. It reports whether anything changed, and
+// whether these are the first peers of this node.
+func (s *Sharer) setPeers(listed []Peer) (first, changed bool) {
 	own := s.conn.LocalAddr().String()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	first = len(s.peers) == 0
-	before := s.namedAt
-	s.namedAt = uptime.Now()
-	now := make(map[string]bool, len(named))
-	for _, p := range named {
-		now[p.Address] = true
+	updatedBefore := s.peersUpdatedAt
+	s.peersUpdatedAt = uptime.Now()
+	present := make(map[string]bool, len(listed))
+	for _, p := range listed {
+		present[p.Address] = true
 		if p.Address != own && s.addPeer(p) {
 			changed = true
 		}
 	}
 	for a := range s.peers {
-		if _, known := s.unnamed[a]; !known && !now[a] {
-			s.unnamed[a] = before
+		if _, known := s.absentSince[a]; !known && !present[a] {
+			s.absentSince[a] = updatedBefore
 		}
 	}
-	changed = s.forgetUnnamed() || changed
+	changed = s.dropAbsentPeers() || changed
 	return first && len(s.peers) > 0, changed
 }
 
-// addPeer notes a peer and where it stands, and reports whether that is new. The caller
-// holds the mutex.
+// addPeer adds a peer or updates its location, and reports whether anything changed.
+// The caller holds the mutex.
 func (s *Sharer) addPeer(p Peer) (changed bool) {
-	delete(s.unnamed, p.Address)
+	delete(s.absentSince, p.Address)
 	if s.peers[p.Address] == nil {
 		addr, err := net.ResolveUDPAddr("udp", p.Address)
 		if err != nil {
-			klog.ErrorS(err, "Peer not taken", "address", p.Address)
+			klog.ErrorS(err, "Ignoring peer with unresolvable address", "address", p.Address)
 			return false
 		}
 		s.peers[p.Address] = addr
@@ -206,19 +205,19 @@
 	if p.DataHall == "" {
 		return changed
 	}
-	heard := s.heard[p.Address]
-	if heard == nil {
-		heard = &sender{}
-		s.heard[p.Address] = heard
+	state := s.senders[p.Address]
+	if state == nil {
+		state = &sender{}
+		s.senders[p.Address] = state
 	}
-	if at := (place{dataHall: p.DataHall, disk: p.Disk}); heard.place != at {
-		heard.place = at
+	if loc := (location{dataHall: p.DataHall, disk: p.Disk}); state.location != loc {
+		state.location = loc
 		changed = true
 	}
 	return changed
 }
 
-// peersChanged has all go by the peers that there are now.
+// peersChanged applies a new list of peers to the tracker and the layout.
 func (s *Sharer) peersChanged() {
 	own := s.conn.LocalAddr().String()
 	s.mu.Lock()
@@ -226,47 +225,45 @@
 	nodes := slices.Collect(maps.Keys(s.peers))
 	s.mu.Unlock()
 	s.tracker.SetNodes(own, nodes)
-	s.tracker.SetFarLag(s.farLag(len(nodes)))
-	s.tracker.SetNewsLag(s.newsLag(len(nodes)))
+	s.tracker.SetFarLag(s.otherHallLag(len(nodes)))
+	s.tracker.SetNewsLag(s.propagationLag(len(nodes)))
 	s.tracker.SetRegionLag(s.regionLag(len(nodes)))
 	s.Changed()
 }
 
-// startAsks is how many peers a node that starts asks what it missed: one may
-// have just started, too, and one may be cut off.
-const startAsks = 3
+// initialCrashQueries is how many peers a starting node asks for crash reports: some
+// may have just started themselves or be unreachable.
+const initialCrashQueries = 3
 
-// askForEnds asks peers under which requests targets ended: such a request may
-// be the first that comes. Without it a node that was started again learned of
-// it after a second, and two targets ended meanwhile.
-func (s *Sharer) askForEnds() {
+// requestCrashes asks some peers for their crash reports, so that a starting node
+// does not route a quarantined request before the first full message arrives.
+func (s *Sharer) requestCrashes() {
 	s.mu.Lock()
-	some := slices.Collect(maps.Keys(s.peers)) // in no order
+	peers := slices.Collect(maps.Keys(s.peers)) // random order
 	s.mu.Unlock()
-	s.sendTo(s.addressesOf(some[:min(startAsks, len(some))]), message{AsksEnds: true})
+	s.sendTo(s.addressesOf(peers[:min(initialCrashQueries, len(peers))]), message{WantCrashes: true})
 }
 
-// farLag is by how much word of other data halls comes later than that of the
-// own one: through relays there is one more step, of a publisher that has few
-// subscribers.
-func (s *Sharer) farLag(peers int) time.Duration {
-	if throughRelays(peers+1, s.place.dataHall) {
-		return leastGather
+// otherHallLag is the extra delay of updates from other data halls. Through relays
+// it is one more hop, from a publisher with few subscribers.
+func (s *Sharer) otherHallLag(peers int) time.Duration {
+	if usesRelays(peers+1, s.location.dataHall) {
+		return minBatchDelay
 	}
-	return s.far.pace.gather(peers) - s.near.pace.settle
+	return s.otherHalls.pacing.batchDelay(peers) - s.sameHall.pacing.minDelay
 }
 
-// newsLag is how long it takes until most nodes know what one has begun.
-func (s *Sharer) newsLag(peers int) time.Duration {
-	if throughRelays(peers+1, s.place.dataHall) {
-		return s.up.pace.settle + leastGather + relaySpan*perSubscriber
+// propagationLag is how long a new run takes to become known to most nodes.
+func (s *Sharer) propagationLag(peers int) time.Duration {
+	if usesRelays(peers+1, s.location.dataHall) {
+		return s.relayGroup.pacing.minDelay + minBatchDelay + nodesPerRelay*perSubscriberDelay
 	}
-	return s.far.pace.gather(peers)
+	return s.otherHalls.pacing.batchDelay(peers)
 }
 
-// peersOf returns the peers of an audience. A peer that was not heard yet is
-// held to be in another data hall.
-func (s *Sharer) peersOf(a *audience, l *layout) []*net.UDPAddr {
+// peersOf returns the peers of a group. A peer whose data hall is not known yet
+// counts as one of another hall.
+func (s *Sharer) peersOf(a *peerGroup, l *layout) []*net.UDPAddr {
 	if a.relays {
 		return s.addressesOf(without(l.relays[l.hall], l.own))
 	}
@@ -274,42 +271,42 @@
 	defer s.mu.Unlock()
 	peers := make([]*net.UDPAddr, 0, len(s.peers))
 	for address, peer := range s.peers {
-		heard := s.heard[address]
-		near := heard != nil && s.place.dataHall != "" && heard.place.dataHall == s.place.dataHall
-		if near == a.near {
+		state := s.senders[address]
+		sameHall := state != nil && s.location.dataHall != "" && state.location.dataHall == s.location.dataHall
+		if sameHall == a.sameHall {
 			peers = append(peers, peer)
 		}
 	}
 	return peers
 }
 
-// Run sends until ctx ends, and receives until the connection is closed.
+// Run sends and receives until ctx ends, then closes the connection.
 func (s *Sharer) Run(ctx context.Context) {
 	go s.receive()
-	if s.file != "" {
-		go s.keepMemory(ctx)
+	if s.stateFile != "" {
+		go s.saveLoop(ctx)
 	}
 	defer s.conn.Close()
 	var tasks sync.WaitGroup
-	for _, a := range []*audience{s.near, s.far, s.up} {
-		tasks.Go(func() { s.tell(ctx, a) })
+	for _, a := range []*peerGroup{s.sameHall, s.otherHalls, s.relayGroup} {
+		tasks.Go(func() { s.sendLoop(ctx, a) })
 	}
 	for _, p := range s.relay.publishers() {
 		tasks.Go(func() { s.publish(ctx, p) })
 	}
-	tasks.Go(func() { s.tend(ctx) })
+	tasks.Go(func() { s.maintainSubscriptions(ctx) })
 	tasks.Wait()
 }
 
-// tell keeps an audience up to date until ctx ends. Its last word names the
-// runs that this node broke off.
-func (s *Sharer) tell(ctx context.Context, a *audience) {
-	timer := time.NewTimer(a.pace.refresh)
+// sendLoop keeps a peer group up to date until ctx ends. The last message is a full
+// one, which lists the runs that this node aborted.
+func (s *Sharer) sendLoop(ctx context.Context, a *peerGroup) {
+	timer := time.NewTimer(a.pacing.fullInterval)
 	defer timer.Stop()
 	for {
 		select {
 		case <-a.changed:
-			time.Sleep(a.pace.gather(a.peers))
+			time.Sleep(a.pacing.batchDelay(a.peerCount))
 		case <-timer.C:
 		case <-ctx.Done():
 			s.send(a, true)
@@ -317,95 +314,94 @@
 		}
 		a.drain()
 		s.send(a, false)
-		s.note()
-		timer.Reset(a.pace.refresh)
+		s.requestSave()
+		timer.Reset(a.pacing.fullInterval)
 	}
 }
 
-// send brings an audience up to date, if it is told at all on a site of this
-// size.
-func (s *Sharer) send(a *audience, full bool) {
-	l := s.layoutNow()
+// send brings a peer group up to date, if it is in use on a site of this size.
+func (s *Sharer) send(a *peerGroup, full bool) {
+	l := s.currentLayout()
 	if a.relays != l.relayed {
-		a.peers = 0
+		a.peerCount = 0
 		return
 	}
-	n := news{runs: s.tracker.Runs(), ended: s.tracker.Ended(), suspects: s.tracker.Suspects(),
+	n := localState{runs: s.tracker.Runs(), ended: s.tracker.Ended(), suspects: s.tracker.Suspects(),
 		silent: s.tracker.SilentTargets(), counts: s.budgets.Counts()}
-	n.ends = s.newEnds(a)
+	n.crashes = s.newCrashes(a)
 	if a.relays {
-		s.tellTraces(l, n.runs)
-		n.runs = untraced(n.runs)
-		s.passOn(l.own, n.runs, n.counts, urgent{ended: n.ended, suspects: n.suspects, silent: n.silent, ends: n.ends})
+		s.sendTraces(l, n.runs)
+		n.runs = withoutTraces(n.runs)
+		s.relayReport(l.own, n.runs, n.counts, targetEvents{ended: n.ended, suspects: n.suspects, silent: n.silent, crashes: n.crashes})
 	}
 	peers := s.peersOf(a, l)
 	now := uptime.Now()
 	full = full || a.fullDue(now, len(peers))
 	if full {
-		a.fullAt = now
+		a.lastFull = now
 	}
-	a.peers = len(peers)
+	a.peerCount = len(peers)
 	if len(peers) == 0 {
 		return
 	}
 	if full {
-		n.ends = s.allEnds()
+		n.crashes = s.allCrashes()
 	}
-	for _, m := range a.compose(n, full) {
-		m = s.signed(m)
+	for _, m := range a.buildMessages(n, full) {
+		m = s.withLocation(m)
 		m.Sequence = s.sequence.Add(1)
 		s.sendTo(peers, m)
 	}
 }
 
-// newEnds returns the notes of ends that an audience was not told.
-func (s *Sharer) newEnds(a *audience) []endNote {
-	notes, newest := s.ledger.News(a.noted)
-	a.noted = newest
-	return encodeEnds(notes)
+// newCrashes returns the crash reports not yet sent to a peer group.
+func (s *Sharer) newCrashes(a *peerGroup) []crashReport {
+	notes, newest := s.ledger.News(a.crashCursor)
+	a.crashCursor = newest
+	return encodeCrashes(notes)
 }
 
-// allEnds returns the notes of ends that a node which missed some has to be told.
-func (s *Sharer) allEnds() []endNote { return encodeEnds(s.ledger.Everything()) }
+// allCrashes returns the crash reports for a node that may have missed some.
+func (s *Sharer) allCrashes() []crashReport { return encodeCrashes(s.ledger.Everything()) }
 
-// takeEnds takes another node's notes of ends, and returns those that are new.
-func (s *Sharer) takeEnds(ends []endNote) []endNote {
-	return encodeEnds(s.ledger.Take(decodeEnds(ends)))
+// mergeCrashes adds another node's crash reports, and returns those that are new.
+func (s *Sharer) mergeCrashes(reports []crashReport) []crashReport {
+	return encodeCrashes(s.ledger.Take(decodeCrashes(reports)))
 }
 
-// untraced returns the runs that hold anything, without how they are found
-// again: relays do not pass that on.
-func untraced(runs []balance.Shared) []balance.Shared {
-	var untraced []balance.Shared
+// withoutTraces returns the runs that occupy a target, without the trace keys, which
+// relays do not forward.
+func withoutTraces(runs []balance.Shared) []balance.Shared {
+	var stripped []balance.Shared
 	for _, r := range runs {
 		if r.Broken {
 			continue
 		}
 		r.Trace = balance.Trace{Copy: r.Trace.Copy, CopyName: r.Trace.CopyName}
-		untraced = append(untraced, r)
+		stripped = append(stripped, r)
 	}
-	return untraced
+	return stripped
 }
 
-// signed returns a message that says where this node stands.
-func (s *Sharer) signed(m message) message {
-	m.DataHall, m.Disk = s.place.dataHall, s.place.disk
+// withLocation adds this node's location to a message.
+func (s *Sharer) withLocation(m message) message {
+	m.DataHall, m.Disk = s.location.dataHall, s.location.disk
 	return m
 }
 
-// sendTo sends a message; what is lost is made good by the next full one.
+// sendTo sends a message. Packet loss is repaired by the next full message.
 func (s *Sharer) sendTo(peers []*net.UDPAddr, m message) {
 	datagram, err := msgpack.Marshal(m)
 	if err != nil {
-		klog.ErrorS(err, "Runs not encoded")
+		klog.ErrorS(err, "Failed to encode message")
 		return
 	}
 	for _, peer := range peers {
 		s.conn.WriteTo(datagram, peer)
 	}
 	s.countRegions(peers, len(datagram))
-	s.count.datagrams.Add(int64(len(peers)))
-	s.count.bytes.Add(int64(len(peers) * len(datagram)))
+	s.counters.datagrams.Add(int64(len(peers)))
+	s.counters.bytes.Add(int64(len(peers) * len(datagram)))
 }
 
 func (s *Sharer) receive() {
@@ -417,81 +413,80 @@
 		}
 		m, err := decode(buffer[:n])
 		if err != nil {
-			klog.V(1).InfoS("Datagram not read", "from", from, "err", err)
+			klog.V(1).InfoS("Ignoring malformed datagram", "from", from, "err", err)
 			continue
 		}
-		s.take(from.String(), m)
+		s.handle(from.String(), m)
 	}
 }
 
-// take hands on a message, if its sender is known.
-func (s *Sharer) take(from string, m message) {
-	heard := s.senderOf(from, &m)
-	if heard == nil {
+// handle dispatches a message from a known sender.
+func (s *Sharer) handle(from string, m message) {
+	state := s.senderOf(from, &m)
+	if state == nil {
 		return
 	}
-	if m.Asks {
-		s.sendTo(s.addressesOf([]string{from}), s.signed(message{}))
+	if m.WantDataHall {
+		s.sendTo(s.addressesOf([]string{from}), s.withLocation(message{}))
 	}
-	if m.AsksEnds {
-		s.sendTo(s.addressesOf([]string{from}), message{Ends: s.allEnds()})
+	if m.WantCrashes {
+		s.sendTo(s.addressesOf([]string{from}), message{Crashes: s.allCrashes()})
 	}
-	if len(m.Ends) > 0 && !m.report() {
-		s.takeEnds(m.Ends)
+	if len(m.Crashes) > 0 && !m.isReport() {
+		s.mergeCrashes(m.Crashes)
 	}
-	if m.report() {
-		s.takeReport(from, heard, m)
+	if m.isReport() {
+		s.handleReport(from, state, m)
 	}
 	if m.Feed != nil {
-		s.takeFeed(from, m.Feed)
+		s.handleFeed(from, m.Feed)
 	}
 	if m.Subscribe != nil {
-		s.takeSubscribe(from, m.Subscribe)
+		s.handleSubscribe(from, m.Subscribe)
 	}
 	if len(m.Traces) > 0 {
-		s.takeTraces(m.Traces)
+		s.handleTraces(m.Traces)
 	}
 	if m.Lookup != nil {
-		s.answerLookup(from, m.Lookup)
+		s.handleLookup(from, m.Lookup)
 	}
-	if m.Found != nil {
-		s.takeFound(m.Found)
+	if m.LookupReply != nil {
+		s.handleLookupReply(m.LookupReply)
 	}
 	if m.Borrow != nil {
-		s.lend(from, m.Borrow)
+		s.handleBorrow(from, m.Borrow)
 	}
-	if m.Lent != nil {
-		s.takeLent(m.Lent)
+	if m.BorrowReply != nil {
+		s.handleBorrowReply(m.BorrowReply)
 	}
 }
 
-// senderOf returns what is known of a message's sender, nil for a stranger.
+// senderOf returns the state of a message's sender, nil if it is unknown.
 func (s *Sharer) senderOf(from string, m *message) *sender {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	_, known := s.peers[from]
-	if !known && uptime.Since(s.started) >= strangerTime {
+	if !known && uptime.Since(s.started) >= unknownSenderGrace {
 		return nil
 	}
-	heard := s.heard[from]
-	if heard == nil {
-		heard = &sender{}
-		s.heard[from] = heard
+	state := s.senders[from]
+	if state == nil {
+		state = &sender{}
+		s.senders[from] = state
 	}
-	s.notePlace(heard, m)
-	return heard
+	s.updateLocation(state, m)
+	return state
 }
 
-// takeReport takes what a node tells of its runs, unless something newer came
-// before.
-func (s *Sharer) takeReport(from string, heard *sender, m message) {
-	runs, near, ok := s.apply(heard, m)
+// handleReport processes a report of a node's runs, unless it is out of date.
+func (s *Sharer) handleReport(from string, state *sender, m message) {
+	runs, sameHall, ok := s.applyReport(state, m)
 	if !ok {
 		return
 	}
-	ends := s.takeEnds(m.Ends)
-	if near && s.layoutNow().relayed {
-		s.passOn(from, runs, m.Counts, urgent{ended: m.Ended, suspects: m.Suspects, silent: m.Silent, ends: ends})
+	crashes := s.mergeCrashes(m.Crashes)
+	if sameHall && s.currentLayout().relayed {
+		s.relayReport(from, runs, m.Counts, targetEvents{ended: m.Ended, suspects: m.Suspects, silent: m.Silent, crashes: crashes})
 	} else if len(m.Counts) > 0 {
 		s.budgets.SetOther(from, m.Counts)
 	}
@@ -499,16 +494,16 @@
 	s.tracker.SetSuspects(m.Suspects)
 	s.tracker.SetSilent(m.Silent)
 	s.tracker.SetOthers(nodeName(shortname.Of(from)), runs)
-	s.note()
+	s.requestSave()
 }
 
-// apply brings what a sender told up to date, and reports whether that is a
-// node of the own data hall; false if the message counts for nothing.
-func (s *Sharer) apply(heard *sender, m message) (runs []balance.Shared, near, ok bool) {
+// applyReport updates the state of a sender and returns its runs. sameHall reports
+// whether it is in this node's data hall; ok is false for an outdated message.
+func (s *Sharer) applyReport(state *sender, m message) (runs []balance.Shared, sameHall, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if m.Sequence <= heard.sequence {
+	if m.Sequence <= state.sequence {
 		return nil, false, false
 	}
-	return heard.take(m, uptime.Now()), heard.place.dataHall == s.place.dataHall, true
+	return state.apply(m, uptime.Now()), state.location.dataHall == s.location.dataHall, true
 }
--- a/loadshare/loadshare_test.go
+++ b/loadshare/loadshare_test.go
@@ -29,12 +29,12 @@
 	return s, tracker
 }
 
-func TestNodesLearnEachOthersRuns(t *testing.T) {
+func TestNodesExchangeRuns(t *testing.T) {
 	here, hereTracker := newNode(t)
 	there, thereTracker := newNode(t)
 	both := []string{here.conn.LocalAddr().String(), there.conn.LocalAddr().String()}
-	here.SetPeers(peersAt(both))
-	there.SetPeers(peersAt(both))
+	here.SetPeers(peersFromAddresses(both))
+	there.SetPeers(peersFromAddresses(both))
 	choice := balance.Choice{Service: "s", Work: balance.Work{Read: 8000, Hold: 8000}}
 	hereTracker.Pick(choice).Begin(balance.Work{Read: 90000, Hold: 90000}, balance.Trace{})
 	taken := hereTracker.Runs()[0].Target
@@ -49,10 +49,10 @@
 	require.Eventually(t, never, 5*time.Second, 5*time.Millisecond)
 }
 
-func TestStrangersAndOldMessagesAreDropped(t *testing.T) {
+func TestUnknownSendersAndStaleMessagesAreDropped(t *testing.T) {
 	s, tracker := newNode(t)
-	s.started = time.Now().Add(-strangerTime)
-	s.SetPeers(peersAt([]string{"127.0.0.1:9"}))
+	s.started = time.Now().Add(-unknownSenderGrace)
+	s.SetPeers(peersFromAddresses([]string{"127.0.0.1:9"}))
 	heavy := message{Sequence: 5, Runs: []run{{Number: 1, Target: "1", Read: 90000, Hold: 90000}, {Number: 2, Target: "2", Hold: 1, Read: -5}}}
 	choice := balance.Choice{Service: "s", Work: balance.Work{Read: 8000, Hold: 8000}}
 	expected := func(id string) time.Duration {
@@ -61,32 +61,32 @@
 		return tracker.Expected(choice, tracker.Pick(only))
 	}
 	idle := expected("1")
-	s.take("127.0.0.1:10", heavy)
-	require.Equal(t, idle, expected("1"), "a stranger's word counts for nothing")
+	s.handle("127.0.0.1:10", heavy)
+	require.Equal(t, idle, expected("1"), "unknown senders are ignored")
 	require.Equal(t, idle, expected("2"))
-	s.take("127.0.0.1:9", heavy)
+	s.handle("127.0.0.1:9", heavy)
 	require.Greater(t, expected("1"), idle)
 	require.Equal(t, idle, expected("2"), "a negative number of tokens counts as none")
-	s.take("127.0.0.1:9", message{Sequence: 4})
+	s.handle("127.0.0.1:9", message{Sequence: 4})
 	for range 20 {
-		require.Equal(t, "2", tracker.Pick(choice).ID, "the older message does not undo the newer")
+		require.Equal(t, "2", tracker.Pick(choice).ID, "an older message does not replace a newer one")
 	}
 }
 
-func TestOldPeersAreForgotten(t *testing.T) {
+func TestAbsentPeersAreDropped(t *testing.T) {
 	s, _ := newNode(t)
-	s.SetPeers(peersAt([]string{"127.0.0.1:9", "127.0.0.1:10", s.conn.LocalAddr().String(), "nonsense"}))
-	require.Len(t, s.peers, 2, "itself and what is no address are left out")
-	s.SetPeers(peersAt([]string{"127.0.0.1:9"}))
-	require.Len(t, s.peers, 2, "a new leader may not know all yet")
-	s.unnamed["127.0.0.1:10"] = time.Now().Add(-peerLife)
-	s.SetPeers(peersAt([]string{"127.0.0.1:9"}))
+	s.SetPeers(peersFromAddresses([]string{"127.0.0.1:9", "127.0.0.1:10", s.conn.LocalAddr().String(), "nonsense"}))
+	require.Len(t, s.peers, 2, "its own address and invalid ones are skipped")
+	s.SetPeers(peersFromAddresses([]string{"127.0.0.1:9"}))
+	require.Len(t, s.peers, 2, "a new leader's list may be incomplete")
+	s.absentSince["127.0.0.1:10"] = time.Now().Add(-peerRetention)
+	s.SetPeers(peersFromAddresses([]string{"127.0.0.1:9"}))
 	require.Len(t, s.peers, 1)
 }
 
-// All nodes are killed; one of them has a disk, and tells the others where the
-// copies are before anybody has told them who is there.
-func TestTracesOutliveAKillOfAllNodes(t *testing.T) {
+// All nodes are killed. The one with a state file must restore the traces and send
+// them to the others before SetPeers is called.
+func TestTracesSurviveKillOfAllNodes(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "traces")
 	listen := func() net.PacketConn {
 		conn, err := net.ListenPacket("udp", "127.0.0.1:0")
@@ -108,8 +108,8 @@
 	addresses := []string{here.LocalAddr().String(), there.LocalAddr().String()}
 	withDisk, hereTracker, killHere := start(here, WithMemory(file))
 	without, thereTracker, killThere := start(there)
-	withDisk.SetPeers(peersAt(addresses))
-	without.SetPeers(peersAt(addresses))
+	withDisk.SetPeers(peersFromAddresses(addresses))
+	without.SetPeers(peersFromAddresses(addresses))
 	run := thereTracker.Pick(balance.Choice{Service: "s"}).Begin(balance.Work{Read: 1, Hold: 1}, balance.Trace{Key: "part-1", CopyName: "run-1", Copy: "2"})
 	run.FirstEvent()
 	require.Eventually(t, func() bool { at, _ := hereTracker.FindCopy("part-1"); return at != nil }, 5*time.Second, 5*time.Millisecond)
@@ -132,7 +132,7 @@
 	}, 5*time.Second, 5*time.Millisecond)
 }
 
-func TestMemoryOutlivesALossOfPower(t *testing.T) {
+func TestSavedStateSurvivesPowerLoss(t *testing.T) {
 	for _, id := range []string{"1", "2"} {
 		t.Run(id, func(t *testing.T) {
 			t.Parallel()
@@ -153,7 +153,7 @@
 			read.Exclude = func(t *balance.Target) bool { return t.ID != id }
 			start().Pick(read).Begin(choice.Work, balance.Trace{Key: "part-1"}).FirstEvent()
 			require.Eventually(t, func() bool {
-				traces := readMemory(file + syncedSuffix).Traces
+				traces := readState(file + syncedSuffix).Traces
 				return len(traces) == 1 && traces[0].ReadAt == id
 			}, 10*time.Second, 10*time.Millisecond)
 			require.NoError(t, os.WriteFile(file, []byte("torn"), 0o600))
--- a/loadshare/publisher.go
+++ b/loadshare/publisher.go
@@ -7,84 +7,85 @@
 	"github.com/walnutramp/walnutramp/balance"
 )
 
-// Times and bounds of a feed, at its publisher.
+// Timing and limits of a publisher.
 const (
-	// perSubscriber is the time for each subscriber in which news is gathered:
-	// it bounds a feed to 400 datagrams a second.
-	perSubscriber = 2500 * time.Microsecond
-	leastGather   = 10 * time.Millisecond
-	// regionGather is the shortest time in which news is gathered for another
-	// region: bytes between regions cost several times those between data halls,
-	// and a datagram's head is as long as a run's word. A choice that would need
-	// word that new stays in its region.
-	regionGather = 50 * time.Millisecond
-	// urgentShare is the part of that time in which urgent news is gathered: it
-	// comes in bursts, as when a data hall of engines ends.
-	urgentShare = 0.5
-	// heartbeat is how often a feed without news says that it is there.
-	heartbeat = 150 * time.Millisecond
-	// subscriptionLife is how long a subscription lasts that is not renewed.
-	subscriptionLife = 2500 * time.Millisecond
-	// countsEvery is the shortest time between two tellings of the counts.
-	countsEvery = 500 * time.Millisecond
-	// keptParts is how many datagrams of changes are kept for those that lose
-	// one, those of a second or more; againMost bounds what one question brings.
-	keptParts = 64
-	againMost = 8
-	// maxShortRuns bounds a part of a feed, of some 25 bytes a run.
-	maxShortRuns = 400
-	// maxFeedEnds bounds the notes of ends in a datagram, of some 25 bytes each.
-	// More come only with a lost data hall, of which one end each is too little to
-	// hold any request back.
-	maxFeedEnds = 200
+	// perSubscriberDelay is the batching delay per subscriber; it bounds a feed to
+	// 400 datagrams per second.
+	perSubscriberDelay = 2500 * time.Microsecond
+	minBatchDelay      = 10 * time.Millisecond
+	// regionBatchDelay is the minimum batching delay towards other regions, where
+	// traffic costs several times as much as between data halls and headers are as
+	// large as a run. Choices that need fresher data stay within their region.
+	regionBatchDelay = 50 * time.Millisecond
+	// eventDelayFactor scales the batching delay for target events. Some batching
+	// remains, since events come in bursts, as when a data hall fails.
+	eventDelayFactor = 0.5
+	// heartbeatInterval is the time between datagrams of a feed without changes.
+	heartbeatInterval = 150 * time.Millisecond
+	// subscriptionTimeout is how long a subscription lasts without renewal.
+	subscriptionTimeout = 2500 * time.Millisecond
+	// countsInterval is the minimum time between datagrams with counts.
+	countsInterval = 500 * time.Millisecond
+	// resendBuffer is how many datagrams are kept for retransmission, at least a
+	// second's worth; maxResend bounds the retransmissions per request.
+	resendBuffer = 64
+	maxResend    = 8
+	// maxDatagramRuns bounds the runs in a feed datagram, of about 25 bytes each.
+	maxDatagramRuns = 400
+	// maxFeedCrashes bounds the crash reports in a datagram, of about 25 bytes each.
+	// Only the failure of a data hall exceeds it, with one crash per content, which
+	// is too few to quarantine any.
+	maxFeedCrashes = 200
 )
 
-// urgent is news of targets that can't wait.
-type urgent struct {
+// targetEvents are failures of targets, which are sent with a shorter delay.
+type targetEvents struct {
 	ended, suspects, silent []string
-	ends                    []endNote // that nobody told before
+	crashes                 []crashReport // new to this node
 }
 
-func (u urgent) empty() bool { return len(u.ended)+len(u.suspects)+len(u.silent)+len(u.ends) == 0 }
+func (e targetEvents) empty() bool {
+	return len(e.ended)+len(e.suspects)+len(e.silent)+len(e.crashes) == 0
+}
 
-// publisher tells the subscribers of a feed what changes.
+// publisher sends changes to the subscribers of a feed.
 type publisher struct {
-	scope       scope
-	region      string        // of scopeRegion
-	least       time.Duration // shortest time in which news is gathered
-	changed     chan struct{}
-	number      uint64     // of the newest datagram of changes
-	kept        []feedPart // the newest datagrams of changes
-	pending     []section
-	news        urgent
-	told        map[newsKey]time.Time  // urgent news: when it was told on
-	countsAt    time.Time              // when the counts were told last
-	gravesAt    time.Time              // when the ends of contents that are held back were
-	subscribers map[string]*subscriber // by address
+	scope            scope
+	region           string        // of scopeRegion
+	minDelay         time.Duration // minimum batching delay
+	changed          chan struct{}
+	sequence         uint64         // of the newest change datagram
+	sent             []feedDatagram // newest change datagrams, for retransmission
+	pending          []nodeDelta
+	events           targetEvents
+	sentEvents       map[eventKey]time.Time // when each target event was last sent
+	countsSentAt     time.Time              // when counts were last sent
+	quarantineSentAt time.Time              // when crash reports of quarantined contents were last sent
+	subscribers      map[string]*subscriber // by address
 }
 
 type subscriber struct {
-	at    time.Time // when it subscribed last
-	whole bool      // it is to be told everything
+	renewedAt     time.Time // time of the last subscribe request
+	needsSnapshot bool      // a snapshot is pending
 }
 
 func newPublisher(s scope) *publisher {
-	return &publisher{scope: s, least: leastGather, changed: make(chan struct{}, 1), told: map[newsKey]time.Time{}, subscribers: map[string]*subscriber{}}
+	return &publisher{scope: s, minDelay: minBatchDelay, changed: make(chan struct{}, 1), sentEvents: map[eventKey]time.Time{}, subscribers: map[string]*subscriber{}}
 }
 
-// newRegionPublisher returns the publisher of a region: the own one, of which
-// other regions are told, or another one, of which the own region is told.
+// newRegionPublisher returns the publisher of a region's runs: of this node's region
+// to other regions, or of another region to relays of this one.
 func newRegionPublisher(region string, own bool) *publisher {
 	p := newPublisher(scopeRegion)
 	p.region = region
 	if own {
-		p.least = regionGather
+		p.minDelay = regionBatchDelay
 	}
 	return p
 }
 
-// covers reports whether a node's runs are told.
-func (p *publisher) covers(o *origin) bool {
+// includes reports whether the feed carries a node's runs.
+func (p *publisher) includes(o *origin) bool {
 	switch p.scope {
 	case scopeHall:
 		return o.local
@@ -101,193 +102,189 @@
 	}
 }
 
-// add puts a change in the next datagram.
-func (p *publisher) add(s section) {
+// add queues a change for the next datagram.
+func (p *publisher) add(delta nodeDelta) {
 	if len(p.subscribers) == 0 {
 		return
 	}
-	p.pending = append(p.pending, s)
+	p.pending = append(p.pending, delta)
 	p.wake()
 }
 
-// newsKind says what happened to a target.
-type newsKind int
+// eventKind is the kind of a target event.
+type eventKind int
 
 const (
-	newsEnded newsKind = iota
-	newsSuspect
-	newsSilent
+	eventEnded eventKind = iota
+	eventSuspect
+	eventSilent
 )
 
-// newsKey names a piece of urgent news.
-type newsKey struct {
-	kind   newsKind
+type eventKey struct {
+	kind   eventKind
 	target string
 }
 
-// addUrgent puts news that was not told lately in the next datagram.
-func (p *publisher) addUrgent(u urgent, now time.Time) {
-	p.news.ended = append(p.news.ended, p.untold(newsEnded, u.ended, now)...)
-	p.news.suspects = append(p.news.suspects, p.untold(newsSuspect, u.suspects, now)...)
-	p.news.silent = append(p.news.silent, p.untold(newsSilent, u.silent, now)...)
-	p.news.ends = append(p.news.ends, u.ends...)
-	if !p.news.empty() {
+// addEvents queues events that were not sent recently for the next datagram.
+func (p *publisher) addEvents(e targetEvents, now time.Time) {
+	p.events.ended = append(p.events.ended, p.notRecentlySent(eventEnded, e.ended, now)...)
+	p.events.suspects = append(p.events.suspects, p.notRecentlySent(eventSuspect, e.suspects, now)...)
+	p.events.silent = append(p.events.silent, p.notRecentlySent(eventSilent, e.silent, now)...)
+	p.events.crashes = append(p.events.crashes, e.crashes...)
+	if !p.events.empty() {
 		p.wake()
 	}
 }
 
-// urgentLife is how long news of a target counts as told: those that find out
-// for themselves within it tell nothing new. It is shorter than the time for
-// which such news counts (suspectLife and refusedLife of package balance).
-const urgentLife = 2500 * time.Millisecond
+// eventDedupTime is how long repeated reports of a target event are suppressed. It is
+// shorter than the lifetime of such events (suspectLife and refusedLife of package
+// balance).
+const eventDedupTime = 2500 * time.Millisecond
 
-func (p *publisher) untold(kind newsKind, ids []string, now time.Time) []string {
+func (p *publisher) notRecentlySent(kind eventKind, targets []string, now time.Time) []string {
 	var fresh []string
-	for _, id := range ids {
-		if key := (newsKey{kind, id}); now.Sub(p.told[key]) > urgentLife {
-			p.told[key] = now
-			fresh = append(fresh, id)
+	for _, target := range targets {
+		if key := (eventKey{kind, target}); now.Sub(p.sentEvents[key]) > eventDedupTime {
+			p.sentEvents[key] = now
+			fresh = append(fresh, target)
 		}
 	}
 	return fresh
 }
 
-// subscribe notes a subscriber, until it is not heard of for a while. It
-// returns the datagrams that the subscriber lost, as far as they are kept; if
-// they are not, everything is told.
-func (p *publisher) subscribe(address string, q *subscribe, now time.Time) (again []feedPart) {
+// subscribe adds or renews a subscriber. It returns the datagrams to retransmit; if
+// those lost are no longer buffered, a snapshot is scheduled.
+func (p *publisher) subscribe(address string, req *subscribeRequest, now time.Time) (resend []feedDatagram) {
 	s := p.subscribers[address]
 	if s == nil {
-		s = &subscriber{whole: true}
+		s = &subscriber{needsSnapshot: true}
 		p.subscribers[address] = s
 	}
-	s.at = now
-	if q.From > 0 && !s.whole {
-		if again = p.since(q.From); again == nil {
-			s.whole = true
+	s.renewedAt = now
+	if req.ResendFrom > 0 && !s.needsSnapshot {
+		if resend = p.sentSince(req.ResendFrom); resend == nil {
+			s.needsSnapshot = true
 		}
 	}
-	s.whole = s.whole || q.Whole
-	if s.whole {
+	s.needsSnapshot = s.needsSnapshot || req.Snapshot
+	if s.needsSnapshot {
 		p.wake()
 	}
-	return again
+	return resend
 }
 
-// since returns the datagrams of changes from a number on, nil if they are not
-// kept.
-func (p *publisher) since(number uint64) []feedPart {
-	first := p.number + 1 - uint64(len(p.kept))
-	if number < first || number > p.number {
+// sentSince returns up to maxResend change datagrams from a sequence number on, nil if
+// they are not buffered.
+func (p *publisher) sentSince(number uint64) []feedDatagram {
+	first := p.sequence + 1 - uint64(len(p.sent))
+	if number < first || number > p.sequence {
 		return nil
 	}
-	again := p.kept[number-first:]
-	return again[:min(againMost, len(again))]
+	resend := p.sent[number-first:]
+	return resend[:min(maxResend, len(resend))]
 }
 
-// forget drops what nobody wants to be told.
-func (p *publisher) forget() { p.pending, p.news = nil, urgent{} }
+// discardPending discards queued changes and events.
+func (p *publisher) discardPending() { p.pending, p.events = nil, targetEvents{} }
 
-// expire drops subscribers that have gone, and news told long ago.
+// expire drops subscribers that timed out, and expired entries of sentEvents.
 func (p *publisher) expire(now time.Time) {
-	maps.DeleteFunc(p.subscribers, func(_ string, s *subscriber) bool { return now.Sub(s.at) > subscriptionLife })
-	maps.DeleteFunc(p.told, func(_ newsKey, at time.Time) bool { return now.Sub(at) > urgentLife })
+	maps.DeleteFunc(p.subscribers, func(_ string, s *subscriber) bool { return now.Sub(s.renewedAt) > subscriptionTimeout })
+	maps.DeleteFunc(p.sentEvents, func(_ eventKey, at time.Time) bool { return now.Sub(at) > eventDedupTime })
 }
 
-// gather is how long changes are gathered before they are told.
-func (p *publisher) gather() time.Duration {
-	all := max(p.least, time.Duration(len(p.subscribers))*perSubscriber)
-	if !p.news.empty() {
-		all = time.Duration(urgentShare * float64(all))
+// batchDelay is how long changes are batched before they are sent.
+func (p *publisher) batchDelay() time.Duration {
+	delay := max(p.minDelay, time.Duration(len(p.subscribers))*perSubscriberDelay)
+	if !p.events.empty() {
+		delay = time.Duration(eventDelayFactor * float64(delay))
 	}
-	return max(leastGather, all)
+	return max(minBatchDelay, delay)
 }
 
-// countsDue reports whether the counts are to be told now.
-func (p *publisher) countsDue(now time.Time) bool { return now.Sub(p.countsAt) >= countsEvery }
+// countsDue reports whether counts are to be sent now.
+func (p *publisher) countsDue(now time.Time) bool { return now.Sub(p.countsSentAt) >= countsInterval }
 
-// gravesEvery is how often the ends of contents that are held back, or nearly are,
-// are told again with the counts. Who was told everything before the second of them
-// came knows nothing of the first: with one datagram in five lost, the nodes of a
-// data hall did not learn of it otherwise.
-const gravesEvery = 2 * time.Second
+// quarantineInterval is how often crash reports of contents that are quarantined, or
+// nearly so, are resent with the counts. Without it, nodes that lost one of the
+// reports might never quarantine the content.
+const quarantineInterval = 2 * time.Second
 
-// gravesDue reports whether these ends are to be told now.
-func (p *publisher) gravesDue(now time.Time) bool {
-	if !p.countsDue(now) || now.Sub(p.gravesAt) < gravesEvery {
+// quarantineDue reports whether these reports are to be sent now.
+func (p *publisher) quarantineDue(now time.Time) bool {
+	if !p.countsDue(now) || now.Sub(p.quarantineSentAt) < quarantineInterval {
 		return false
 	}
-	p.gravesAt = now
+	p.quarantineSentAt = now
 	return true
 }
 
-// flush returns the datagrams that tell what has changed, those who are told
-// them, and the newcomers that are told everything.
-func (p *publisher) flush(r *relay, counts map[string]balance.Count, now time.Time) (changes []feedPart, told, newcomers []string) {
-	first := feedPart{Scope: p.scope, Region: p.region, Ended: p.news.ended, Suspects: p.news.suspects, Silent: p.news.silent}
-	first.Ends, _ = cut(p.news.ends, maxFeedEnds)
+// flush returns the datagrams with the changes, their recipients, and the subscribers
+// that are to be sent a snapshot instead.
+func (p *publisher) flush(r *relay, counts map[string]balance.Count, now time.Time) (changes []feedDatagram, recipients, unsynced []string) {
+	first := feedDatagram{Scope: p.scope, Region: p.region, Ended: p.events.ended, Suspects: p.events.suspects, Silent: p.events.silent}
+	first.Crashes, _ = splitAt(p.events.crashes, maxFeedCrashes)
 	if p.countsDue(now) {
-		p.countsAt, first.Counts = now, counts
+		p.countsSentAt, first.Counts = now, counts
 	}
-	changes = p.parts(first, p.pending)
-	if len(p.pending) == 0 && p.news.empty() && first.Counts == nil {
-		changes[0].Number, changes[0].Beat = p.number, true
+	changes = p.datagrams(first, p.pending)
+	if len(p.pending) == 0 && p.events.empty() && first.Counts == nil {
+		changes[0].Sequence, changes[0].Heartbeat = p.sequence, true
 	} else {
 		for i := range changes {
-			p.number++
-			changes[i].Number = p.number
+			p.sequence++
+			changes[i].Sequence = p.sequence
 		}
-		p.kept = append(p.kept, changes...)
-		p.kept = p.kept[max(0, len(p.kept)-keptParts):]
+		p.sent = append(p.sent, changes...)
+		p.sent = p.sent[max(0, len(p.sent)-resendBuffer):]
 	}
-	p.forget()
+	p.discardPending()
 	for address, s := range p.subscribers {
-		if s.whole && r.mayTellWhole(p, now) {
-			s.whole = false
-			newcomers = append(newcomers, address)
+		if s.needsSnapshot && r.takeSnapshotBudget(p, now) {
+			s.needsSnapshot = false
+			unsynced = append(unsynced, address)
 			continue
 		}
-		told = append(told, address) // a newcomer that waits still takes urgent news
-		if s.whole {
+		recipients = append(recipients, address) // one that awaits a snapshot still handles events
+		if s.needsSnapshot {
 			p.wake()
 		}
 	}
-	return changes, told, newcomers
+	return changes, recipients, unsynced
 }
 
-// everything returns the datagrams that tell a new subscriber all there is,
-// the urgent news of late included.
-func (p *publisher) everything(r *relay, counts map[string]balance.Count, ends []endNote, now time.Time) []feedPart {
-	first := feedPart{Scope: p.scope, Region: p.region, Counts: counts, Ends: ends}
-	for key := range p.told {
+// snapshot returns the datagrams of the full state, recent target events included.
+func (p *publisher) snapshot(r *relay, counts map[string]balance.Count, crashes []crashReport, now time.Time) []feedDatagram {
+	first := feedDatagram{Scope: p.scope, Region: p.region, Counts: counts, Crashes: crashes}
+	for key := range p.sentEvents {
 		switch key.kind {
-		case newsEnded:
+		case eventEnded:
 			first.Ended = append(first.Ended, key.target)
-		case newsSuspect:
+		case eventSuspect:
 			first.Suspects = append(first.Suspects, key.target)
-		case newsSilent:
+		case eventSilent:
 			first.Silent = append(first.Silent, key.target)
 		}
 	}
-	parts := p.parts(first, r.whole(p, now))
+	parts := p.datagrams(first, r.fullDeltas(p, now))
 	for i := range parts {
-		parts[i].Number, parts[i].Part, parts[i].Parts = p.number, i, len(parts)
+		parts[i].Sequence, parts[i].Part, parts[i].Parts = p.sequence, i, len(parts)
 	}
 	return parts
 }
 
-// parts spreads sections over datagrams, of which the first is given.
-func (p *publisher) parts(first feedPart, sections []section) []feedPart {
-	parts := []feedPart{first}
+// datagrams distributes deltas over datagrams, starting with the given first one.
+func (p *publisher) datagrams(first feedDatagram, deltas []nodeDelta) []feedDatagram {
+	parts := []feedDatagram{first}
 	size := 0
-	for _, s := range sections {
-		n := 1 + len(s.Runs) + len(s.Over)/2
-		if size > 0 && size+n > maxShortRuns {
-			parts = append(parts, feedPart{Scope: p.scope, Region: p.region})
+	for _, s := range deltas {
+		n := 1 + len(s.Runs) + len(s.Finished)/2
+		if size > 0 && size+n > maxDatagramRuns {
+			parts = append(parts, feedDatagram{Scope: p.scope, Region: p.region})
 			size = 0
 		}
 		last := &parts[len(parts)-1]
-		last.Sections = append(last.Sections, s)
+		last.Deltas = append(last.Deltas, s)
 		size += n
 	}
 	return parts
--- a/loadshare/regions.go
+++ b/loadshare/regions.go
@@ -10,8 +10,8 @@
 	"github.com/walnutramp/walnutramp/topology"
 )
 
-// regionDelay is what a datagram takes to another region, about: a link within a
-// country takes some 10 ms one way.
+// regionDelay is the approximate one-way delay to another region; a link within a
+// country takes about 10 ms.
 const regionDelay = 15 * time.Millisecond
 
 // ownRegion returns the region of this node, empty on a site of one.
@@ -22,8 +22,8 @@
 	return s.regions.OwnRegion()
 }
 
-// regionOf returns the region of the nodes that a feed tells of. What a feed of
-// the whole site tells is not passed on by region.
+// regionOf returns the region of the nodes that a feed covers; empty for a feed of
+// the whole site, which is not forwarded by region.
 func (s *Sharer) regionOf(f *feed) string {
 	switch f.scope {
 	case scopeHall:
@@ -34,23 +34,22 @@
 	return ""
 }
 
-// regionLag is by how much word of other regions comes later than that of other
-// data halls: it is gathered for longer, and passes one relay more.
+// regionLag is the extra delay of updates from other regions compared to other data
+// halls: longer batching and one more relay hop.
 func (s *Sharer) regionLag(peers int) time.Duration {
 	switch {
 	case s.ownRegion() == "":
 		return 0
-	case throughRelays(peers+1, s.place.dataHall):
-		return regionGather + regionDelay + leastGather
+	case usesRelays(peers+1, s.location.dataHall):
+		return regionBatchDelay + regionDelay + minBatchDelay
 	}
 	return regionDelay
 }
 
-// knowsFor reports whether this node has what a publisher tells. Word of another
-// region is told only while that region is heard, and not from relays that have it
-// from others: who subscribed finds the feed silent, and asks the next relay. The
-// caller holds relayMu.
-func (s *Sharer) knowsFor(p *publisher, l *layout, now time.Time) bool {
+// hasDataFor reports whether this node has current data for a publisher. Data of
+// another region is published only while it arrives from a relay of that region;
+// otherwise the feed stays silent and subscribers fail over. The caller holds relayMu.
+func (s *Sharer) hasDataFor(p *publisher, l *layout, now time.Time) bool {
 	if p.scope != scopeRegion || p.region == s.ownRegion() {
 		return true
 	}
@@ -58,7 +57,7 @@
 	return f != nil && f.current(now) && slices.Contains(l.relaysIn(p.region), f.source)
 }
 
-// addRegions has the bytes to each other region counted.
+// addRegions adds a byte counter for each other region.
 func (c *counters) addRegions(m topology.Map) {
 	if !m.Several() {
 		return
@@ -71,26 +70,26 @@
 	}
 }
 
-// countRegions counts a datagram to each of some peers by their region. Peers
-// whose data hall is not known yet are not counted.
+// countRegions counts the bytes of a datagram by region of each recipient. Peers whose
+// data hall is not known are not counted.
 func (s *Sharer) countRegions(peers []*net.UDPAddr, size int) {
-	if s.count.regions == nil {
+	if s.counters.regions == nil {
 		return
 	}
-	regions := s.layoutNow().regionOfPeer
+	regions := s.currentLayout().regionOfPeer
 	for _, peer := range peers {
 		at := peer.AddrPort()
 		at = netip.AddrPortFrom(at.Addr().Unmap(), at.Port())
-		if bytes := s.count.regions[regions[at]]; bytes != nil {
+		if bytes := s.counters.regions[regions[at]]; bytes != nil {
 			bytes.Add(int64(size))
 		}
 	}
 }
 
-// regionsOfPeers returns the regions of nodes by address.
-func (l *layout) regionsOfPeers(places map[string]place) map[netip.AddrPort]string {
-	regions := make(map[netip.AddrPort]string, len(places))
-	for address, p := range places {
+// regionsOfPeers returns the region of each node by address.
+func (l *layout) regionsOfPeers(locations map[string]location) map[netip.AddrPort]string {
+	regions := make(map[netip.AddrPort]string, len(locations))
+	for address, p := range locations {
 		if at, err := netip.ParseAddrPort(address); err == nil && p.dataHall != "" {
 			regions[at] = l.regionOf(p.dataHall)
 		}
--- a/loadshare/regions_test.go
+++ b/loadshare/regions_test.go
@@ -15,21 +15,20 @@
 )
 
 const (
-	regionNodes = 72
-	regionHalls = 6
-	// farDelay is the way between the regions of a test.
-	farDelay = 12 * time.Millisecond
-	// knownWithin is how long it takes until a run is known in all regions.
-	knownWithin = 300 * time.Millisecond
-	// importerLost is how long it takes until the next importer is asked: it and
-	// its subscribers notice one after the other.
-	importerLost = 2*feedSilence + 600*time.Millisecond
-	// askedOnce is how long nodes that start together take until each region is
-	// taken in once: what was asked of others at first has run out then.
-	askedOnce = settleTime + subscriptionLife
+	regionNodes       = 72
+	regionHalls       = 6
+	regionOneWayDelay = 12 * time.Millisecond
+	// propagationTimeout is how long a run takes to become known in all regions.
+	propagationTimeout = 300 * time.Millisecond
+	// importerFailover is how long a switch to the next importer takes: the importer
+	// and its subscribers time out one after the other.
+	importerFailover = 2*feedTimeout + 600*time.Millisecond
+	// importSettleTime is how long nodes that start together take until each region
+	// is imported once: by then the first, surplus subscriptions have expired.
+	importSettleTime = settleTime + subscriptionTimeout
 )
 
-// threeRegions are the regions of a test's halls.
+// threeRegions maps the data halls of a test to regions.
 func threeRegions() map[string]string {
 	regions := map[string]string{}
 	for i := range regionHalls {
@@ -53,18 +52,17 @@
 		if region[from] == region[to] {
 			return datagramDelay
 		}
-		return farDelay
+		return regionOneWayDelay
 	}
 	s.network.mu.Unlock()
 	s.setPeers()
 	return s
 }
 
-// region returns the region of the node at an address.
 func (s *siteOf) region(address string) string { return s.byAddress(address).regions.OwnRegion() }
 
-// cross has datagrams between regions dropped that a function names.
-func (s *siteOf) cross(drop func(from, to string) bool) {
+// dropBetweenRegions drops the datagrams between regions that drop selects.
+func (s *siteOf) dropBetweenRegions(drop func(from, to string) bool) {
 	s.network.mu.Lock()
 	defer s.network.mu.Unlock()
 	regions := map[string]string{}
@@ -74,43 +72,42 @@
 	s.network.drop = func(from, to string) bool { return regions[from] != regions[to] && drop(regions[from], regions[to]) }
 }
 
-// importer returns the relay of a region that takes in another one.
+// importer returns the relay of a region that imports another one.
 func (s *siteOf) importer(of, from string) *siteNode {
 	i := slices.IndexFunc(s.nodes, func(n *siteNode) bool { return n.regions.OwnRegion() == of })
-	return s.byAddress(s.nodes[i].layoutNow().importers(from)[0])
+	return s.byAddress(s.nodes[i].currentLayout().importers(from)[0])
 }
 
-// nodeIn returns a node of a region that relays nothing.
-func (s *siteOf) nodeIn(region string) *siteNode {
+// nonRelayIn returns a node of a region that is not a relay.
+func (s *siteOf) nonRelayIn(region string) *siteNode {
 	i := slices.IndexFunc(s.nodes, func(n *siteNode) bool {
-		return n.regions.OwnRegion() == region && !n.layoutNow().isRelay()
+		return n.regions.OwnRegion() == region && !n.currentLayout().isRelay()
 	})
 	return s.nodes[i]
 }
 
-func TestRunsAreKnownInAllRegions(t *testing.T) {
+func TestRunsReachAllRegions(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newRegionSite(t)
 		defer s.close()
 		time.Sleep(settleTime)
 		run := s.nodes[7].begin("i-5", "")
-		time.Sleep(knownWithin)
-		require.Equal(t, regionNodes, s.see("i-5"))
-		time.Sleep(4 * time.Second) // longer than word counts that is not renewed
-		require.Equal(t, regionNodes, s.see("i-5"))
+		time.Sleep(propagationTimeout)
+		require.Equal(t, regionNodes, s.nodesThatSee("i-5"))
+		time.Sleep(4 * time.Second) // longer than unrenewed state stays valid
+		require.Equal(t, regionNodes, s.nodesThatSee("i-5"))
 		run.End(balance.RunEnd{})
-		time.Sleep(knownWithin)
-		require.Zero(t, s.see("i-5"))
+		time.Sleep(propagationTimeout)
+		require.Zero(t, s.nodesThatSee("i-5"))
 	})
 }
 
-// Word of a region enters another one once: bytes between regions cost several
-// times those between data halls.
-func TestOneRelayTakesInAnotherRegion(t *testing.T) {
+// Updates must cross between two regions only once, since that traffic is expensive.
+func TestEachRegionHasOneImporterPerRegion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newRegionSite(t)
 		defer s.close()
-		time.Sleep(askedOnce)
+		time.Sleep(importSettleTime)
 		crossings := map[string]int{}
 		for _, n := range s.nodes {
 			n.relayMu.Lock()
@@ -128,13 +125,13 @@
 	})
 }
 
-// crossingBytes has a site work for five seconds and returns the bytes a second
-// that pass between regions.
-func crossingBytes(t *testing.T, told bool) int {
+// crossRegionBytesPerSecond runs a site under load for five seconds and returns the
+// bytes per second sent between regions.
+func crossRegionBytesPerSecond(t *testing.T, withTopology bool) int {
 	total := 0
 	synctest.Test(t, func(t *testing.T) {
 		s := newRegionSite(t)
-		if !told { // they are three regions all the same
+		if !withTopology { // the same regions and delays, unknown to the nodes
 			s.close()
 			region := s.network.delay
 			s = &siteOf{t: t, network: newDatagramNet()}
@@ -147,9 +144,9 @@
 			s.setPeers()
 		}
 		defer s.close()
-		time.Sleep(askedOnce)
+		time.Sleep(importSettleTime)
 		s.network.mu.Lock()
-		s.network.crossed = 0
+		s.network.crossRegionBytes = 0
 		s.network.mu.Unlock()
 		for round := range 50 {
 			for i := range 3 {
@@ -161,22 +158,22 @@
 			time.Sleep(100 * time.Millisecond)
 		}
 		s.network.mu.Lock()
-		total = s.network.crossed / 5
+		total = s.network.crossRegionBytes / 5
 		s.network.mu.Unlock()
 	})
 	return total
 }
 
-func TestBytesBetweenRegionsAreFew(t *testing.T) {
-	before, now := crossingBytes(t, false), crossingBytes(t, true)
-	t.Logf("30 runs a second, %d nodes: %d bytes a second between regions that are not told apart, %d between those that are",
+func TestTopologyReducesCrossRegionTraffic(t *testing.T) {
+	before, now := crossRegionBytesPerSecond(t, false), crossRegionBytesPerSecond(t, true)
+	t.Logf("30 runs per second, %d nodes: %d bytes per second between regions without topology, %d with topology",
 		regionNodes, before, now)
 	require.Less(t, now, before/4)
 }
 
-func TestNextImporterTakesOver(t *testing.T) {
-	lose := map[string]func(s *siteOf, lost *siteNode){
-		"cut off": func(s *siteOf, lost *siteNode) { s.cutOff(lost) },
+func TestImporterFailover(t *testing.T) {
+	failures := map[string]func(s *siteOf, lost *siteNode){
+		"cut off": func(s *siteOf, lost *siteNode) { s.isolate(lost) },
 		"frozen":  func(_ *siteOf, lost *siteNode) { lost.conn.freeze() },
 		"not heard": func(s *siteOf, lost *siteNode) {
 			s.network.drop = func(from, _ string) bool { return from == lost.conn.address }
@@ -191,118 +188,118 @@
 			}
 		},
 	}
-	for name, how := range lose {
+	for name, fail := range failures {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				s := newRegionSite(t)
 				defer s.close()
 				time.Sleep(settleTime)
 				lost := s.importer("region-0", "region-1")
-				how(s, lost)
-				time.Sleep(importerLost)
-				run := s.nodeIn("region-1").begin("i-5", "")
-				time.Sleep(knownWithin)
-				begun := s.othersSee("i-5", lost)
+				fail(s, lost)
+				time.Sleep(importerFailover)
+				run := s.nonRelayIn("region-1").begin("i-5", "")
+				time.Sleep(propagationTimeout)
+				seenRunning := s.othersThatSee("i-5", lost)
 				run.End(balance.RunEnd{})
-				time.Sleep(knownWithin)
-				over := s.othersSee("i-5", lost)
-				if name == "frozen" { // else it would not end
+				time.Sleep(propagationTimeout)
+				seenEnded := s.othersThatSee("i-5", lost)
+				if name == "frozen" { // otherwise it would not shut down
 					lost.conn.thaw()
 				}
-				require.Equal(t, regionNodes-1, begun)
-				require.Zero(t, over)
+				require.Equal(t, regionNodes-1, seenRunning)
+				require.Zero(t, seenEnded)
 				if name == "frozen" {
 					time.Sleep(settleTime)
-					require.Zero(t, s.see("i-5"), "its old word counts for nothing")
+					require.Zero(t, s.nodesThatSee("i-5"), "its stale state is ignored")
 				}
 			})
 		})
 	}
 }
 
-// A region that is cut off goes on with what it knows of itself. What it had told
-// others counts for a while only, and what it was told last must not outlive the
-// cut.
-func TestRegionThatIsCutOffAndReturns(t *testing.T) {
+// A partitioned region keeps working on its own state. State exchanged before the
+// partition must expire on both sides and not reappear afterwards.
+func TestRegionPartitionAndRecovery(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newRegionSite(t)
 		defer s.close()
 		time.Sleep(settleTime)
-		old := s.nodeIn("region-1").begin("i-5", "")
-		time.Sleep(knownWithin)
-		require.Equal(t, regionNodes, s.see("i-5"))
-		s.cross(func(from, to string) bool { return from == "region-1" || to == "region-1" })
-		time.Sleep(originLife + 2*feedSilence)
-		require.Equal(t, regionNodes/3, s.see("i-5"), "others do not know of it any more")
+		old := s.nonRelayIn("region-1").begin("i-5", "")
+		time.Sleep(propagationTimeout)
+		require.Equal(t, regionNodes, s.nodesThatSee("i-5"))
+		s.dropBetweenRegions(func(from, to string) bool { return from == "region-1" || to == "region-1" })
+		time.Sleep(originTimeout + 2*feedTimeout)
+		require.Equal(t, regionNodes/3, s.nodesThatSee("i-5"), "expired in the other regions")
 		old.End(balance.RunEnd{})
-		there := s.nodeIn("region-1").begin("i-6", "")
-		here := s.nodeIn("region-0").begin("i-7", "")
-		time.Sleep(knownWithin)
-		require.Equal(t, regionNodes/3, s.see("i-6"))
-		require.Equal(t, 2*regionNodes/3, s.see("i-7"))
+		there := s.nonRelayIn("region-1").begin("i-6", "")
+		here := s.nonRelayIn("region-0").begin("i-7", "")
+		time.Sleep(propagationTimeout)
+		require.Equal(t, regionNodes/3, s.nodesThatSee("i-6"))
+		require.Equal(t, 2*regionNodes/3, s.nodesThatSee("i-7"))
 		here.End(balance.RunEnd{})
-		s.cross(func(string, string) bool { return false })
-		time.Sleep(missedTime + feedSilence)
-		require.Zero(t, s.see("i-5"))
-		require.Equal(t, regionNodes, s.see("i-6"))
-		require.Zero(t, s.see("i-7"))
+		s.dropBetweenRegions(func(string, string) bool { return false })
+		time.Sleep(sourceBackoff + feedTimeout)
+		require.Zero(t, s.nodesThatSee("i-5"))
+		require.Equal(t, regionNodes, s.nodesThatSee("i-6"))
+		require.Zero(t, s.nodesThatSee("i-7"))
 		there.End(balance.RunEnd{})
 	})
 }
 
-func TestLossBetweenRegionsIsMadeGood(t *testing.T) {
+func TestRecoveryFromPacketLossBetweenRegions(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newRegionSite(t)
 		defer s.close()
 		rng := rand.New(rand.NewPCG(1, 2))
 		time.Sleep(settleTime)
-		s.cross(func(string, string) bool { return rng.Float64() < 0.05 })
+		s.dropBetweenRegions(func(string, string) bool { return rng.Float64() < 0.05 })
 		for range 10 {
-			run := s.nodeIn("region-1").begin("i-5", "")
+			run := s.nonRelayIn("region-1").begin("i-5", "")
 			time.Sleep(time.Second)
-			require.Equal(t, regionNodes, s.see("i-5"))
+			require.Equal(t, regionNodes, s.nodesThatSee("i-5"))
 			run.End(balance.RunEnd{})
 			time.Sleep(time.Second)
-			require.Zero(t, s.see("i-5"))
+			require.Zero(t, s.nodesThatSee("i-5"))
 		}
 	})
 }
 
-// Traces stay in the region of their run; who asks anywhere finds them.
-func TestTracesOfAnotherRegionAreFoundWhereTheyAreAskedFor(t *testing.T) {
+// Traces are stored in the region of their run, where only FindAnywhere looks from
+// other regions.
+func TestFindAnywhereFetchesTraceOfAnotherRegion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newRegionSite(t)
 		defer s.close()
 		time.Sleep(settleTime)
-		run := s.nodeIn("region-1").begin("i-5", "part-1")
+		run := s.nonRelayIn("region-1").begin("i-5", "part-1")
 		run.FirstEvent()
 		run.SetCopy("i-6", "run-1")
 		time.Sleep(50 * time.Millisecond)
-		for _, holder := range s.nodeIn("region-1").layoutNow().holders("part-1") {
+		for _, holder := range s.nonRelayIn("region-1").currentLayout().traceStoresOf("part-1") {
 			require.Equal(t, "region-1", s.region(holder))
 		}
-		there := s.nodeIn("region-1")
+		there := s.nonRelayIn("region-1")
 		there.Find(t.Context(), "part-1")
 		_, name := there.tracker.FindCopy("part-1")
 		require.Equal(t, "run-1", name)
-		here := s.nodeIn("region-0")
+		here := s.nonRelayIn("region-0")
 		here.Find(t.Context(), "part-1")
 		at, _ := here.tracker.FindCopy("part-1")
-		require.Nil(t, at, "a new request asks its own region only")
+		require.Nil(t, at, "Find queries this region only")
 		here.FindAnywhere(t.Context(), "part-1")
 		_, name = here.tracker.FindCopy("part-1")
 		require.Equal(t, "run-1", name)
 	})
 }
 
-// On a site of one region relays, keepers and subscriptions are those of a site
-// that knows no regions.
-func TestLayoutOfOneRegionKnowsNone(t *testing.T) {
-	places := map[string]place{}
+// With one region, relays, trace stores and subscriptions must match those of a site
+// without topology.
+func TestSingleRegionLayoutMatchesNoTopology(t *testing.T) {
+	places := map[string]location{}
 	one := map[string]string{}
 	for i := range regionNodes {
 		hall := fmt.Sprint("hall-", i%regionHalls)
-		places[addressOf(i)] = place{dataHall: hall, disk: i%10 == 0}
+		places[addressOf(i)] = location{dataHall: hall, disk: i%10 == 0}
 		one[hall] = "region"
 	}
 	own := addressOf(0)
@@ -318,9 +315,9 @@
 	for i := range 20 {
 		key := fmt.Sprint("key-", i)
 		rendezvous.Sort(disks, key)
-		require.Equal(t, disks[:traceHolders], with.holders(key))
-		require.Equal(t, with.holders(key), with.holdersAnywhere(key))
-		require.Equal(t, with.holders(key), without.holders(key))
+		require.Equal(t, disks[:traceReplicas], with.traceStoresOf(key))
+		require.Equal(t, with.traceStoresOf(key), with.traceStoresAnywhere(key))
+		require.Equal(t, with.traceStoresOf(key), without.traceStoresOf(key))
 	}
 	network := newDatagramNet()
 	s := New(network.listen(own), balance.NewTracker(balance.WithSeed(1)),
@@ -328,8 +325,8 @@
 		WithDataHall("hall-0"), WithTopology(topology.New("hall-0", one)))
 	require.Empty(t, s.relay.regions)
 	relay := newLayout(with.relays["hall-0"][0], places, topology.New("hall-0", one))
-	s.wantFeeds(relay, time.Now())
-	require.Len(t, s.feeds, regionHalls-1, "one of each other data hall")
+	s.updateFeeds(relay, time.Now())
+	require.Len(t, s.feeds, regionHalls-1, "one feed per other data hall")
 	for key := range s.feeds {
 		require.Equal(t, scopeHall, key.scope)
 	}
--- a/loadshare/relay.go
+++ b/loadshare/relay.go
@@ -9,60 +9,60 @@
 	"github.com/walnutramp/walnutramp/topology"
 )
 
-// Times and bounds of what a relay knows.
+// Timing and limits of a relay.
 const (
-	// originLife is how long a node's runs count after its last report.
-	originLife = 3 * time.Second
-	// reportLate is when a node's report is overdue: it comes every second.
-	reportLate = 1500 * time.Millisecond
-	// expireEvery is the pause between two looks for nodes that report no more.
-	expireEvery = 250 * time.Millisecond
-	// Repairs that fill a link lose more than they make good. So whoever is told
-	// everything takes from a budget, in runs and nodes of some 25 bytes: 0.2 MB a
-	// second of the 1.2 that the slowest links known of carry.
-	wholePerSecond  = 8000.0
-	wholeBudgetMost = 1600.0
+	// originTimeout is how long a node's runs stay valid after its last report.
+	originTimeout = 3 * time.Second
+	// reportTimeout is when a node's report is overdue; reports come every second.
+	reportTimeout = 1500 * time.Millisecond
+	// expireInterval is the time between checks for nodes that stopped reporting.
+	expireInterval = 250 * time.Millisecond
+	// Snapshots that saturate a link cause more loss than they repair. They are
+	// limited by a token bucket in runs and nodes, of about 25 bytes each: 0.2 MB/s
+	// of the 1.2 MB/s of the slowest supported links.
+	snapshotRate  = 8000.0
+	snapshotBurst = 1600.0
 )
 
-// origin is a node whose runs a relay knows.
+// origin is a node whose runs this relay knows.
 type origin struct {
-	local  bool      // of the own data hall: it reports here itself
-	region string    // its region; empty on a site of one
-	heard  time.Time // when it last reported
-	runs   map[uint64]originRun
-	counts map[string]balance.Count
+	local      bool      // of this data hall: it reports here directly
+	region     string    // empty on a site of one region
+	reportedAt time.Time // time of its last report
+	runs       map[uint64]originRun
+	counts     map[string]balance.Count
 }
 
 type originRun struct {
-	shortRun
-	at time.Time // when its age was that
+	compactRun
+	receivedAt time.Time // time to which AgeMS refers
 }
 
-// sameAs reports whether another word of a run tells nothing new. The number
-// alone does not say that it is the same one: its node may have started again.
-func (r originRun) sameAs(other shortRun) bool {
+// sameAs reports whether an update of a run changes nothing. The number alone does not
+// identify a run, since its node may have restarted.
+func (r originRun) sameAs(other compactRun) bool {
 	return r.Target == other.Target && r.Hold == other.Hold && (r.Read == 0) == (other.Read == 0) && r.Copy == other.Copy
 }
 
-// asOf returns a run with its age brought up to date.
-func (r originRun) asOf(now time.Time) shortRun {
+// asOf returns the run with its age as of now.
+func (r originRun) asOf(now time.Time) compactRun {
 	if r.Read > 0 {
-		r.AgeMS += now.Sub(r.at).Milliseconds()
+		r.AgeMS += now.Sub(r.receivedAt).Milliseconds()
 	}
-	return r.shortRun
+	return r.compactRun
 }
 
-// relay is what a node knows of others through reports and feeds, and what it
-// tells on. The sharer's relayMu guards it.
+// relay holds the runs of other nodes known from reports and feeds, and the publishers
+// that forward them. The sharer's relayMu guards it.
 type relay struct {
-	origins map[uint32]*origin
-	budget  float64    // for telling everything
-	filled  time.Time  // when the budget was worked out
-	expired time.Time  // when it was last looked for nodes that report no more
-	hall    *publisher // tells other halls of the own one
-	site    *publisher // tells the own hall of all
-	// regions tell other regions of the own one, and other relays of the own
-	// region of the others; none on a site of one region.
+	origins        map[uint32]*origin
+	snapshotBudget float64    // token bucket for snapshots
+	budgetAt       time.Time  // when the budget was last refilled
+	expiredAt      time.Time  // time of the last check for expired nodes
+	hall           *publisher // this hall's runs, for other halls
+	site           *publisher // all runs, for this hall
+	// regions holds a publisher per region: of this region for the others, and of
+	// the others for the relays of this one. Empty on a site of one region.
 	regions map[string]*publisher
 }
 
@@ -71,7 +71,7 @@
 		regions: map[string]*publisher{}}
 }
 
-// addRegions has all regions told of.
+// addRegions adds a publisher for each region.
 func (r *relay) addRegions(m topology.Map) {
 	if !m.Several() {
 		return
@@ -81,28 +81,27 @@
 	}
 }
 
-// publishers returns all publishers.
 func (r *relay) publishers() []*publisher {
 	return append([]*publisher{r.hall, r.site}, slices.Collect(maps.Values(r.regions))...)
 }
 
-// mayTellWhole takes what telling everything a publisher tells costs from the
-// budget; false if there is none left.
-func (r *relay) mayTellWhole(p *publisher, now time.Time) bool {
-	r.budget = min(wholeBudgetMost, r.budget+now.Sub(r.filled).Seconds()*wholePerSecond)
-	r.filled = now
-	if r.budget <= 0 {
+// takeSnapshotBudget charges a snapshot of a publisher to the budget; false if the
+// budget is exhausted.
+func (r *relay) takeSnapshotBudget(p *publisher, now time.Time) bool {
+	r.snapshotBudget = min(snapshotBurst, r.snapshotBudget+now.Sub(r.budgetAt).Seconds()*snapshotRate)
+	r.budgetAt = now
+	if r.snapshotBudget <= 0 {
 		return false
 	}
 	for _, o := range r.origins {
-		if p.covers(o) {
-			r.budget -= float64(1 + len(o.runs))
+		if p.includes(o) {
+			r.snapshotBudget -= float64(1 + len(o.runs))
 		}
 	}
 	return true
 }
 
-// publisherOf returns the publisher of a scope, nil for none.
+// publisherOf returns the publisher of a scope, nil if there is none.
 func (r *relay) publisherOf(s scope, region string) *publisher {
 	switch s {
 	case scopeHall:
@@ -115,55 +114,53 @@
 	return nil
 }
 
-// addUrgent passes on news that was heard by reports and feeds of the own region,
-// or by the feed of another one.
-func (r *relay) addUrgent(u urgent, region string, now time.Time) {
-	r.site.addUrgent(u, now)
+// addEvents forwards events that arrived from a region.
+func (r *relay) addEvents(e targetEvents, region string, now time.Time) {
+	r.site.addEvents(e, now)
 	if p := r.regions[region]; p != nil {
-		p.addUrgent(u, now)
+		p.addEvents(e, now)
 	}
 }
 
-// change brings the runs of a node of a region up to date and passes the change
-// on.
-func (r *relay) change(s section, local bool, region string, now time.Time) {
-	o := r.origins[s.Node]
-	if s.Gone {
+// applyDelta applies changes to the runs of a node and forwards them.
+func (r *relay) applyDelta(delta nodeDelta, local bool, region string, now time.Time) {
+	o := r.origins[delta.Node]
+	if delta.Removed {
 		if o != nil {
-			delete(r.origins, s.Node)
-			r.publish(s, o)
+			delete(r.origins, delta.Node)
+			r.publish(delta, o)
 		}
 		return
 	}
 	if o == nil {
 		o = &origin{runs: map[uint64]originRun{}}
-		r.origins[s.Node] = o
+		r.origins[delta.Node] = o
 	}
-	o.local, o.region, o.heard = local, region, now
-	for _, run := range s.Runs {
-		o.runs[run.Number] = originRun{shortRun: run, at: now}
+	o.local, o.region, o.reportedAt = local, region, now
+	for _, run := range delta.Runs {
+		o.runs[run.Number] = originRun{compactRun: run, receivedAt: now}
 	}
-	for _, number := range s.Over {
+	for _, number := range delta.Finished {
 		delete(o.runs, number)
 	}
-	r.publish(s, o)
+	r.publish(delta, o)
 }
 
-// publish passes on what changed of a node's runs.
-func (r *relay) publish(s section, of *origin) {
-	if len(s.Runs)+len(s.Over) == 0 && !s.Gone {
+// publish forwards changes of a node's runs to the publishers that include it.
+func (r *relay) publish(delta nodeDelta, of *origin) {
+	if len(delta.Runs)+len(delta.Finished) == 0 && !delta.Removed {
 		return
 	}
 	for _, p := range r.publishers() {
-		if p.covers(of) {
-			p.add(s)
+		if p.includes(of) {
+			p.add(delta)
 		}
 	}
 }
 
-// difference returns what a report changes of a node's runs.
-func (r *relay) difference(node uint32, runs []shortRun) section {
-	s := section{Node: node}
+// diff returns the changes that a report makes to a node's runs.
+func (r *relay) diff(node uint32, runs []compactRun) nodeDelta {
+	s := nodeDelta{Node: node}
 	live := make(map[uint64]bool, len(runs))
 	o := r.origins[node]
 	for _, run := range runs {
@@ -181,41 +178,41 @@
 	}
 	for number := range o.runs {
 		if !live[number] {
-			s.Over = append(s.Over, number)
+			s.Finished = append(s.Finished, number)
 		}
 	}
 	return s
 }
 
-// hears reports whether a node reports here itself: its own word is newer than
-// what a feed tells of it.
-func (r *relay) hears(node uint32, now time.Time) bool {
+// reportsHere reports whether a node reports here directly; its reports are newer than
+// what feeds carry.
+func (r *relay) reportsHere(node uint32, now time.Time) bool {
 	o := r.origins[node]
-	return o != nil && o.local && now.Sub(o.heard) <= reportLate
+	return o != nil && o.local && now.Sub(o.reportedAt) <= reportTimeout
 }
 
-// reportedOnce reports whether a node reported here and does not any more: what
-// a feed changes of its runs lacks what it had told here.
-func (r *relay) reportedOnce(node uint32, now time.Time) bool {
+// reportOverdue reports whether a node has stopped reporting here. Changes from a feed
+// are then incomplete, since they omit what the node reported directly.
+func (r *relay) reportOverdue(node uint32, now time.Time) bool {
 	o := r.origins[node]
-	return o != nil && o.local && now.Sub(o.heard) > reportLate
+	return o != nil && o.local && now.Sub(o.reportedAt) > reportTimeout
 }
 
-// runsOf returns the runs of a node as they stand.
-func (r *relay) runsOf(node uint32, now time.Time) []shortRun {
+// runsOf returns the runs of a node as of now.
+func (r *relay) runsOf(node uint32, now time.Time) []compactRun {
 	o := r.origins[node]
 	if o == nil {
 		return nil
 	}
-	runs := make([]shortRun, 0, len(o.runs))
+	runs := make([]compactRun, 0, len(o.runs))
 	for _, run := range o.runs {
 		runs = append(runs, run.asOf(now))
 	}
 	return runs
 }
 
-// names returns the nodes whose runs are known.
-func (r *relay) names() []string {
+// nodeNames returns the names of the nodes whose runs are known.
+func (r *relay) nodeNames() []string {
 	names := make([]string, 0, len(r.origins))
 	for node := range r.origins {
 		names = append(names, nodeName(node))
@@ -223,40 +220,40 @@
 	return names
 }
 
-// expire drops the nodes of the own hall that report no more.
-func (r *relay) expire(now time.Time) (gone []uint32) {
-	if now.Sub(r.expired) < expireEvery {
+// expire drops the nodes of this hall that stopped reporting, and returns them.
+func (r *relay) expire(now time.Time) (expired []uint32) {
+	if now.Sub(r.expiredAt) < expireInterval {
 		return nil
 	}
-	r.expired = now
+	r.expiredAt = now
 	for node, o := range r.origins {
-		if o.local && now.Sub(o.heard) > originLife {
-			gone = append(gone, node)
+		if o.local && now.Sub(o.reportedAt) > originTimeout {
+			expired = append(expired, node)
 		}
 	}
-	for _, node := range gone {
-		r.change(section{Node: node, Gone: true}, true, r.origins[node].region, now)
+	for _, node := range expired {
+		r.applyDelta(nodeDelta{Node: node, Removed: true}, true, r.origins[node].region, now)
 	}
-	return gone
+	return expired
 }
 
-// whole returns the runs of all nodes that a publisher tells of.
-func (r *relay) whole(p *publisher, now time.Time) []section {
-	var all []section
+// fullDeltas returns all runs of the nodes that a publisher includes.
+func (r *relay) fullDeltas(p *publisher, now time.Time) []nodeDelta {
+	var all []nodeDelta
 	for node, o := range r.origins {
-		if !p.covers(o) {
+		if !p.includes(o) {
 			continue
 		}
-		one := section{Node: node}
+		full := nodeDelta{Node: node}
 		for _, run := range o.runs {
-			one.Runs = append(one.Runs, run.asOf(now))
+			full.Runs = append(full.Runs, run.asOf(now))
 		}
-		all = append(all, one)
+		all = append(all, full)
 	}
 	return all
 }
 
-// counts sums what the nodes of the own hall told.
+// counts sums the counts reported by the nodes of this hall.
 func (r *relay) counts() map[string]balance.Count {
 	sum := map[string]balance.Count{}
 	for _, o := range r.origins {
--- a/loadshare/relaying.go
+++ b/loadshare/relaying.go
@@ -12,38 +12,39 @@
 	"github.com/walnutramp/walnutramp/internal/uptime"
 )
 
-// nodeName names a node to the tracker.
+// nodeName returns the name of a node in the tracker.
 func nodeName(short uint32) string { return strconv.FormatUint(uint64(short), 16) }
 
-// layoutNow returns the layout of the nodes that are known now.
-func (s *Sharer) layoutNow() *layout {
+// currentLayout returns the layout of the nodes known now.
+func (s *Sharer) currentLayout() *layout {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.layout == nil {
 		own := s.conn.LocalAddr().String()
-		places := map[string]place{own: s.place}
+		locations := map[string]location{own: s.location}
 		for address := range s.peers {
-			places[address] = place{}
-			if heard := s.heard[address]; heard != nil {
-				places[address] = heard.place
+			locations[address] = location{}
+			if state := s.senders[address]; state != nil {
+				locations[address] = state.location
 			}
 		}
-		s.layout = newLayout(own, places, s.regions)
+		s.layout = newLayout(own, locations, s.regions)
 	}
 	return s.layout
 }
 
-// notePlace takes where a sender stands. The caller holds the mutex.
-func (s *Sharer) notePlace(heard *sender, m *message) {
-	p := place{dataHall: m.DataHall, disk: m.Disk}
-	if m.DataHall == "" || p == heard.place {
+// updateLocation updates a sender's location from a message. The caller holds the
+// mutex.
+func (s *Sharer) updateLocation(state *sender, m *message) {
+	loc := location{dataHall: m.DataHall, disk: m.Disk}
+	if m.DataHall == "" || loc == state.location {
 		return
 	}
-	heard.place = p
+	state.location = loc
 	s.layout = nil
 }
 
-// addressesOf returns the peers with these addresses.
+// addressesOf returns the UDP addresses of the known peers among these.
 func (s *Sharer) addressesOf(addresses []string) []*net.UDPAddr {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -56,40 +57,41 @@
 	return peers
 }
 
-// shortRuns returns runs as feeds tell them. What broke off holds nothing.
-func shortRuns(runs []balance.Shared) []shortRun {
-	var short []shortRun
+// compactRuns converts runs to their feed encoding. Broken runs are omitted, since they
+// occupy nothing.
+func compactRuns(runs []balance.Shared) []compactRun {
+	var encoded []compactRun
 	for _, r := range runs {
 		if r.Broken {
 			continue
 		}
-		one := shortRun{Number: r.Number, Target: shortname.Of(r.Target), Read: r.Read, Hold: r.Hold, AgeMS: r.Age.Milliseconds()}
+		compact := compactRun{Number: r.Number, Target: shortname.Of(r.Target), Read: r.Read, Hold: r.Hold, AgeMS: r.Age.Milliseconds()}
 		if r.Trace.Copy != "" {
-			one.Copy = shortname.Of(r.Trace.Copy)
+			compact.Copy = shortname.Of(r.Trace.Copy)
 		}
-		short = append(short, one)
+		encoded = append(encoded, compact)
 	}
-	return short
+	return encoded
 }
 
-// passOn takes the report of a node of the own data hall, or of this one, for
-// those that are told by this node.
-func (s *Sharer) passOn(from string, runs []balance.Shared, counts map[string]balance.Count, u urgent) {
+// relayReport forwards the report of a node of this data hall, or of this node itself,
+// to subscribers.
+func (s *Sharer) relayReport(from string, runs []balance.Shared, counts map[string]balance.Count, events targetEvents) {
 	now := uptime.Now()
 	s.relayMu.Lock()
 	defer s.relayMu.Unlock()
 	node := shortname.Of(from)
 	region := s.ownRegion()
-	s.relay.change(s.relay.difference(node, shortRuns(runs)), true, region, now)
+	s.relay.applyDelta(s.relay.diff(node, compactRuns(runs)), true, region, now)
 	if len(counts) > 0 {
 		s.relay.origins[node].counts = counts
 	}
-	s.relay.addUrgent(u, region, now)
-	s.relay.hall.addUrgent(u, now)
+	s.relay.addEvents(events, region, now)
+	s.relay.hall.addEvents(events, now)
 }
 
-// takeFeed takes part of a feed that this node subscribed to.
-func (s *Sharer) takeFeed(from string, p *feedPart) {
+// handleFeed processes a datagram of a feed that this node subscribes to.
+func (s *Sharer) handleFeed(from string, p *feedDatagram) {
 	now := uptime.Now()
 	s.relayMu.Lock()
 	f := s.feedFrom(from, p)
@@ -97,29 +99,29 @@
 		s.relayMu.Unlock()
 		return
 	}
-	ends := s.takeEnds(p.Ends)
-	sections, ask := f.take(p, now)
-	if p.Parts == 0 && s.lackWhole(sections, now) {
-		f.synced, ask = false, true
+	crashes := s.mergeCrashes(p.Crashes)
+	deltas, requestNow := f.handle(p, now)
+	if p.Parts == 0 && s.needsSnapshot(deltas, now) {
+		f.synced, requestNow = false, true
 	}
-	if ask {
-		f.asked = time.Time{}
+	if requestNow {
+		f.requestedAt = time.Time{}
 	}
-	changed := s.applySections(f, sections, now)
-	s.relay.addUrgent(urgent{ended: p.Ended, suspects: p.Suspects, silent: p.Silent, ends: ends}, s.regionOf(f), now)
+	changed := s.applyDeltas(f, deltas, now)
+	s.relay.addEvents(targetEvents{ended: p.Ended, suspects: p.Suspects, silent: p.Silent, crashes: crashes}, s.regionOf(f), now)
 	s.relayMu.Unlock()
-	s.handOn(changed)
+	s.updateTracker(changed)
 	s.tracker.SetEnded(p.Ended)
 	s.tracker.SetSuspects(p.Suspects)
 	s.tracker.SetSilent(p.Silent)
-	if ask {
-		s.wakeTend()
+	if requestNow {
+		s.wakeMaintenance()
 	}
 }
 
-// feedFrom returns the feed of a source that a datagram is of, nil if there is
+// feedFrom returns the feed that a datagram of a source belongs to, nil if there is
 // none. The caller holds relayMu.
-func (s *Sharer) feedFrom(source string, p *feedPart) *feed {
+func (s *Sharer) feedFrom(source string, p *feedDatagram) *feed {
 	for _, f := range s.feeds {
 		if f.source == source && f.scope == p.Scope && f.region == p.Region {
 			return f
@@ -128,23 +130,23 @@
 	return nil
 }
 
-// lackWhole reports whether changes are told of a node of whose runs this one
-// was not told everything by the feed, since the node reported here then. The
-// caller holds relayMu.
-func (s *Sharer) lackWhole(sections []section, now time.Time) bool {
-	return slices.ContainsFunc(sections, func(one section) bool { return s.relay.reportedOnce(one.Node, now) })
+// needsSnapshot reports whether deltas concern a node that used to report here
+// directly, so that its earlier runs are missing from the feed's state. The caller
+// holds relayMu.
+func (s *Sharer) needsSnapshot(deltas []nodeDelta, now time.Time) bool {
+	return slices.ContainsFunc(deltas, func(delta nodeDelta) bool { return s.relay.reportOverdue(delta.Node, now) })
 }
 
-// applySections applies what a feed told, and returns the nodes whose runs it
-// changed as they stand now. The caller holds relayMu.
-func (s *Sharer) applySections(f *feed, sections []section, now time.Time) map[uint32][]shortRun {
-	changed := map[uint32][]shortRun{}
-	for _, one := range sections {
-		if one.Node == s.short || s.relay.hears(one.Node, now) {
+// applyDeltas applies the deltas of a feed, and returns the current runs of the nodes
+// that changed. The caller holds relayMu.
+func (s *Sharer) applyDeltas(f *feed, deltas []nodeDelta, now time.Time) map[uint32][]compactRun {
+	changed := map[uint32][]compactRun{}
+	for _, delta := range deltas {
+		if delta.Node == s.shortID || s.relay.reportsHere(delta.Node, now) {
 			continue
 		}
-		s.relay.change(one, false, s.regionOf(f), now)
-		changed[one.Node] = nil
+		s.relay.applyDelta(delta, false, s.regionOf(f), now)
+		changed[delta.Node] = nil
 	}
 	for node := range changed {
 		changed[node] = s.relay.runsOf(node, now)
@@ -152,23 +154,23 @@
 	return changed
 }
 
-// handOn gives the tracker the runs of nodes.
-func (s *Sharer) handOn(changed map[uint32][]shortRun) {
+// updateTracker passes the runs of nodes to the tracker.
+func (s *Sharer) updateTracker(changed map[uint32][]compactRun) {
 	for node, runs := range changed {
-		s.tracker.SetOthers(nodeName(node), s.longRuns(runs))
+		s.tracker.SetOthers(nodeName(node), s.expandRuns(runs))
 	}
 }
 
-// longRuns returns runs as the tracker takes them; those at targets that are
-// not listed are left out.
-func (s *Sharer) longRuns(short []shortRun) []balance.Shared {
-	names := make([]uint32, 0, 2*len(short))
-	for _, r := range short {
+// expandRuns converts runs from their feed encoding; those at unlisted targets are
+// omitted.
+func (s *Sharer) expandRuns(encoded []compactRun) []balance.Shared {
+	names := make([]uint32, 0, 2*len(encoded))
+	for _, r := range encoded {
 		names = append(names, r.Target, r.Copy)
 	}
 	ids := s.tracker.Lives(names)
 	var runs []balance.Shared
-	for i, r := range short {
+	for i, r := range encoded {
 		if ids[2*i] == "" {
 			continue
 		}
@@ -180,73 +182,73 @@
 	return runs
 }
 
-// takeSubscribe notes a subscriber, and tells it again what it lost.
-func (s *Sharer) takeSubscribe(from string, q *subscribe) {
+// handleSubscribe adds or renews a subscriber, and retransmits what it lost.
+func (s *Sharer) handleSubscribe(from string, req *subscribeRequest) {
 	s.relayMu.Lock()
-	var again []feedPart
-	if p := s.relay.publisherOf(q.Scope, q.Region); p != nil {
-		again = p.subscribe(from, q, uptime.Now())
+	var resend []feedDatagram
+	if p := s.relay.publisherOf(req.Scope, req.Region); p != nil {
+		resend = p.subscribe(from, req, uptime.Now())
 	}
 	s.relayMu.Unlock()
-	s.sendParts([]string{from}, again)
+	s.sendDatagrams([]string{from}, resend)
 }
 
-// publish tells the subscribers of a feed until ctx ends.
+// publish sends a feed to its subscribers until ctx ends.
 func (s *Sharer) publish(ctx context.Context, p *publisher) {
-	timer := time.NewTimer(heartbeat)
+	timer := time.NewTimer(heartbeatInterval)
 	defer timer.Stop()
 	for {
 		select {
 		case <-p.changed:
-			time.Sleep(s.gatherOf(p))
+			time.Sleep(s.batchDelayOf(p))
 		case <-timer.C:
 		case <-ctx.Done():
 			return
 		}
 		s.flush(p)
-		timer.Reset(heartbeat)
+		timer.Reset(heartbeatInterval)
 	}
 }
 
-func (s *Sharer) gatherOf(p *publisher) time.Duration {
+func (s *Sharer) batchDelayOf(p *publisher) time.Duration {
 	s.relayMu.Lock()
 	defer s.relayMu.Unlock()
-	return p.gather()
+	return p.batchDelay()
 }
 
-// flush sends what there is to tell.
+// flush sends the pending changes and snapshots of a feed.
 func (s *Sharer) flush(p *publisher) {
 	now := uptime.Now()
-	l := s.layoutNow()
+	l := s.currentLayout()
 	s.relayMu.Lock()
 	if len(p.subscribers) == 0 {
-		p.forget()
+		p.discardPending()
 		s.relayMu.Unlock()
 		return
 	}
-	if !s.knowsFor(p, l, now) {
+	if !s.hasDataFor(p, l, now) {
 		s.relayMu.Unlock()
 		return
 	}
-	if p.gravesDue(now) {
-		p.news.ends = append(p.news.ends, encodeEnds(s.ledger.Grave())...)
+	if p.quarantineDue(now) {
+		p.events.crashes = append(p.events.crashes, encodeCrashes(s.ledger.Grave())...)
 	}
 	var counts map[string]balance.Count
 	if p.countsDue(now) {
 		counts = s.countsOf(p)
 	}
-	changes, told, newcomers := p.flush(s.relay, counts, now)
-	var everything []feedPart
-	if len(newcomers) > 0 {
-		everything = p.everything(s.relay, s.countsOf(p), s.allEnds(), now)
-		s.count.whole.Add(int64(len(newcomers)))
+	changes, recipients, unsynced := p.flush(s.relay, counts, now)
+	var snapshot []feedDatagram
+	if len(unsynced) > 0 {
+		snapshot = p.snapshot(s.relay, s.countsOf(p), s.allCrashes(), now)
+		s.counters.snapshots.Add(int64(len(unsynced)))
 	}
 	s.relayMu.Unlock()
-	s.sendParts(told, changes)
-	s.sendParts(newcomers, everything)
+	s.sendDatagrams(recipients, changes)
+	s.sendDatagrams(unsynced, snapshot)
 }
 
-func (s *Sharer) sendParts(addresses []string, parts []feedPart) {
+func (s *Sharer) sendDatagrams(addresses []string, parts []feedDatagram) {
 	peers := s.addressesOf(addresses)
 	if len(peers) == 0 {
 		return
@@ -256,8 +258,8 @@
 	}
 }
 
-// countsOf sums the counts of the nodes that a publisher tells of. The caller
-// holds relayMu.
+// countsOf sums the counts of the nodes that a publisher includes. The caller holds
+// relayMu.
 func (s *Sharer) countsOf(p *publisher) map[string]balance.Count {
 	sum := map[string]balance.Count{}
 	if p.scope != scopeRegion || p.region == s.ownRegion() {
--- a/loadshare/sender.go
+++ b/loadshare/sender.go
@@ -6,36 +6,36 @@
 	"github.com/walnutramp/walnutramp/balance"
 )
 
-// sender is what another node told, kept up to date by its messages. A change
-// that was lost on the way is made good by the next full message.
+// sender is the state of another node as reported by its messages. Packet loss is
+// repaired by the next full message.
 type sender struct {
 	sequence uint64 // of its newest message
-	place    place
-	runs     map[uint64]heardRun
+	location location
+	runs     map[uint64]receivedRun
 }
 
-// heardRun is a run as its node told it.
-type heardRun struct {
+// receivedRun is a run as reported by its node.
+type receivedRun struct {
 	balance.Shared
-	at time.Time // when it was told
+	receivedAt time.Time // time of the report
 }
 
-// take applies a message and returns the sender's runs as they stand now.
-func (s *sender) take(m message, now time.Time) []balance.Shared {
+// apply applies a message and returns the sender's current runs.
+func (s *sender) apply(m message, now time.Time) []balance.Shared {
 	s.sequence = m.Sequence
 	if m.Full || s.runs == nil {
-		s.runs = make(map[uint64]heardRun, len(m.Runs))
+		s.runs = make(map[uint64]receivedRun, len(m.Runs))
 	}
 	for _, r := range m.Runs {
-		s.runs[r.Number] = heardRun{Shared: r.shared(), at: now}
+		s.runs[r.Number] = receivedRun{Shared: r.shared(), receivedAt: now}
 	}
-	for _, number := range m.Over {
+	for _, number := range m.Finished {
 		delete(s.runs, number)
 	}
 	runs := make([]balance.Shared, 0, len(s.runs))
 	for _, r := range s.runs {
 		if r.Read > 0 {
-			r.Age += now.Sub(r.at)
+			r.Age += now.Sub(r.receivedAt)
 		}
 		runs = append(runs, r.Shared)
 	}
--- a/loadshare/site_test.go
+++ b/loadshare/site_test.go
@@ -16,55 +16,55 @@
 	"github.com/walnutramp/walnutramp/topology"
 )
 
-// datagramNet carries datagrams between the nodes of a test, in virtual time.
+// datagramNet simulates a datagram network in virtual time.
 type datagramNet struct {
-	mu    sync.Mutex
-	conns map[string]*datagramConn
-	drop  func(from, to string) bool
-	sent  map[string]int // datagrams, by sender
-	bytes map[string]int // received, by receiver
-	delay func(from, to string) time.Duration
-
-	crossed int // bytes sent over links slower than those within a region
-	got     map[string]int
-	out     map[string]int // bytes sent, by sender
-
-	rate  float64            // bytes a second that a node's link passes; 0 for all
-	queue float64            // bytes that may wait there
-	wait  map[string]float64 // bytes that wait, by sender
-	at    map[string]time.Time
+	mu            sync.Mutex
+	conns         map[string]*datagramConn
+	drop          func(from, to string) bool
+	sent          map[string]int // datagrams sent, by sender
+	receivedBytes map[string]int // bytes received, by receiver
+	delay         func(from, to string) time.Duration
+
+	crossRegionBytes int // bytes sent between regions
+	received         map[string]int
+	sentBytes        map[string]int // bytes sent, by sender
+
+	bandwidth  float64            // of a node's link in bytes per second; 0 for unlimited
+	queueLimit float64            // size of the link's queue in bytes
+	queued     map[string]float64 // bytes in the queue, by sender
+	queuedAt   map[string]time.Time
 }
 
-// startCounting counts from now on.
+// startCounting resets the counters.
 func (n *datagramNet) startCounting() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	clear(n.sent)
-	clear(n.got)
-	clear(n.out)
+	clear(n.received)
+	clear(n.sentBytes)
 }
 
-// limit gives each node's link a bandwidth and a queue; what is too much is
-// lost.
+// limit sets the bandwidth and queue size of each node's link; datagrams that exceed
+// the queue are dropped.
 func (n *datagramNet) limit(rate, queue float64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.rate, n.queue = rate, queue
-	n.wait, n.at = map[string]float64{}, map[string]time.Time{}
+	n.bandwidth, n.queueLimit = rate, queue
+	n.queued, n.queuedAt = map[string]float64{}, map[string]time.Time{}
 }
 
-// full reports whether a sender's link can't take so much more.
+// full reports whether a datagram of this size exceeds the sender's queue.
 func (n *datagramNet) full(sender string, size int) bool {
-	if n.rate == 0 {
+	if n.bandwidth == 0 {
 		return false
 	}
 	now := time.Now()
-	drained := now.Sub(n.at[sender]).Seconds() * n.rate
-	n.wait[sender], n.at[sender] = max(0, n.wait[sender]-drained), now
-	if n.wait[sender]+float64(size) > n.queue {
+	drained := now.Sub(n.queuedAt[sender]).Seconds() * n.bandwidth
+	n.queued[sender], n.queuedAt[sender] = max(0, n.queued[sender]-drained), now
+	if n.queued[sender]+float64(size) > n.queueLimit {
 		return true
 	}
-	n.wait[sender] += float64(size)
+	n.queued[sender] += float64(size)
 	return false
 }
 
@@ -73,7 +73,7 @@
 func newDatagramNet() *datagramNet {
 	return &datagramNet{conns: map[string]*datagramConn{}, drop: func(string, string) bool { return false },
 		delay: func(string, string) time.Duration { return datagramDelay },
-		sent:  map[string]int{}, bytes: map[string]int{}, got: map[string]int{}, out: map[string]int{}}
+		sent:  map[string]int{}, receivedBytes: map[string]int{}, received: map[string]int{}, sentBytes: map[string]int{}}
 }
 
 type datagram struct {
@@ -111,8 +111,7 @@
 	return nil
 }
 
-// freeze has the node neither send nor hear until thaw; what it was sent is
-// still there then.
+// freeze blocks sending and receiving until thaw. Incoming datagrams stay queued.
 func (c *datagramConn) freeze() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -141,21 +140,21 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.sent[c.address]++
-	n.out[c.address] += len(p)
+	n.sentBytes[c.address] += len(p)
 	if n.delay(c.address, to.String()) > datagramDelay {
-		n.crossed += len(p)
+		n.crossRegionBytes += len(p)
 	}
 	target := n.conns[to.String()]
 	if target == nil || n.drop(c.address, to.String()) || n.full(c.address, len(p)) {
 		return len(p), nil
 	}
-	n.bytes[to.String()] += len(p)
-	n.got[to.String()]++
+	n.receivedBytes[to.String()] += len(p)
+	n.received[to.String()]++
 	data := slices.Clone(p)
 	time.AfterFunc(n.delay(c.address, to.String()), func() {
 		select {
 		case target.in <- datagram{from: c.address, data: data}:
-		default: // its buffer is full
+		default: // receive buffer full
 		}
 	})
 	return len(p), nil
@@ -172,7 +171,7 @@
 	}
 }
 
-// siteOf is a site of nodes in halls, with engines.
+// siteOf is a simulated site of nodes and engines in data halls.
 type siteOf struct {
 	t       *testing.T
 	network *datagramNet
@@ -189,7 +188,7 @@
 
 const siteEngines = 60
 
-// newSite starts nodes in so many halls; every tenth keeps traces.
+// newSite starts nodes in this many halls; every tenth has a state file.
 func newSite(t *testing.T, nodes, halls int) *siteOf {
 	s := &siteOf{t: t, network: newDatagramNet()}
 	for i := range nodes {
@@ -225,7 +224,7 @@
 		addresses = append(addresses, n.conn.address)
 	}
 	for _, n := range s.nodes {
-		n.SetPeers(peersAt(addresses))
+		n.SetPeers(peersFromAddresses(addresses))
 	}
 }
 
@@ -243,13 +242,13 @@
 	return list
 }
 
-// begin begins a run at an engine.
+// begin starts a run at an engine.
 func (n *siteNode) begin(engine string, key string) *balance.Run {
 	t := n.tracker.Pick(balance.Choice{Service: "s", Work: balance.Work{Read: 8000, Hold: 8000}, Exclude: func(t *balance.Target) bool { return t.ID != engine }})
 	return t.Begin(balance.Work{Read: 90000, Hold: 8000}, balance.Trace{Key: key})
 }
 
-// sees reports whether a node knows of work at an engine.
+// sees reports whether a node knows of a run at an engine.
 func (n *siteNode) sees(engine string) bool {
 	only := balance.Choice{Service: "s", Work: balance.Work{Read: 8000, Hold: 8000}, Exclude: func(t *balance.Target) bool { return t.ID != engine }}
 	t := n.tracker.Pick(only)
@@ -257,8 +256,8 @@
 	return t != nil && n.tracker.Expected(only, t) > idle+100*time.Millisecond
 }
 
-// see returns how many nodes know of work at an engine.
-func (s *siteOf) see(engine string) int {
+// nodesThatSee returns how many nodes know of a run at an engine.
+func (s *siteOf) nodesThatSee(engine string) int {
 	count := 0
 	for _, n := range s.nodes {
 		if n.sees(engine) {
@@ -268,12 +267,12 @@
 	return count
 }
 
-func TestRunsAreKnownEverywhereThroughRelays(t *testing.T) {
+func TestRunsReachAllNodesThroughRelays(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(t, 120, 6)
 		defer s.close()
 		time.Sleep(3 * time.Second)
-		require.True(t, s.nodes[0].layoutNow().relayed)
+		require.True(t, s.nodes[0].currentLayout().relayed)
 		subscribers := 0
 		for _, n := range s.nodes {
 			st := n.Stats()
@@ -282,26 +281,26 @@
 			require.Positive(t, st.Datagrams)
 			subscribers += st.Subscribers
 		}
-		require.GreaterOrEqual(t, subscribers, 120, "each node but a relay, and each relay in five other halls")
+		require.GreaterOrEqual(t, subscribers, 120, "one per non-relay node, and five per relay")
 		run := s.nodes[7].begin("i-5", "")
 		time.Sleep(150 * time.Millisecond)
-		require.Equal(t, 120, s.see("i-5"))
-		time.Sleep(4 * time.Second) // longer than word counts that is not renewed
-		require.Equal(t, 120, s.see("i-5"))
+		require.Equal(t, 120, s.nodesThatSee("i-5"))
+		time.Sleep(4 * time.Second) // longer than unrenewed state stays valid
+		require.Equal(t, 120, s.nodesThatSee("i-5"))
 		run.End(balance.RunEnd{})
 		time.Sleep(150 * time.Millisecond)
-		require.Zero(t, s.see("i-5"))
+		require.Zero(t, s.nodesThatSee("i-5"))
 		run = s.nodes[8].begin("i-5", "")
 		time.Sleep(150 * time.Millisecond)
-		require.Equal(t, 120, s.see("i-5"))
+		require.Equal(t, 120, s.nodesThatSee("i-5"))
 		run.FirstEvent()
 		time.Sleep(150 * time.Millisecond)
-		require.Zero(t, s.see("i-5"), "the prompt is read")
+		require.Zero(t, s.nodesThatSee("i-5"), "the prompt has been prefilled")
 	})
 }
 
-// An engine that ended is known everywhere within 100 ms.
-func TestUrgentNewsIsEverywhereWithin100ms(t *testing.T) {
+// All nodes must learn of a terminated engine within 100 ms.
+func TestTargetEventsReachAllNodesWithin100ms(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(t, 300, 6)
 		defer s.close()
@@ -311,19 +310,19 @@
 			pick := balance.Choice{Service: "s", Exclude: func(t *balance.Target) bool { return t.ID != id }}
 			s.nodes[i*29].tracker.Pick(pick).Refused()
 			time.Sleep(100 * time.Millisecond)
-			know := 0
+			aware := 0
 			for _, n := range s.nodes {
 				if n.tracker.Pick(pick) == nil {
-					know++
+					aware++
 				}
 			}
-			require.Equal(t, 300, know, id)
+			require.Equal(t, 300, aware, id)
 		}
 	})
 }
 
-// What a node sends and hears stays about the same when the site grows.
-func TestCostOfANodeIsFlatInTheirNumber(t *testing.T) {
+// The traffic of a node must stay about the same when the site grows.
+func TestTrafficPerNodeIsIndependentOfSiteSize(t *testing.T) {
 	cost := func(nodes int) (sent, received int) {
 		synctest.Test(t, func(t *testing.T) {
 			s := newSite(t, nodes, 6)
@@ -333,19 +332,19 @@
 			s.close()
 			for _, n := range s.nodes {
 				sent = max(sent, s.network.sent[n.conn.address]/5)
-				received = max(received, s.network.got[n.conn.address]/5)
+				received = max(received, s.network.received[n.conn.address]/5)
 			}
 		})
 		return sent, received
 	}
 	sent60, got60 := cost(60)
 	sent300, got300 := cost(300)
-	t.Logf("datagrams a second of the busiest node at rest: 60 nodes send %d and hear %d, 300 nodes %d and %d", sent60, got60, sent300, got300)
+	t.Logf("datagrams per second of the busiest idle node: 60 nodes send %d and receive %d, 300 nodes %d and %d", sent60, got60, sent300, got300)
 	require.Less(t, sent300, 3*sent60, "five times as many nodes")
 	require.Less(t, got300, 3*got60)
 }
 
-func TestTracesAreFoundByWhoNeedsThem(t *testing.T) {
+func TestFindFetchesTraceFromStores(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(t, 60, 3)
 		defer s.close()
@@ -364,6 +363,6 @@
 		}
 		began := time.Now()
 		s.nodes[1].Find(t.Context(), "unheard-of")
-		require.Less(t, time.Since(began), 5*time.Millisecond, "keepers say so at once")
+		require.Less(t, time.Since(began), 5*time.Millisecond, "trace stores reply that it is unknown")
 	})
 }
--- a/loadshare/stats.go
+++ b/loadshare/stats.go
@@ -2,43 +2,42 @@
 
 import "sync/atomic"
 
-// counters count what a sharer sends.
+// counters are the statistics of a Sharer.
 type counters struct {
-	datagrams atomic.Int64
-	bytes     atomic.Int64
-	whole     atomic.Int64 // subscribers that were told everything
-	silent    atomic.Int64 // relays that were left since they fell silent
-	borrowed  atomic.Int64 // repeats that peers lent
-	lent      atomic.Int64 // repeats that peers were lent
-	// regions counts the bytes sent to nodes of each other region; none on a site
-	// of one.
+	datagrams    atomic.Int64
+	bytes        atomic.Int64
+	snapshots    atomic.Int64 // snapshots sent
+	failedRelays atomic.Int64 // failovers from unresponsive relays
+	borrowed     atomic.Int64 // retries borrowed from peers
+	lent         atomic.Int64 // retries lent to peers
+	// regions counts the bytes sent to each other region; nil on a site of one.
 	regions map[string]*atomic.Int64
 }
 
-// Stats are the figures of a sharer.
+// Stats are statistics of a Sharer.
 type Stats struct {
-	Nodes       int   // other nodes that are known
-	Relayed     bool  // words pass through relays
-	Subscribers int   // nodes that this one tells of others
+	Nodes       int   // known peers
+	Relayed     bool  // updates pass through relays
+	Subscribers int   // of this node's feeds
 	Datagrams   int64 // sent
 	Bytes       int64 // sent
-	Whole       int64 // times that a subscriber was told everything
-	Silent      int64 // relays that were left since they fell silent
-	Borrowed    int64 // repeats that peers lent this node
-	Lent        int64 // repeats that this node lent
+	Whole       int64 // snapshots sent to subscribers
+	Silent      int64 // failovers from unresponsive relays
+	Borrowed    int64 // retries borrowed from peers
+	Lent        int64 // retries lent to peers
 
 	Region      string           // of this node; empty on a site of one
-	RegionBytes map[string]int64 // sent to nodes of each other region
+	RegionBytes map[string]int64 // bytes sent, by other region
 }
 
-// Stats returns the figures as they stand.
+// Stats returns the current statistics.
 func (s *Sharer) Stats() Stats {
 	st := Stats{
-		Relayed: s.layoutNow().relayed, Datagrams: s.count.datagrams.Load(), Bytes: s.count.bytes.Load(),
-		Whole: s.count.whole.Load(), Silent: s.count.silent.Load(), Borrowed: s.count.borrowed.Load(), Lent: s.count.lent.Load(),
+		Relayed: s.currentLayout().relayed, Datagrams: s.counters.datagrams.Load(), Bytes: s.counters.bytes.Load(),
+		Whole: s.counters.snapshots.Load(), Silent: s.counters.failedRelays.Load(), Borrowed: s.counters.borrowed.Load(), Lent: s.counters.lent.Load(),
 	}
 	st.Region, st.RegionBytes = s.ownRegion(), map[string]int64{}
-	for region, bytes := range s.count.regions {
+	for region, bytes := range s.counters.regions {
 		st.RegionBytes[region] = bytes.Load()
 	}
 	s.mu.Lock()
--- a/loadshare/subscriptions.go
+++ b/loadshare/subscriptions.go
@@ -13,88 +13,90 @@
 	"k8s.io/klog/v2"
 )
 
-// Times of tending the subscriptions.
+// Timing of subscription maintenance.
 const (
-	tendEvery  = 100 * time.Millisecond
-	tendDirect = time.Second // where nothing passes through relays
-	// askHallsEvery is the pause between two questions for data halls that are
-	// not known, and askHallsMost bounds one round of them.
-	askHallsEvery = 200 * time.Millisecond
-	askHallsMost  = 100
-	// stillThereEvery is well within the time that a node's word counts.
-	stillThereEvery = 500 * time.Millisecond
-	// siteCounts names what all other nodes together told of repeats.
-	siteCounts = "site"
+	maintainInterval       = 100 * time.Millisecond
+	directMaintainInterval = time.Second // without relays
+	// hallQueryInterval is the time between queries for unknown data halls, and
+	// maxHallQueries bounds the peers queried at once.
+	hallQueryInterval = 200 * time.Millisecond
+	maxHallQueries    = 100
+	// livenessInterval is well below the time after which the tracker expires a
+	// node's runs.
+	livenessInterval = 500 * time.Millisecond
+	// siteCountsName is the name under which the budgets hold the summed counts of
+	// all other nodes.
+	siteCountsName = "site"
 )
 
-// wakeTend has the subscriptions looked after at once.
-func (s *Sharer) wakeTend() {
+// wakeMaintenance triggers subscription maintenance immediately.
+func (s *Sharer) wakeMaintenance() {
 	select {
-	case s.tendSoon <- struct{}{}:
+	case s.maintainSignal <- struct{}{}:
 	default:
 	}
 }
 
-// tend keeps the subscriptions in order until ctx ends.
-func (s *Sharer) tend(ctx context.Context) {
+// maintainSubscriptions maintains the subscriptions until ctx ends.
+func (s *Sharer) maintainSubscriptions(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
 		select {
 		case <-timer.C:
-		case <-s.tendSoon:
+		case <-s.maintainSignal:
 		case <-ctx.Done():
 			return
 		}
-		l := s.layoutNow()
-		next := tendDirect
+		l := s.currentLayout()
+		next := directMaintainInterval
 		if l.relayed {
-			s.tendRelayed(l, uptime.Now())
-			next = tendEvery
+			s.maintainRelayed(l, uptime.Now())
+			next = maintainInterval
 		}
 		timer.Reset(next)
 	}
 }
 
-// tendRelayed does what is due where words pass through relays.
-func (s *Sharer) tendRelayed(l *layout, now time.Time) {
-	s.askHalls(l, now)
+// maintainRelayed performs one round of maintenance on a site that uses relays.
+func (s *Sharer) maintainRelayed(l *layout, now time.Time) {
+	s.queryHalls(l, now)
 	s.relayMu.Lock()
-	changed := s.wantFeeds(l, now)
+	changed := s.updateFeeds(l, now)
 	maps.Copy(changed, s.expire(now))
-	asks := s.askFeeds(l, now)
-	others := s.countsOfOthers()
-	var there []string
-	if now.Sub(s.thereAt) >= stillThereEvery {
-		s.thereAt = now
-		there = s.relay.names()
+	requests := s.dueRequests(l, now)
+	otherCounts := s.countsOfOthers()
+	var live []string
+	if now.Sub(s.livenessReportedAt) >= livenessInterval {
+		s.livenessReportedAt = now
+		live = s.relay.nodeNames()
 	}
 	s.relayMu.Unlock()
-	s.handOn(changed)
-	for _, a := range asks {
-		s.sendTo(s.addressesOf([]string{a.source}), s.signed(message{Subscribe: &a.question}))
+	s.updateTracker(changed)
+	for _, a := range requests {
+		s.sendTo(s.addressesOf([]string{a.source}), s.withLocation(message{Subscribe: &a.request}))
 	}
-	s.budgets.SetOther(siteCounts, others)
-	s.tracker.StillThere(there)
+	s.budgets.SetOther(siteCountsName, otherCounts)
+	s.tracker.StillThere(live)
 }
 
-// askHalls asks peers where they stand, as far as that is not known.
-func (s *Sharer) askHalls(l *layout, now time.Time) {
-	if len(l.unknown) == 0 || now.Sub(s.askedHalls) < askHallsEvery {
+// queryHalls queries peers whose data hall is not known.
+func (s *Sharer) queryHalls(l *layout, now time.Time) {
+	if len(l.unknownHall) == 0 || now.Sub(s.hallsQueriedAt) < hallQueryInterval {
 		return
 	}
-	s.askedHalls = now
-	some := slices.Clone(l.unknown)
-	rendezvous.Sort(some, l.own+strconv.FormatInt(now.UnixNano(), 36)) // each time others
-	some = some[:min(askHallsMost, len(some))]
-	s.sendTo(s.addressesOf(some), s.signed(message{Asks: true}))
+	s.hallsQueriedAt = now
+	queried := slices.Clone(l.unknownHall)
+	rendezvous.Sort(queried, l.own+strconv.FormatInt(now.UnixNano(), 36)) // different peers each time
+	queried = queried[:min(maxHallQueries, len(queried))]
+	s.sendTo(s.addressesOf(queried), s.withLocation(message{WantDataHall: true}))
 }
 
-// wantFeeds has a feed for each that this node needs: a relay one of each other
-// data hall of its region and of each other region, any other node that of its
-// relay. It returns the nodes that only a
-// feed told of that is not wanted any more. The caller holds relayMu.
-func (s *Sharer) wantFeeds(l *layout, now time.Time) map[uint32][]shortRun {
+// updateFeeds adds and removes feeds according to the layout: a relay needs one for
+// each other data hall of its region and for each other region, any other node one
+// from its relay. It returns the nodes that only removed feeds covered. The caller
+// holds relayMu.
+func (s *Sharer) updateFeeds(l *layout, now time.Time) map[uint32][]compactRun {
 	wanted := map[feedKey]bool{}
 	if l.isRelay() {
 		for hall := range l.relays {
@@ -113,23 +115,23 @@
 			s.feeds[key] = key.feed()
 		}
 	}
-	gone := map[uint32][]shortRun{}
+	removed := map[uint32][]compactRun{}
 	for key, f := range s.feeds {
 		if !wanted[key] {
 			delete(s.feeds, key)
-			maps.Copy(gone, s.applySections(f, f.drop(), now))
+			maps.Copy(removed, s.applyDeltas(f, f.reset(), now))
 		}
 	}
-	return gone
+	return removed
 }
 
-// feedKey names a feed.
+// feedKey identifies a feed.
 type feedKey struct {
 	scope scope
 	of    string // data hall, or region
 }
 
-// feed returns a feed of that name.
+// feed returns a new feed for the key.
 func (k feedKey) feed() *feed {
 	if k.scope == scopeRegion {
 		return newRegionFeed(k.of)
@@ -137,31 +139,31 @@
 	return newFeed(k.scope, k.of)
 }
 
-// expire forgets nodes and subscribers that are not heard any more, and returns
-// the nodes whose runs are gone. The caller holds relayMu.
-func (s *Sharer) expire(now time.Time) map[uint32][]shortRun {
-	gone := map[uint32][]shortRun{}
+// expire drops nodes, subscribers and feeds that timed out, and returns the nodes whose
+// runs were removed. The caller holds relayMu.
+func (s *Sharer) expire(now time.Time) map[uint32][]compactRun {
+	removed := map[uint32][]compactRun{}
 	for _, node := range s.relay.expire(now) {
-		gone[node] = nil
-		s.resyncFor(node)
+		removed[node] = nil
+		s.markFeedsStale(node)
 	}
 	for _, p := range s.relay.publishers() {
 		p.expire(now)
 	}
 	for _, f := range s.feeds {
-		// Not since its source was chosen: where none is heard, they take turns.
-		if now.Sub(f.heard) > originLife {
-			maps.Copy(gone, s.applySections(f, f.drop(), now))
+		// Not measured from sourceSince: without any responsive source, the source
+		// keeps changing.
+		if now.Sub(f.receivedAt) > originTimeout {
+			maps.Copy(removed, s.applyDeltas(f, f.reset(), now))
 		}
 	}
-	return gone
+	return removed
 }
 
-// resyncFor has a feed that tells of a node tell everything: the node reported
-// here until now. Until that is told, which may be a second later, changes are taken
-// all the same: else this node would know of no run that begins in it, and a relay
-// would have nothing to tell. The caller holds relayMu.
-func (s *Sharer) resyncFor(node uint32) {
+// markFeedsStale requests a new snapshot of the feeds that cover a node which has
+// stopped reporting here. Until it arrives, which may take a second, changes are
+// still applied, so that new runs are not missed. The caller holds relayMu.
+func (s *Sharer) markFeedsStale(node uint32) {
 	for _, f := range s.feeds {
 		if f.nodes[node] {
 			f.stale = true
@@ -169,34 +171,35 @@
 	}
 }
 
-// ask is a question to the source of a feed. A relay may be the source of several.
-type ask struct {
-	source   string
-	question subscribe
+// feedRequest is a request to the source of a feed. A relay may be the source of
+// several feeds.
+type feedRequest struct {
+	source  string
+	request subscribeRequest
 }
 
-// askFeeds chooses the sources of the feeds, and returns the questions that
-// are due. The caller holds relayMu.
-func (s *Sharer) askFeeds(l *layout, now time.Time) []ask {
-	var asks []ask
+// dueRequests chooses the sources of the feeds, and returns the requests that are due.
+// The caller holds relayMu.
+func (s *Sharer) dueRequests(l *layout, now time.Time) []feedRequest {
+	var requests []feedRequest
 	for _, f := range s.feeds {
-		before, missed := f.source, s.missed
-		if f.missed != nil {
-			missed = f.missed
+		previous, failedAt := f.source, s.failedRelays
+		if f.failedAt != nil {
+			failedAt = f.failedAt
 		}
-		if f.choose(s.sourcesOf(f, l), missed, now) && missed[before].Equal(now) {
-			s.count.silent.Add(1)
-			klog.InfoS("Relay is silent, another is asked", "dataHall", f.hall, "region", f.region, "silent", before, "asked", f.source)
+		if f.chooseSource(s.sourcesOf(f, l), failedAt, now) && failedAt[previous].Equal(now) {
+			s.counters.failedRelays.Add(1)
+			klog.InfoS("Relay is unresponsive, switching to another", "dataHall", f.hall, "region", f.region, "silent", previous, "asked", f.source)
 		}
-		if f.due(now) {
-			asks = append(asks, ask{source: f.source, question: f.question(now)})
+		if f.requestDue(now) {
+			requests = append(requests, feedRequest{source: f.source, request: f.nextRequest(now)})
 		}
 	}
-	return asks
+	return requests
 }
 
-// sourcesOf returns whom a feed may be asked of, in this order. The caller holds
-// relayMu.
+// sourcesOf returns the possible sources of a feed in order of preference. The caller
+// holds relayMu.
 func (s *Sharer) sourcesOf(f *feed, l *layout) []string {
 	if f.scope != scopeRegion {
 		return without(l.sources(f.hall), l.own)
--- a/loadshare/traces.go
+++ b/loadshare/traces.go
@@ -9,42 +9,42 @@
 	"github.com/walnutramp/walnutramp/internal/uptime"
 )
 
-// Where words pass through relays, traces do not: they are long, and few nodes
-// need one. So a run's node tells it to the nodes that its key names, and a
-// node to which a request comes asks these.
+// Traces do not pass through relays: they are large, and few nodes need them. A node
+// stores the trace of each run at the nodes selected by hashing its key, and a node
+// that receives a request queries these.
 
-// Times of traces.
+// Timing and limits of traces.
 const (
-	// traceRefresh is how often a trace is told again: the trace of a node that
-	// has gone counts for copyLife of package balance, 4 s, and one may be lost.
-	traceRefresh = 1800 * time.Millisecond
-	// findWait bounds the wait for an answer: many times the way to another
-	// data hall, and little beside the reading of a prompt.
-	findWait = 30 * time.Millisecond
-	// findFarWait is the same where other regions are asked: twice the way there
-	// and back on a long link.
-	findFarWait = 80 * time.Millisecond
-	// maxTraces bounds a datagram of traces, of some 80 bytes each.
+	// traceRefreshInterval is how often a trace is resent. Traces expire after
+	// copyLife of package balance, 4 s, so that one datagram may be lost.
+	traceRefreshInterval = 1800 * time.Millisecond
+	// findTimeout bounds the wait for replies: many round trips to another data
+	// hall, and short compared to the prefill of a prompt.
+	findTimeout = 30 * time.Millisecond
+	// findAnywhereTimeout is the same with other regions: two round trips on a
+	// long link.
+	findAnywhereTimeout = 80 * time.Millisecond
+	// maxTraces bounds the traces in a datagram, of about 80 bytes each.
 	maxTraces = 100
 )
 
-// toldTraces are the traces that this node's keepers know. Only the task that
-// reports uses it.
-type toldTraces struct {
-	byRun map[uint64]toldTrace
+// sentTraces are the traces that were sent to trace stores. Only the send loop of the
+// relay group uses it.
+type sentTraces struct {
+	byRun map[uint64]sentTrace
 }
 
-type toldTrace struct {
+type sentTrace struct {
 	trace balance.Trace
 	at    time.Time
 }
 
-// news returns what is to be told now, by keeper.
-func (t *toldTraces) news(runs []balance.Shared, holders func(key string) []string, now time.Time) map[string][]traceNote {
+// updates returns the updates to send now, by trace store.
+func (t *sentTraces) updates(runs []balance.Shared, storesOf func(key string) []string, now time.Time) map[string][]traceUpdate {
 	if t.byRun == nil {
-		t.byRun = map[uint64]toldTrace{}
+		t.byRun = map[uint64]sentTrace{}
 	}
-	notes := map[string][]traceNote{}
+	byStore := map[string][]traceUpdate{}
 	live := make(map[uint64]bool, len(runs))
 	for _, r := range runs {
 		if r.Trace.Key == "" {
@@ -52,94 +52,95 @@
 		}
 		live[r.Number] = true
 		before, known := t.byRun[r.Number]
-		if known && before.trace == r.Trace && now.Sub(before.at) < traceRefresh {
+		if known && before.trace == r.Trace && now.Sub(before.at) < traceRefreshInterval {
 			continue
 		}
-		t.byRun[r.Number] = toldTrace{trace: r.Trace, at: now}
-		for _, h := range holders(r.Trace.Key) {
-			notes[h] = append(notes[h], encodeTrace(r.Trace))
+		t.byRun[r.Number] = sentTrace{trace: r.Trace, at: now}
+		for _, h := range storesOf(r.Trace.Key) {
+			byStore[h] = append(byStore[h], encodeTrace(r.Trace))
 		}
 	}
-	for number, told := range t.byRun {
+	for number, sent := range t.byRun {
 		if live[number] {
 			continue
 		}
 		delete(t.byRun, number)
-		note := encodeTrace(told.trace)
-		note.Over = true
-		for _, h := range holders(told.trace.Key) {
-			notes[h] = append(notes[h], note)
+		update := encodeTrace(sent.trace)
+		update.Finished = true
+		for _, h := range storesOf(sent.trace.Key) {
+			byStore[h] = append(byStore[h], update)
 		}
 	}
-	return notes
+	return byStore
 }
 
-// tellTraces tells keepers the traces of this node's runs.
-func (s *Sharer) tellTraces(l *layout, runs []balance.Shared) {
-	for keeper, notes := range s.traces.news(runs, l.holders, uptime.Now()) {
-		if keeper == l.own {
+// sendTraces sends the traces of this node's runs to their stores.
+func (s *Sharer) sendTraces(l *layout, runs []balance.Shared) {
+	for store, updates := range s.sentTraces.updates(runs, l.traceStoresOf, uptime.Now()) {
+		if store == l.own {
 			continue
 		}
-		for len(notes) > 0 {
+		for len(updates) > 0 {
 			var m message
-			m.Traces, notes = cut(notes, maxTraces)
-			s.sendTo(s.addressesOf([]string{keeper}), m)
+			m.Traces, updates = splitAt(updates, maxTraces)
+			s.sendTo(s.addressesOf([]string{store}), m)
 		}
 	}
 }
 
-// takeTraces keeps another node's traces.
-func (s *Sharer) takeTraces(notes []traceNote) {
-	for _, n := range notes {
+// handleTraces stores traces received from another node.
+func (s *Sharer) handleTraces(updates []traceUpdate) {
+	for _, n := range updates {
 		if n.Key == "" {
 			continue
 		}
-		if n.Over {
+		if n.Finished {
 			s.tracker.DropTrace(n.trace())
 			continue
 		}
 		s.tracker.NoteTrace(n.trace())
 	}
-	s.note()
+	s.requestSave()
 }
 
-// Find learns the trace of a key from the nodes that keep it, for a request
-// that may have come before. Where every node knows all runs it does nothing.
+// Find fetches the trace of a key from its trace stores, for a request that may be a
+// repeated one. It does nothing on sites without relays, where every node has all
+// traces.
 func (s *Sharer) Find(ctx context.Context, key string) {
-	l := s.layoutNow()
-	s.find(ctx, l, key, l.holders(key), findWait)
+	l := s.currentLayout()
+	s.find(ctx, l, key, l.traceStoresOf(key), findTimeout)
 }
 
-// FindAnywhere does what Find does, and asks the nodes of other regions as well:
-// for a request that did come before, maybe to another region.
+// FindAnywhere is like Find, but also queries other regions, for a request that is
+// known to be a repeated one and may have been sent to another region before.
 func (s *Sharer) FindAnywhere(ctx context.Context, key string) {
-	l := s.layoutNow()
-	wait := findWait
+	l := s.currentLayout()
+	wait := findTimeout
 	if l.region != "" {
-		wait = findFarWait
+		wait = findAnywhereTimeout
 	}
-	s.find(ctx, l, key, l.holdersAnywhere(key), wait)
+	s.find(ctx, l, key, l.traceStoresAnywhere(key), wait)
 }
 
-// find asks keepers for the trace of a key, for so long.
-func (s *Sharer) find(ctx context.Context, l *layout, key string, keepers []string, wait time.Duration) {
+// find queries trace stores for the trace of a key, and waits for up to wait.
+func (s *Sharer) find(ctx context.Context, l *layout, key string, stores []string, wait time.Duration) {
 	if !l.relayed || key == "" {
 		return
 	}
 	if trace, _ := s.tracker.TraceOf(key); trace.Copy != "" {
 		return
 	}
-	keepers = without(keepers, l.own)
-	id, answers := s.awaitFound(len(keepers))
-	defer s.forgetFound(id)
-	s.sendTo(s.addressesOf(keepers), message{Lookup: &lookup{ID: id, Key: key}})
+	stores = without(stores, l.own)
+	id, replies := s.startLookup(len(stores))
+	defer s.endLookup(id)
+	s.sendTo(s.addressesOf(stores), message{Lookup: &lookupRequest{ID: id, Key: key}})
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
-	for range keepers {
+	for range stores {
 		select {
-		case n := <-answers:
+		case n := <-replies:
 			if n != nil {
-				s.takeTraces([]traceNote{*n})
+				s.handleTraces([]traceUpdate{*n})
 				return
 			}
 		case <-timer.C:
@@ -150,47 +151,47 @@
 	}
 }
 
-// awaitFound opens a question that so many nodes may answer.
-func (s *Sharer) awaitFound(n int) (id uint64, answers chan *traceNote) {
-	answers = make(chan *traceNote, n)
+// startLookup registers a lookup that n nodes may answer.
+func (s *Sharer) startLookup(n int) (id uint64, replies chan *traceUpdate) {
+	replies = make(chan *traceUpdate, n)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.lookups++
-	s.asked[s.lookups] = answers
-	return s.lookups, answers
+	s.lastLookup++
+	s.pendingLookups[s.lastLookup] = replies
+	return s.lastLookup, replies
 }
 
-func (s *Sharer) forgetFound(id uint64) {
+func (s *Sharer) endLookup(id uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.asked, id)
+	delete(s.pendingLookups, id)
 }
 
-// answerLookup tells the asker what is known here.
-func (s *Sharer) answerLookup(from string, q *lookup) {
-	answer := &found{ID: q.ID}
-	if trace, known := s.tracker.TraceOf(q.Key); known {
+// handleLookup replies to a lookup.
+func (s *Sharer) handleLookup(from string, req *lookupRequest) {
+	reply := &lookupReply{ID: req.ID}
+	if trace, known := s.tracker.TraceOf(req.Key); known {
 		n := encodeTrace(trace)
-		answer.Trace = &n
+		reply.Trace = &n
 	}
-	s.sendTo(s.addressesOf([]string{from}), message{Found: answer})
+	s.sendTo(s.addressesOf([]string{from}), message{LookupReply: reply})
 }
 
-// takeFound hands an answer to who asked, if that still waits.
-func (s *Sharer) takeFound(f *found) {
+// handleLookupReply passes a reply to the waiting lookup, if any.
+func (s *Sharer) handleLookupReply(f *lookupReply) {
 	s.mu.Lock()
-	answers := s.asked[f.ID]
+	replies := s.pendingLookups[f.ID]
 	s.mu.Unlock()
-	if answers == nil {
+	if replies == nil {
 		return
 	}
 	select {
-	case answers <- f.Trace:
-	default: // an answer came twice
+	case replies <- f.Trace:
+	default: // duplicate reply
 	}
 }
 
-// without returns the addresses but one.
+// without returns the addresses except one.
 func without(addresses []string, own string) []string {
 	return slices.DeleteFunc(slices.Clone(addresses), func(a string) bool { return a == own })
 }
