--- a/discovery/poller.go
+++ b/discovery/poller.go
@@ -11,35 +11,35 @@
 	"k8s.io/klog/v2"
 )
 
-// Source reads the whole list of targets once.
+// Source fetches the list of targets.
 type Source interface {
 	// Targets returns every target of the site.
 	Targets(ctx context.Context) ([]Target, error)
 }
 
-// Change turns one list of targets into another.
+// Change is the difference between two lists of targets.
 type Change struct {
 	Removed []string // IDs
 	Put     []Target // new or changed
 }
 
-// Feed is another node's word on the list. Where it has neither a list nor a change, the
-// list is the one that it told last.
+// Feed is an update of the list from another node. With neither a list nor a change, the
+// list it sent last is still valid.
 type Feed struct {
-	List   []Target // the whole
-	Change *Change  // of what it told last
-	Age    time.Duration
+	List   []Target      // complete list
+	Change *Change       // to the list it sent last
+	Age    time.Duration // since the other node read the list
 }
 
-// Taker takes lists of targets.
+// Taker receives lists of targets.
 type Taker interface {
-	// TakeList takes the whole list.
+	// TakeList replaces the list.
 	TakeList(list []Target)
-	// TakeChange changes the list that was taken last.
+	// TakeChange applies a change to the current list.
 	TakeChange(c Change)
 }
 
-// TakerFunc takes the lists of a node that nobody tells of changes.
+// TakerFunc adapts a function to a Taker that ignores changes, for pollers without a feed.
 type TakerFunc func(list []Target)
 
 // TakeList implements Taker.
@@ -48,132 +48,131 @@
 // TakeChange implements Taker.
 func (f TakerFunc) TakeChange(Change) {}
 
-// Poller reads a source again and again.
+// Poller periodically reads a Source.
 type Poller struct {
-	source Source
-	taker  Taker
-	cfg    PollerConfig
-	soon   chan struct{}
-	from   time.Time // before which nothing is read
+	source    Source
+	taker     Taker
+	cfg       PollerConfig
+	pollNow   chan struct{}
+	notBefore time.Time // no reads before this time
 
-	mu   sync.Mutex
-	read time.Time     // when the list in force was read, here or by another node
-	last time.Time     // when another node's word on it came
-	age  time.Duration // how old that node's reading was then
-	own  bool          // the list in force is not what the other node told last
+	mu      sync.Mutex
+	readAt  time.Time     // when the current list was read, here or by another node
+	fedAt   time.Time     // when the last feed update arrived
+	fedAge  time.Duration // age of the list in that update
+	ownList bool          // the current list is not the one last sent by the feed
 }
 
-// PollerConfig sets how often a Poller reads.
+// PollerConfig configures a Poller.
 type PollerConfig struct {
-	Interval time.Duration
-	Soonest  time.Duration // between two readings, when one is asked for
-	Timeout  time.Duration // of a whole reading, however many calls it is
-	Trust    time.Duration // how old another node's word may be
-	TrustAge time.Duration // how old its reading may be: a long list is read less often
-	Only     func() bool   // reads only while this holds; nil for always
-	// Patience is how long after its start another node's reading is awaited before an
-	// own one.
-	Patience time.Duration
+	Interval    time.Duration
+	MinInterval time.Duration // between reads, when one is requested
+	Timeout     time.Duration // of a complete read, which may take several calls
+	FeedTimeout time.Duration // after which a feed without updates is ignored
+	MaxFeedAge  time.Duration // maximum age of the feed's list; long lists are read less often
+	Condition   func() bool   // reads only while it returns true; nil for always
+	// InitialDelay is how long after the start to wait for a feed before the first read.
+	InitialDelay time.Duration
 }
 
 // PollerOption sets a field of PollerConfig.
 type PollerOption func(*PollerConfig)
 
-// WithOnly makes a poller read only while a condition holds.
+// WithOnly restricts reads to times when a condition holds.
 func WithOnly(condition func() bool) PollerOption {
-	return func(c *PollerConfig) { c.Only = condition }
+	return func(c *PollerConfig) { c.Condition = condition }
 }
 
-// WithPatience has a poller await another node's reading for a while, before it reads
-// itself for the first time.
-func WithPatience(d time.Duration) PollerOption { return func(c *PollerConfig) { c.Patience = d } }
+// WithPatience sets how long a poller waits for a feed after its start before it reads the
+// source itself.
+func WithPatience(d time.Duration) PollerOption { return func(c *PollerConfig) { c.InitialDelay = d } }
 
-// Paced is a source that wants longer pauses than usual between two readings.
+// Paced is a Source that limits its read rate.
 type Paced interface {
-	// Interval returns the least pause; 0 for the usual one.
+	// Interval returns the minimum time between reads; 0 for no limit.
 	Interval() time.Duration
 }
 
-// NewPoller returns a poller that hands every list it reads to a taker.
+// NewPoller returns a poller that passes every list it reads to a taker.
 func NewPoller(source Source, taker Taker, opts ...PollerOption) *Poller {
-	cfg := PollerConfig{Interval: time.Second, Soonest: 300 * time.Millisecond, Timeout: 3 * time.Second, Trust: 1600 * time.Millisecond, TrustAge: 3200 * time.Millisecond}
+	cfg := PollerConfig{Interval: time.Second, MinInterval: 300 * time.Millisecond, Timeout: 3 * time.Second, FeedTimeout: 1600 * time.Millisecond, MaxFeedAge: 3200 * time.Millisecond}
 	for _, opt := range opts {
 		opt(&cfg)
 	}
-	return &Poller{source: source, taker: taker, cfg: cfg, soon: make(chan struct{}, 1), from: uptime.Now().Add(cfg.Patience)}
+	return &Poller{source: source, taker: taker, cfg: cfg, pollNow: make(chan struct{}, 1), notBefore: uptime.Now().Add(cfg.InitialDelay)}
 }
 
-// Soon asks for a reading before the next one is due.
+// Soon requests a read before the next one is due.
 func (p *Poller) Soon() {
 	select {
-	case p.soon <- struct{}{}:
+	case p.pollNow <- struct{}{}:
 	default:
 	}
 }
 
-// Fed takes another node's word in place of an own reading. It reports false for a change
-// that can't be made, since the list in force is another one: the whole is needed.
+// Fed applies an update from another node in place of a read. It returns false for a
+// change to a list other than the current one; the complete list is needed then.
 func (p *Poller) Fed(f Feed) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if f.Change != nil && p.own {
+	if f.Change != nil && p.ownList {
 		return false
 	}
-	newer := p.noteFed(f)
+	newer := p.recordFeed(f)
 	switch {
 	case f.Change != nil:
 		p.taker.TakeChange(*f.Change)
 	case f.List != nil && newer:
-		p.own = false
+		p.ownList = false
 		p.taker.TakeList(f.List)
 	case f.List != nil:
-		p.own = true
+		p.ownList = true
 	}
 	return true
 }
 
-// noteFed notes when another node's word came, and reports whether its reading is newer
-// than the one in force. The caller holds the mutex.
-func (p *Poller) noteFed(f Feed) (newer bool) {
-	read := uptime.Now().Add(-f.Age)
-	newer = read.After(p.read)
+// recordFeed records the times of a feed update, and reports whether its list is newer
+// than the current one. The caller holds the mutex.
+func (p *Poller) recordFeed(f Feed) (newer bool) {
+	readAt := uptime.Now().Add(-f.Age)
+	newer = readAt.After(p.readAt)
 	if newer {
-		p.read = read
+		p.readAt = readAt
 	}
-	p.last, p.age = uptime.Now(), f.Age
+	p.fedAt, p.fedAge = uptime.Now(), f.Age
 	return newer
 }
 
-// fresh reports whether another node's reading makes an own one needless.
-func (p *Poller) fresh() bool {
+// feedFresh reports whether the feed is recent enough to skip reads.
+func (p *Poller) feedFresh() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return uptime.Since(p.last) < p.cfg.Trust && p.age < p.cfg.TrustAge
+	return uptime.Since(p.fedAt) < p.cfg.FeedTimeout && p.fedAge < p.cfg.MaxFeedAge
 }
 
-// due reports whether it is time to read. A node that another one reads for
-// has the next reading within an interval, so it does not read itself even if
-// one is asked for: on a large site, each reading is many calls.
-func (p *Poller) due() bool {
-	if p.cfg.Only != nil && !p.cfg.Only() {
+// readDue reports whether a read is due. While the feed is fresh, requested reads are
+// skipped too: the feed is updated within an interval, and on a large site each read
+// takes many calls.
+func (p *Poller) readDue() bool {
+	if p.cfg.Condition != nil && !p.cfg.Condition() {
 		return false
 	}
-	return !p.fresh() && !uptime.Now().Before(p.from)
+	return !p.feedFresh() && !uptime.Now().Before(p.notBefore)
 }
 
 // Run reads until ctx ends.
 func (p *Poller) Run(ctx context.Context) {
-	lost := false
+	failing := false
 	for {
 		var err error
-		if p.due() {
+		if p.readDue() {
 			err = p.readOnce(ctx)
 		}
-		if (err != nil) != lost {
-			lost = err != nil
-			klog.InfoS("List of targets", "lost", lost, "err", err)
+		if (err != nil) != failing {
+			failing = err != nil
+			klog.InfoS("List of targets", "lost", failing, "err", err)
 		}
-		if !pause.For(ctx, p.cfg.Soonest) {
+		if !pause.For(ctx, p.cfg.MinInterval) {
 			return
 		}
 		if p.wait(ctx); ctx.Err() != nil {
@@ -192,7 +191,7 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.read, p.own = began, true
+	p.readAt, p.ownList = began, true
 	p.taker.TakeList(list)
 	return nil
 }
@@ -205,14 +204,13 @@
 	return p.cfg.Interval
 }
 
-// wait waits for the next reading; the interval is drawn so that nodes
-// spread.
+// wait waits for the next read, with jitter so that nodes do not read in lockstep.
 func (p *Poller) wait(ctx context.Context) {
-	rest := p.interval() - p.cfg.Soonest
-	t := time.NewTimer(rest*9/10 + rand.N(rest/5+1))
+	delay := p.interval() - p.cfg.MinInterval
+	t := time.NewTimer(delay*9/10 + rand.N(delay/5+1))
 	defer t.Stop()
 	select {
-	case <-p.soon:
+	case <-p.pollNow:
 	case <-t.C:
 	case <-ctx.Done():
 	}
--- a/discovery/poller_test.go
+++ b/discovery/poller_test.go
@@ -22,33 +22,33 @@
 	return []Target{{ID: "own"}}, s.err
 }
 
-// noteTaker notes the first target of what it takes.
-type noteTaker struct{ taken *atomic.Value }
+// recordingTaker records the first target of each list or change.
+type recordingTaker struct{ taken *atomic.Value }
 
-func (n *noteTaker) TakeList(list []Target) { n.taken.Store(list[0].ID) }
-func (n *noteTaker) TakeChange(c Change)    { n.taken.Store(c.Put[0].ID) }
+func (n *recordingTaker) TakeList(list []Target) { n.taken.Store(list[0].ID) }
+func (n *recordingTaker) TakeChange(c Change)    { n.taken.Store(c.Put[0].ID) }
 
-// start runs a poller and returns what it took last.
+// start runs a poller and returns the last value recorded by its taker.
 func start(t *testing.T, s Source, opts ...PollerOption) (*Poller, *atomic.Value) {
 	t.Helper()
 	var taken atomic.Value
 	taken.Store("")
-	p := NewPoller(s, &noteTaker{taken: &taken}, opts...)
+	p := NewPoller(s, &recordingTaker{taken: &taken}, opts...)
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	go p.Run(ctx)
 	return p, &taken
 }
 
-// feedOf returns another node's word; same says that it told the list before.
-func feedOf(same bool, age time.Duration) Feed {
-	if same {
+// feedOf returns a feed update, without the list if it is unchanged.
+func feedOf(unchanged bool, age time.Duration) Feed {
+	if unchanged {
 		return Feed{Age: age}
 	}
 	return Feed{List: []Target{{ID: "fed"}}, Age: age}
 }
 
-func TestPollerReadsWhenNobodyFeedsIt(t *testing.T) {
+func TestPollerReadsWithoutFeed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &countingSource{}
 		_, taken := start(t, s)
@@ -58,7 +58,7 @@
 	})
 }
 
-func TestPollerThatIsFedDoesNotRead(t *testing.T) {
+func TestFedPollerDoesNotRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &countingSource{}
 		p, taken := start(t, s)
@@ -71,13 +71,13 @@
 		require.EqualValues(t, 1, s.reads.Load())
 		require.Equal(t, "fed", taken.Load())
 		time.Sleep(4 * time.Second)
-		require.Greater(t, s.reads.Load(), int64(1), "the other fell silent")
+		require.Greater(t, s.reads.Load(), int64(1), "reads resume once the feed times out")
 	})
 }
 
-// The leader reads about as often as it is asked, so that two answers in a
-// row may tell of the same reading.
-func TestSameReadingToldTwiceKeepsAPollerFed(t *testing.T) {
+// The leader reads about as often as it is polled, so consecutive updates may carry
+// the same read. The feed must stay fresh.
+func TestRepeatedReadingKeepsFeedFresh(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &countingSource{}
 		p, _ := start(t, s)
@@ -90,19 +90,19 @@
 	})
 }
 
-func TestOldFeedIsNotTaken(t *testing.T) {
+func TestStaleFeedIsRejected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &countingSource{}
 		p, taken := start(t, s)
 		time.Sleep(100 * time.Millisecond)
 		p.Fed(feedOf(false, 5*time.Second))
-		require.Equal(t, "own", taken.Load(), "the own reading is newer")
+		require.Equal(t, "own", taken.Load(), "the poller's own list is newer")
 		time.Sleep(5 * time.Second)
-		require.Greater(t, s.reads.Load(), int64(3), "a feed that is read too seldom is not trusted")
+		require.Greater(t, s.reads.Load(), int64(3), "a feed with an old list is ignored")
 	})
 }
 
-func TestPollerReadsSoonWhenAsked(t *testing.T) {
+func TestPollerReadsOnRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &countingSource{}
 		p, _ := start(t, s)
@@ -113,13 +113,13 @@
 		p.Soon()
 		p.Soon()
 		time.Sleep(200 * time.Millisecond)
-		require.EqualValues(t, 2, s.reads.Load(), "not more often than the shortest pause")
+		require.EqualValues(t, 2, s.reads.Load(), "reads are at least MinInterval apart")
 	})
 }
 
-// On a site of hundreds of targets each reading is several calls, and a hall
-// of engines that ends has every node ask for one.
-func TestPollerThatIsFedDoesNotReadWhenAsked(t *testing.T) {
+// When a data hall of engines fails, every node requests a read, which takes several
+// calls on a large site. Nodes with a fresh feed must not read.
+func TestFedPollerIgnoresReadRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &countingSource{}
 		p, _ := start(t, s)
@@ -133,29 +133,29 @@
 	})
 }
 
-func TestPollerOfWhoDoesNotLeadRests(t *testing.T) {
+func TestPollerReadsOnlyWhileConditionHolds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &countingSource{err: errors.New("429")}
-		var leads atomic.Bool
-		start(t, s, WithOnly(leads.Load))
+		var leader atomic.Bool
+		start(t, s, WithOnly(leader.Load))
 		time.Sleep(5 * time.Second)
 		require.Zero(t, s.reads.Load())
-		leads.Store(true)
+		leader.Store(true)
 		time.Sleep(5 * time.Second)
 		require.Greater(t, s.reads.Load(), int64(3))
 	})
 }
 
-func TestFedListIsOldAfterASuspension(t *testing.T) {
+func TestFeedIsStaleAfterSuspend(t *testing.T) {
 	p := NewPoller(&countingSource{}, TakerFunc(func([]Target) {}))
 	p.Fed(feedOf(false, 0))
-	require.False(t, p.due())
+	require.False(t, p.readDue())
 	t.Cleanup(uptime.Pretend(5 * time.Second))
-	require.True(t, p.due())
+	require.True(t, p.readDue())
 }
 
-// After a start of all a node waits for another one's reading, for a while.
-func TestPollerWaitsForAnothersReading(t *testing.T) {
+// After a restart of all nodes, a node first waits for the feed.
+func TestPollerWaitsForFeedAfterStart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &countingSource{}
 		p, taken := start(t, s, WithPatience(4*time.Second))
@@ -168,16 +168,16 @@
 		}
 		require.Zero(t, s.reads.Load())
 		require.Equal(t, "fed", taken.Load())
-		require.Positive(t, alone.reads.Load(), "nobody reads for it")
+		require.Positive(t, alone.reads.Load(), "reads after the initial delay without a feed")
 	})
 }
 
-// pacedSource wants long pauses.
+// pacedSource limits its read rate.
 type pacedSource struct{ countingSource }
 
 func (*pacedSource) Interval() time.Duration { return 3 * time.Second }
 
-func TestSourceSetsItsPace(t *testing.T) {
+func TestPacedSourceSetsInterval(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &pacedSource{}
 		start(t, s)
@@ -186,8 +186,8 @@
 	})
 }
 
-// A change is made only in the list that it is of.
-func TestChangeOfAnotherListIsNotTaken(t *testing.T) {
+// A change must be applied only to the list it is based on.
+func TestChangeToOutdatedListIsRejected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		change := Feed{Change: &Change{Put: []Target{{ID: "changed"}}}}
 		p, taken := start(t, &countingSource{}, WithPatience(3*time.Second))
@@ -196,16 +196,16 @@
 		require.Equal(t, "changed", taken.Load())
 		time.Sleep(6 * time.Second)
 		require.Equal(t, "own", taken.Load())
-		require.False(t, p.Fed(change), "it was read here meanwhile")
-		require.True(t, p.Fed(feedOf(false, time.Hour)), "old")
+		require.False(t, p.Fed(change), "the poller has read its own list since")
+		require.True(t, p.Fed(feedOf(false, time.Hour)), "older than the own list")
 		require.False(t, p.Fed(change))
 		require.True(t, p.Fed(feedOf(false, 0)))
 		require.True(t, p.Fed(change))
 	})
 }
 
-// A long list is read less often, so its newest reading is often two seconds old.
-func TestReadingOfALongListIsTrusted(t *testing.T) {
+// A long list is read less often; a feed with a list two seconds old must be accepted.
+func TestFeedOfLongListIsTrusted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &countingSource{}
 		p, _ := start(t, s, WithPatience(2*time.Second))
--- a/discovery/target.go
+++ b/discovery/target.go
@@ -2,7 +2,7 @@
 
 import "strconv"
 
-// State of a target as the site's list has it.
+// TargetState is the state of a target in the site's list.
 type TargetState int
 
 // The states.
@@ -11,25 +11,24 @@
 	TargetDraining
 )
 
-// Target is one entry of a site's list of targets. ID is its identity; its
-// address may go to another target once it has ended.
+// Target is an entry of the site's list of targets. It is identified by its ID; its
+// address may be reused by another target after it has terminated.
 type Target struct {
 	ID       string
 	Service  string
 	Address  string // numeric IP:port
 	DataHall string
-	Slots    int // requests worked on at once
+	Slots    int // maximum concurrent requests
 	State    TargetState
-	Spot     bool   // it may be taken away at short notice, with all such of its data hall
-	Version  string // of what the target runs; empty if it is not told
-	// Born is when the target was started, in Unix milliseconds by the site's word;
-	// 0 if it is not told. A target may start again under its ID, and holds and
-	// knows nothing of before then.
+	Spot     bool   // may be preempted at short notice, together with all others of its data hall
+	Version  string // of the target's software; empty if unknown
+	// Born is the target's start time in Unix milliseconds as reported by the site;
+	// 0 if unknown. A target may restart under the same ID, without any state.
 	Born int64
 }
 
-// Life names this start of the target: what is known of another life of it says
-// nothing of this one.
+// Life identifies this start of the target. State recorded for another start of the
+// same target does not apply to it.
 func (t *Target) Life() string {
 	if t.Born == 0 {
 		return t.ID
--- a/discovery/watch.go
+++ b/discovery/watch.go
@@ -1,6 +1,6 @@
-// Package discovery reads the site's list of live and leaving instances.
-// The list lags, so it only ever adds what nodes and targets do not say
-// themselves: an address not known yet, or that a target is leaving.
+// Package discovery reads the site's list of live and leaving instances. The list
+// lags, so it only supplements what nodes and targets report themselves: unknown
+// addresses, and targets that are leaving.
 package discovery
 
 import (
@@ -14,7 +14,7 @@
 	"k8s.io/klog/v2"
 )
 
-// State is what the platform says of an instance.
+// State is the platform's state of an instance.
 type State string
 
 // The states.
@@ -23,7 +23,7 @@
 	Leaving State = "leaving"
 )
 
-// Kind says what an instance is.
+// Kind is the kind of an instance.
 type Kind string
 
 // The kinds.
@@ -32,33 +32,33 @@
 	KindTarget Kind = "target"
 )
 
-// Instance is one entry of the platform's list.
+// Instance is an entry of the platform's list.
 type Instance struct {
 	Name     string              `json:"name"`
 	Kind     Kind                `json:"kind"`
 	DataHall walnutramp.DataHall `json:"data_hall"`
-	Address  string              `json:"address"` // numeric IP:port; a node's is for its peers
+	Address  string              `json:"address"` // numeric IP:port; the peer address of a node
 	State    State               `json:"state"`
 }
 
-// List is the platform's answer.
+// List is the platform's response.
 type List struct {
 	Instances []Instance `json:"instances"`
 }
 
-// Members takes nodes that the platform knows of.
+// Members receives the nodes listed by the platform.
 type Members interface {
-	// Hint adds nodes that are not known yet.
-	Hint(nodes []member.Node)
+	// AddSeeds adds nodes that are not known yet.
+	AddSeeds(nodes []member.Node)
 }
 
-// Router takes targets that the platform says are leaving.
+// Router receives the targets that are leaving according to the platform.
 type Router interface {
-	// SetLeaving replaces the platform's list of leaving targets.
+	// SetLeaving replaces the list of leaving targets.
 	SetLeaving(names []walnutramp.TargetName)
 }
 
-// Config sets how the list is read.
+// Config configures a Watch.
 type Config struct {
 	Interval time.Duration
 	Timeout  time.Duration
@@ -67,10 +67,10 @@
 // Option sets a field of Config.
 type Option func(*Config)
 
-// WithInterval sets the time between two readings.
+// WithInterval sets the time between reads.
 func WithInterval(d time.Duration) Option { return func(c *Config) { c.Interval = d } }
 
-// Watch reads the list again and again.
+// Watch periodically reads the platform's list.
 type Watch struct {
 	cfg     Config
 	client  *resty.Client
@@ -80,8 +80,7 @@
 	done    chan struct{}
 }
 
-// NewWatch returns a watch of the platform at base, a URL, that is not
-// started.
+// NewWatch returns a watch of the platform at base, a URL. Start begins reading.
 func NewWatch(client *resty.Client, base string, m Members, r Router, opts ...Option) *Watch {
 	cfg := Config{Interval: time.Second, Timeout: 2 * time.Second}
 	for _, opt := range opts {
@@ -90,7 +89,7 @@
 	return &Watch{cfg: cfg, client: client.SetBaseURL(base), members: m, router: r, done: make(chan struct{})}
 }
 
-// Start begins reading; Close ends it.
+// Start begins reading; Close stops it.
 func (w *Watch) Start() {
 	ctx, cancel := context.WithCancel(context.Background())
 	w.cancel = cancel
@@ -100,7 +99,7 @@
 	}()
 }
 
-// Close ends reading.
+// Close stops reading.
 func (w *Watch) Close() {
 	if w.cancel == nil {
 		return
@@ -113,10 +112,10 @@
 	ticker := time.NewTicker(w.cfg.Interval)
 	defer ticker.Stop()
 	for {
-		if list, err := w.read(ctx); err != nil {
-			klog.V(1).InfoS("Platform's list not read", "err", err)
+		if list, err := w.fetch(ctx); err != nil {
+			klog.V(1).InfoS("Failed to read the platform's list of instances", "err", err)
 		} else {
-			w.take(list)
+			w.apply(list)
 		}
 		select {
 		case <-ticker.C:
@@ -126,18 +125,18 @@
 	}
 }
 
-func (w *Watch) read(ctx context.Context) (List, error) {
+func (w *Watch) fetch(ctx context.Context) (List, error) {
 	ctx, cancel := context.WithTimeout(ctx, w.cfg.Timeout)
 	defer cancel()
 	var list List
 	resp, err := w.client.R().SetContext(ctx).SetResult(&list).Get("/v1/instances")
 	if err == nil && resp.IsError() {
-		err = errors.Newf("status %d", resp.StatusCode())
+		err = errors.Newf("unexpected status %d", resp.StatusCode())
 	}
 	return list, err
 }
 
-func (w *Watch) take(list List) {
+func (w *Watch) apply(list List) {
 	var nodes []member.Node
 	var leaving []walnutramp.TargetName
 	for _, i := range list.Instances {
@@ -148,6 +147,6 @@
 			leaving = append(leaving, walnutramp.TargetName(i.Name))
 		}
 	}
-	w.members.Hint(nodes)
+	w.members.AddSeeds(nodes)
 	w.router.SetLeaving(leaving)
 }
--- a/member/detector.go
+++ b/member/detector.go
@@ -10,48 +10,48 @@
 	"k8s.io/klog/v2"
 )
 
-// Peers calls other nodes.
+// Peers makes RPC calls to other nodes.
 type Peers interface {
-	// Call runs a method of a node's service and fills reply.
+	// Call invokes a method at a node and stores the result in reply.
 	Call(ctx context.Context, node walnutramp.NodeName, method string, args, reply any) error
 }
 
-// Config sets how a Detector probes.
+// Config configures a Detector.
 type Config struct {
-	Period   time.Duration // between probes
-	Timeout  time.Duration // of a direct probe
-	Indirect int           // nodes asked to probe a silent one
-	Patience time.Duration // from suspicion to death
-	Forget   time.Duration // how long the dead are remembered
-	Seed     uint64
-	OnChange func(Node) // told of every change of a node's status
+	Period         time.Duration // between probes
+	Timeout        time.Duration // of a direct probe
+	Indirect       int           // nodes asked to probe an unresponsive one
+	SuspectTimeout time.Duration // after which a suspect is declared dead
+	DeadRetention  time.Duration // how long dead nodes are kept in the list
+	Seed           uint64
+	OnChange       func(Node) // called on every change of a node's status
 }
 
 // Option sets a field of Config.
 type Option func(*Config)
 
-// WithPeriod sets the time between probes; the other times follow it.
+// WithPeriod sets the time between probes, and scales the timeouts with it.
 func WithPeriod(d time.Duration) Option {
 	return func(c *Config) {
 		c.Period = d
 		c.Timeout = d / 2
-		c.Patience = 4 * d
+		c.SuspectTimeout = 4 * d
 	}
 }
 
-// WithSeed makes the probe order repeatable.
+// WithSeed makes the probe order reproducible.
 func WithSeed(seed uint64) Option { return func(c *Config) { c.Seed = seed } }
 
-// WithOnChange gives who is told of changes.
+// WithOnChange sets the callback for status changes.
 func WithOnChange(f func(Node)) Option { return func(c *Config) { c.OnChange = f } }
 
 func defaultConfig() Config {
-	c := Config{Indirect: 3, Forget: 10 * time.Minute, OnChange: func(Node) {}}
+	c := Config{Indirect: 3, DeadRetention: 10 * time.Minute, OnChange: func(Node) {}}
 	WithPeriod(500 * time.Millisecond)(&c)
 	return c
 }
 
-// Detector probes other nodes and keeps the list of them.
+// Detector probes other nodes and maintains the membership list.
 type Detector struct {
 	cfg   Config
 	list  *list
@@ -64,15 +64,15 @@
 	tasks  sync.WaitGroup
 }
 
-// NewDetector returns a detector for one run of a node; seeds are nodes known
-// from the settings.
+// NewDetector returns a detector for one incarnation of a node; seeds are the
+// configured nodes.
 func NewDetector(self Node, seeds []Node, peers Peers, opts ...Option) *Detector {
 	cfg := defaultConfig()
 	for _, opt := range opts {
 		opt(&cfg)
 	}
 	d := &Detector{cfg: cfg, peers: peers, rng: rand.New(rand.NewPCG(cfg.Seed, 2))}
-	d.list = newList(self, d.changed)
+	d.list = newList(self, d.notify)
 	for _, s := range seeds {
 		if s.Name != self.Name {
 			d.list.seed(s)
@@ -81,12 +81,12 @@
 	return d
 }
 
-func (d *Detector) changed(n Node) {
-	klog.V(1).InfoS("Node changed", "node", n.Name, "status", n.Status, "incarnation", n.Incarnation)
+func (d *Detector) notify(n Node) {
+	klog.V(1).InfoS("Node status changed", "node", n.Name, "status", n.Status, "incarnation", n.Incarnation)
 	d.cfg.OnChange(n)
 }
 
-// Start begins probing; Close ends it.
+// Start begins probing; Close stops it.
 func (d *Detector) Start() {
 	ctx, cancel := context.WithCancel(context.Background())
 	d.cancel = cancel
@@ -97,7 +97,7 @@
 	}()
 }
 
-// Close ends probing.
+// Close stops probing.
 func (d *Detector) Close() {
 	if d.cancel != nil {
 		d.cancel()
@@ -105,9 +105,9 @@
 	d.tasks.Wait()
 }
 
-// Leave tells a few nodes that this one stops.
+// Leave announces to a few nodes that this one is shutting down.
 func (d *Detector) Leave(ctx context.Context) {
-	d.list.set(Left)
+	d.list.setStatus(Left)
 	nodes := d.Live()
 	d.mu.Lock()
 	d.rng.Shuffle(len(nodes), func(i, j int) { nodes[i], nodes[j] = nodes[j], nodes[i] })
@@ -118,14 +118,14 @@
 }
 
 // Self returns this node.
-func (d *Detector) Self() Node { return d.list.me() }
+func (d *Detector) Self() Node { return d.list.local() }
 
-// Live returns the other nodes believed alive, suspects included, by name.
+// Live returns the other nodes believed alive, suspects included, sorted by name.
 func (d *Detector) Live() []Node {
 	return d.list.others(func(n Node) bool { return n.Status <= Suspect && n.Incarnation != 0 })
 }
 
-// All returns every other node known, by name.
+// All returns all other known nodes, sorted by name.
 func (d *Detector) All() []Node { return d.list.others(func(Node) bool { return true }) }
 
 // Address implements peer.Addresses.
@@ -134,9 +134,9 @@
 	return n.Address, ok && n.Address != ""
 }
 
-// Hint takes nodes from the platform's list; it never overrides what the
-// nodes say themselves.
-func (d *Detector) Hint(nodes []Node) {
+// AddSeeds adds nodes from the platform's list that are not known yet. It never
+// overrides what nodes report themselves.
+func (d *Detector) AddSeeds(nodes []Node) {
 	for _, n := range nodes {
 		if n.Name != d.list.self {
 			d.list.seed(n)
@@ -144,34 +144,33 @@
 	}
 }
 
-// join makes the node known to a few others at once; the rest hear of it
-// from them.
+// join announces this node to a few others, from which it spreads to the rest.
 func (d *Detector) join(ctx context.Context) {
 	nodes := d.All()
 	d.mu.Lock()
 	d.rng.Shuffle(len(nodes), func(i, j int) { nodes[i], nodes[j] = nodes[j], nodes[i] })
 	d.mu.Unlock()
 	var wg sync.WaitGroup
-	for _, n := range nodes[:min(len(nodes), joinWidth)] {
+	for _, n := range nodes[:min(len(nodes), joinFanout)] {
 		wg.Go(func() { d.ping(ctx, n.Name) })
 	}
 	wg.Wait()
 }
 
-// joinWidth is how many nodes are told at once of a new one.
-const joinWidth = 8
+// joinFanout is how many nodes a new node pings when it starts.
+const joinFanout = 8
 
 func (d *Detector) run(ctx context.Context) {
 	d.join(ctx)
 	for {
 		d.probe(ctx)
 		now := time.Now()
-		for _, n := range d.list.overdue(now, d.cfg.Patience) {
+		for _, n := range d.list.expiredSuspects(now, d.cfg.SuspectTimeout) {
 			n.Status = Dead
 			d.list.merge([]Node{n}, now)
 		}
-		d.list.prune(now, d.cfg.Forget)
-		t := time.NewTimer(d.jittered())
+		d.list.prune(now, d.cfg.DeadRetention)
+		t := time.NewTimer(d.jitteredPeriod())
 		select {
 		case <-t.C:
 		case <-ctx.Done():
@@ -181,7 +180,7 @@
 	}
 }
 
-func (d *Detector) jittered() time.Duration {
+func (d *Detector) jitteredPeriod() time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return time.Duration(float64(d.cfg.Period) * (0.9 + 0.2*d.rng.Float64()))
@@ -193,8 +192,8 @@
 	d.rng.Shuffle(len(names), func(i, j int) { names[i], names[j] = names[j], names[i] })
 }
 
-// probe asks one node, then others about it, and suspects it if none heard
-// from it.
+// probe pings one node directly, then through others, and marks it as suspect if
+// neither succeeds.
 func (d *Detector) probe(ctx context.Context) {
 	n, ok := d.list.probeNext(d.shuffle)
 	if !ok {
@@ -203,7 +202,7 @@
 	if d.ping(ctx, n.Name) || ctx.Err() != nil {
 		return
 	}
-	if n.Status != Alive || n.Incarnation == 0 || d.pingThrough(ctx, n) || ctx.Err() != nil {
+	if n.Status != Alive || n.Incarnation == 0 || d.indirectPing(ctx, n) || ctx.Err() != nil {
 		return
 	}
 	n.Status = Suspect
@@ -213,7 +212,7 @@
 func (d *Detector) ping(ctx context.Context, name walnutramp.NodeName) bool {
 	ctx, cancel := context.WithTimeout(ctx, d.cfg.Timeout)
 	defer cancel()
-	args := PingArgs{From: d.list.me(), To: name, Updates: d.list.updatesFor(name)}
+	args := PingArgs{From: d.list.local(), To: name, Updates: d.list.updatesFor(name)}
 	var reply PingReply
 	if d.peers.Call(ctx, name, Service+".Ping", args, &reply) != nil {
 		return false
@@ -222,7 +221,7 @@
 	return true
 }
 
-func (d *Detector) pingThrough(ctx context.Context, n Node) bool {
+func (d *Detector) indirectPing(ctx context.Context, n Node) bool {
 	helpers := d.list.others(func(o Node) bool { return o.Status == Alive && o.Name != n.Name && o.Incarnation != 0 })
 	d.mu.Lock()
 	d.rng.Shuffle(len(helpers), func(i, j int) { helpers[i], helpers[j] = helpers[j], helpers[i] })
@@ -231,18 +230,18 @@
 	ctx, cancel := context.WithTimeout(ctx, 2*d.cfg.Timeout)
 	defer cancel()
 	var wg sync.WaitGroup
-	answers := make([]IndirectReply, len(helpers))
+	replies := make([]IndirectReply, len(helpers))
 	for i, h := range helpers {
 		wg.Go(func() {
 			args := IndirectArgs{Target: n.Name, Updates: d.list.updates()}
 			var reply IndirectReply
 			if d.peers.Call(ctx, h.Name, Service+".Indirect", args, &reply) == nil {
-				answers[i] = reply
+				replies[i] = reply
 			}
 		})
 	}
 	wg.Wait()
-	for _, a := range answers {
+	for _, a := range replies {
 		if a.Answered {
 			d.list.merge([]Node{a.From}, time.Now())
 			return true
@@ -251,23 +250,23 @@
 	return false
 }
 
-// Handler answers probes; it is registered under Service.
+// Handler serves probes; it is registered under Service.
 type Handler struct {
 	d *Detector
 }
 
-// Handler returns what answers this detector's probes.
+// Handler returns the RPC handler of this detector.
 func (d *Detector) Handler() *Handler { return &Handler{d: d} }
 
 // Ping answers a probe.
 func (h *Handler) Ping(args PingArgs, reply *PingReply) error {
 	h.d.list.merge(append(args.Updates, args.From), time.Now())
-	reply.From = h.d.list.me()
+	reply.From = h.d.list.local()
 	reply.Updates = h.d.list.updatesFor(args.From.Name)
 	return nil
 }
 
-// Indirect probes another node for the one that asks.
+// Indirect pings another node on behalf of the caller.
 func (h *Handler) Indirect(args IndirectArgs, reply *IndirectReply) error {
 	h.d.list.merge(args.Updates, time.Now())
 	ctx, cancel := context.WithTimeout(context.Background(), h.d.cfg.Timeout)
--- a/member/formats_test.go
+++ b/member/formats_test.go
@@ -6,7 +6,7 @@
 	"github.com/walnutramp/walnutramp/internal/schema"
 )
 
-// What is sent.
+// TestFormats guards the encoding of RPC messages.
 func TestFormats(t *testing.T) {
 	schema.Check(t, PingArgs{}, PingReply{}, IndirectArgs{}, IndirectReply{})
 }
--- a/member/list.go
+++ b/member/list.go
@@ -10,30 +10,30 @@
 	"github.com/walnutramp/walnutramp"
 )
 
-// entry is a node in the list with what the list keeps beside it.
+// entry is a node in the membership list.
 type entry struct {
-	node    Node
-	since   time.Time // when the status was taken
-	spreads int       // how often this news was sent on
+	node          Node
+	statusSince   time.Time // when the status was last updated
+	transmissions int       // how often this update was sent
 }
 
-// list is everything known of the nodes, this one included.
+// list is the membership list, this node included.
 type list struct {
-	mu      sync.Mutex
-	self    walnutramp.NodeName
-	entries map[walnutramp.NodeName]*entry
-	order   []walnutramp.NodeName // probe order, reshuffled each round
-	next    int
-	onEvent func(Node)
+	mu       sync.Mutex
+	self     walnutramp.NodeName
+	entries  map[walnutramp.NodeName]*entry
+	order    []walnutramp.NodeName // probe order, reshuffled each round
+	next     int
+	onChange func(Node)
 }
 
-func newList(self Node, onEvent func(Node)) *list {
-	l := &list{self: self.Name, entries: map[walnutramp.NodeName]*entry{}, onEvent: onEvent}
+func newList(self Node, onChange func(Node)) *list {
+	l := &list{self: self.Name, entries: map[walnutramp.NodeName]*entry{}, onChange: onChange}
 	l.entries[self.Name] = &entry{node: self}
 	return l
 }
 
-func (l *list) me() Node {
+func (l *list) local() Node {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.entries[l.self].node
@@ -49,29 +49,29 @@
 	return e.node, true
 }
 
-// seed adds a node from the settings that nothing else is known of.
+// seed adds a configured node, unless it is already known.
 func (l *list) seed(n Node) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.entries[n.Name] != nil {
 		return
 	}
-	l.entries[n.Name] = &entry{node: n, since: time.Now(), spreads: math.MaxInt32}
+	l.entries[n.Name] = &entry{node: n, statusSince: time.Now(), transmissions: math.MaxInt32}
 }
 
-// merge takes news in. News that this node is not alive is refuted by a newer
-// version of itself.
-func (l *list) merge(news []Node, now time.Time) {
+// merge applies updates. Reports that this node is not alive are refuted by raising
+// its version.
+func (l *list) merge(updates []Node, now time.Time) {
 	l.mu.Lock()
-	var events []Node
-	for _, n := range news {
+	var changed []Node
+	for _, n := range updates {
 		if l.mergeOne(n, now) {
-			events = append(events, n)
+			changed = append(changed, n)
 		}
 	}
 	l.mu.Unlock()
-	for _, n := range events {
-		l.onEvent(n)
+	for _, n := range changed {
+		l.onChange(n)
 	}
 }
 
@@ -82,7 +82,7 @@
 		return false
 	}
 	if e == nil {
-		l.entries[n.Name] = &entry{node: n, since: now}
+		l.entries[n.Name] = &entry{node: n, statusSince: now}
 		return true
 	}
 	if !n.overrides(e.node) {
@@ -90,8 +90,8 @@
 	}
 	changed := n.Status != e.node.Status || n.Incarnation != e.node.Incarnation
 	e.node = n
-	e.since = now
-	e.spreads = 0
+	e.statusSince = now
+	e.transmissions = 0
 	return changed
 }
 
@@ -100,63 +100,63 @@
 		return
 	}
 	e.node.Version = n.Version + 1
-	e.spreads = 0
+	e.transmissions = 0
 }
 
-// set changes this node's own status and spreads it.
-func (l *list) set(status Status) {
+// setStatus changes this node's status, which is then disseminated.
+func (l *list) setStatus(status Status) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	e := l.entries[l.self]
 	e.node.Status = status
 	e.node.Version++
-	e.spreads = 0
+	e.transmissions = 0
 }
 
-// maxUpdates bounds the news on one probe.
+// maxUpdates bounds the updates piggybacked on a probe.
 const maxUpdates = 32
 
-// spreadFactor times the logarithm of the number of nodes is how often news
-// is sent on before it is old.
-const spreadFactor = 2
+// retransmitFactor times the logarithm of the number of nodes is how often an update
+// is sent.
+const retransmitFactor = 2
 
-// updates returns the least spread news, and counts it as spread once more.
+// updates returns the updates that were sent least often, and counts them as sent.
 func (l *list) updates() []Node {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	limit := spreadFactor * int(math.Ceil(math.Log2(float64(len(l.entries)+2))))
-	fresh := make([]*entry, 0, len(l.entries))
+	limit := retransmitFactor * int(math.Ceil(math.Log2(float64(len(l.entries)+2))))
+	pending := make([]*entry, 0, len(l.entries))
 	for _, e := range l.entries {
-		if e.spreads < limit {
-			fresh = append(fresh, e)
+		if e.transmissions < limit {
+			pending = append(pending, e)
 		}
 	}
-	slices.SortFunc(fresh, func(a, b *entry) int {
-		if a.spreads != b.spreads {
-			return a.spreads - b.spreads
+	slices.SortFunc(pending, func(a, b *entry) int {
+		if a.transmissions != b.transmissions {
+			return a.transmissions - b.transmissions
 		}
 		return cmp.Compare(a.node.Name, b.node.Name)
 	})
-	fresh = fresh[:min(len(fresh), maxUpdates)]
-	news := make([]Node, len(fresh))
-	for i, e := range fresh {
-		e.spreads++
-		news[i] = e.node
+	pending = pending[:min(len(pending), maxUpdates)]
+	updates := make([]Node, len(pending))
+	for i, e := range pending {
+		e.transmissions++
+		updates[i] = e.node
 	}
-	return news
+	return updates
 }
 
-// updatesFor returns the news for one node. If that node is not believed
-// alive it is told so each time, so that it can refute it.
+// updatesFor returns the updates to send to a node. If that node is not believed
+// alive, its status is always included, so that it can refute it.
 func (l *list) updatesFor(name walnutramp.NodeName) []Node {
-	news := l.updates()
+	updates := l.updates()
 	if n, ok := l.get(name); ok && n.Status != Alive {
-		news = append(news, n)
+		updates = append(updates, n)
 	}
-	return news
+	return updates
 }
 
-// probeNext returns the next node to probe: every node once a round.
+// probeNext returns the next node to probe; each node is probed once per round.
 func (l *list) probeNext(shuffle func([]walnutramp.NodeName)) (Node, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -168,12 +168,12 @@
 				return e.node, true
 			}
 		}
-		l.reorder(shuffle)
+		l.reshuffle(shuffle)
 	}
 	return Node{}, false
 }
 
-func (l *list) reorder(shuffle func([]walnutramp.NodeName)) {
+func (l *list) reshuffle(shuffle func([]walnutramp.NodeName)) {
 	l.order = l.order[:0]
 	for name := range l.entries {
 		if name != l.self {
@@ -185,13 +185,13 @@
 	l.next = 0
 }
 
-// others returns the nodes for which keep holds, this one left out.
-func (l *list) others(keep func(Node) bool) []Node {
+// others returns the other nodes that match, sorted by name.
+func (l *list) others(match func(Node) bool) []Node {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var nodes []Node
 	for name, e := range l.entries {
-		if name != l.self && keep(e.node) {
+		if name != l.self && match(e.node) {
 			nodes = append(nodes, e.node)
 		}
 	}
@@ -199,25 +199,25 @@
 	return nodes
 }
 
-// overdue returns suspects that had their time to refute.
-func (l *list) overdue(now time.Time, patience time.Duration) []Node {
+// expiredSuspects returns the suspects that did not refute in time.
+func (l *list) expiredSuspects(now time.Time, timeout time.Duration) []Node {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var nodes []Node
 	for _, e := range l.entries {
-		if e.node.Status == Suspect && now.Sub(e.since) >= patience {
+		if e.node.Status == Suspect && now.Sub(e.statusSince) >= timeout {
 			nodes = append(nodes, e.node)
 		}
 	}
 	return nodes
 }
 
-// prune forgets nodes that have been gone for long.
-func (l *list) prune(now time.Time, keep time.Duration) {
+// prune removes nodes that have been dead or gone for longer than the retention.
+func (l *list) prune(now time.Time, retention time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for name, e := range l.entries {
-		if e.node.Status >= Dead && now.Sub(e.since) > keep && name != l.self {
+		if e.node.Status >= Dead && now.Sub(e.statusSince) > retention && name != l.self {
 			delete(l.entries, name)
 		}
 	}
--- a/member/member.go
+++ b/member/member.go
@@ -1,15 +1,15 @@
-// Package member finds out which nodes live: each node probes one other a
-// period, asks others to probe a silent one before suspecting it, and spreads
-// what it learns on the probes' backs. A node's cost does not grow with the
-// number of nodes.
+// Package member implements SWIM-style group membership: each node probes one
+// other per period, asks others to probe an unresponsive one before suspecting
+// it, and piggybacks membership updates on the probes. The load of a node does
+// not grow with the number of nodes.
 package member
 
 import (
 	"github.com/walnutramp/walnutramp"
 )
 
-// Status is what a node is believed to be. A larger value overrides a smaller
-// one of the same incarnation and version.
+// Status is the believed status of a node. A larger value overrides a smaller one of
+// the same incarnation and version.
 type Status int
 
 // The statuses.
@@ -17,10 +17,10 @@
 	Alive Status = iota
 	Suspect
 	Dead
-	Left // it said that it stops
+	Left // it announced its shutdown
 )
 
-// String names the status.
+// String returns the name of the status.
 func (s Status) String() string {
 	switch s {
 	case Alive:
@@ -33,17 +33,17 @@
 	return "left"
 }
 
-// Node is what is known of one node.
+// Node is the membership record of a node.
 type Node struct {
 	Name        walnutramp.NodeName
 	DataHall    walnutramp.DataHall
-	Address     string // for peers
+	Address     string // for RPC from peers
 	Incarnation walnutramp.Incarnation
 	Version     uint64 // raised by the node itself to refute a suspicion
 	Status      Status
 }
 
-// overrides reports whether news n replaces old.
+// overrides reports whether update n replaces old.
 func (n Node) overrides(old Node) bool {
 	if n.Incarnation != old.Incarnation {
 		return n.Incarnation > old.Incarnation
@@ -54,17 +54,17 @@
 	return n.Status > old.Status
 }
 
-// Service is the name under which nodes answer probes.
+// Service is the RPC service name of the probe handler.
 const Service = "Member"
 
-// PingArgs is a probe.
+// PingArgs are the arguments of a probe.
 type PingArgs struct {
 	From    Node
 	To      walnutramp.NodeName
 	Updates []Node
 }
 
-// PingReply answers a probe.
+// PingReply is the reply to a probe.
 type PingReply struct {
 	From    Node
 	Updates []Node
@@ -76,7 +76,7 @@
 	Updates []Node
 }
 
-// IndirectReply says whether the other answered.
+// IndirectReply reports whether the other node answered.
 type IndirectReply struct {
 	Answered bool
 	From     Node
--- a/member/member_test.go
+++ b/member/member_test.go
@@ -13,8 +13,8 @@
 	"github.com/walnutramp/walnutramp"
 )
 
-// world joins detectors; calls can be lost one way or both.
-type world struct {
+// cluster connects detectors; calls can be dropped in either direction.
+type cluster struct {
 	mu     sync.Mutex
 	nodes  map[walnutramp.NodeName]*Detector
 	lost   map[[2]walnutramp.NodeName]bool
@@ -22,8 +22,8 @@
 	calls  map[walnutramp.NodeName]int
 }
 
-func newWorld(n int) *world {
-	w := &world{
+func newCluster(n int) *cluster {
+	w := &cluster{
 		nodes: map[walnutramp.NodeName]*Detector{}, lost: map[[2]walnutramp.NodeName]bool{},
 		paused: map[walnutramp.NodeName]bool{}, calls: map[walnutramp.NodeName]int{},
 	}
@@ -35,48 +35,48 @@
 
 func name(i int) walnutramp.NodeName { return walnutramp.NodeName(fmt.Sprintf("n%d", i)) }
 
-func (w *world) start(n walnutramp.NodeName, run walnutramp.Incarnation, size int) {
+func (w *cluster) start(n walnutramp.NodeName, run walnutramp.Incarnation, size int) {
 	var seeds []Node
 	for i := range size {
 		seeds = append(seeds, Node{Name: name(i), Address: string(name(i))})
 	}
-	d := NewDetector(Node{Name: n, Address: string(n), Incarnation: run}, seeds, view{w, n}, WithSeed(uint64(run)))
+	d := NewDetector(Node{Name: n, Address: string(n), Incarnation: run}, seeds, transport{w, n}, WithSeed(uint64(run)))
 	w.mu.Lock()
 	w.nodes[n] = d
 	w.mu.Unlock()
 	d.Start()
 }
 
-func (w *world) close() {
+func (w *cluster) close() {
 	for _, d := range w.nodes {
 		d.Close()
 	}
 }
 
-func (w *world) set(f func()) {
+func (w *cluster) locked(f func()) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	f()
 }
 
-func (w *world) passes(from, to walnutramp.NodeName) bool {
+func (w *cluster) delivers(from, to walnutramp.NodeName) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return !w.lost[[2]walnutramp.NodeName{from, to}] && !w.paused[from] && !w.paused[to]
 }
 
-// view is how one node calls others.
-type view struct {
-	w    *world
-	from walnutramp.NodeName
+// transport makes the calls of one node.
+type transport struct {
+	cluster *cluster
+	from    walnutramp.NodeName
 }
 
-func (v view) Call(ctx context.Context, to walnutramp.NodeName, method string, args, reply any) error {
-	v.w.mu.Lock()
-	d := v.w.nodes[to]
-	v.w.calls[v.from]++
-	v.w.mu.Unlock()
-	if d == nil || !v.w.passes(v.from, to) {
+func (v transport) Call(ctx context.Context, to walnutramp.NodeName, method string, args, reply any) error {
+	v.cluster.mu.Lock()
+	d := v.cluster.nodes[to]
+	v.cluster.calls[v.from]++
+	v.cluster.mu.Unlock()
+	if d == nil || !v.cluster.delivers(v.from, to) {
 		<-ctx.Done()
 		return ctx.Err()
 	}
@@ -90,14 +90,14 @@
 	default:
 		err = errors.Newf("unknown method %s", method)
 	}
-	if !v.w.passes(to, v.from) {
+	if !v.cluster.delivers(to, v.from) {
 		<-ctx.Done()
 		return ctx.Err()
 	}
 	return err
 }
 
-func (w *world) sees(observer, n int) Status {
+func (w *cluster) statusOf(observer, n int) Status {
 	for _, o := range w.nodes[name(observer)].All() {
 		if o.Name == name(n) && o.Incarnation != 0 {
 			return o.Status
@@ -106,10 +106,10 @@
 	return Dead
 }
 
-// inWorld runs f in virtual time once all n nodes see each other.
-func inWorld(t *testing.T, n int, f func(t *testing.T, w *world)) {
+// runCluster runs f in virtual time on n nodes that all know each other.
+func runCluster(t *testing.T, n int, f func(t *testing.T, w *cluster)) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(n)
+		w := newCluster(n)
 		defer w.close()
 		time.Sleep(10 * time.Second)
 		for i := range n {
@@ -119,48 +119,48 @@
 	})
 }
 
-func TestDeadNodeIsFoundByAll(t *testing.T) {
-	inWorld(t, 8, func(t *testing.T, w *world) {
+func TestDeadNodeIsDetectedByAll(t *testing.T) {
+	runCluster(t, 8, func(t *testing.T, w *cluster) {
 		w.nodes[name(0)].Close()
-		w.set(func() { w.paused[name(0)] = true })
+		w.locked(func() { w.paused[name(0)] = true })
 		time.Sleep(20 * time.Second)
 		for i := 1; i < 8; i++ {
-			require.Equal(t, Dead, w.sees(i, 0))
+			require.Equal(t, Dead, w.statusOf(i, 0))
 		}
 	})
 }
 
-func TestOneWayLossKillsNobody(t *testing.T) {
-	inWorld(t, 8, func(t *testing.T, w *world) {
-		w.set(func() { w.lost[[2]walnutramp.NodeName{name(0), name(1)}] = true })
+func TestAsymmetricLossDeclaresNoNodeDead(t *testing.T) {
+	runCluster(t, 8, func(t *testing.T, w *cluster) {
+		w.locked(func() { w.lost[[2]walnutramp.NodeName{name(0), name(1)}] = true })
 		for range 600 {
 			time.Sleep(100 * time.Millisecond)
 			for i := 2; i < 8; i++ {
-				require.NotEqual(t, Dead, w.sees(i, 0))
-				require.NotEqual(t, Dead, w.sees(i, 1))
+				require.NotEqual(t, Dead, w.statusOf(i, 0))
+				require.NotEqual(t, Dead, w.statusOf(i, 1))
 			}
 		}
 	})
 }
 
-func TestPausedNodeComesBackAsItself(t *testing.T) {
-	inWorld(t, 8, func(t *testing.T, w *world) {
-		w.set(func() { w.paused[name(0)] = true })
+func TestPausedNodeRecoversWithSameIncarnation(t *testing.T) {
+	runCluster(t, 8, func(t *testing.T, w *cluster) {
+		w.locked(func() { w.paused[name(0)] = true })
 		time.Sleep(30 * time.Second)
-		require.Equal(t, Dead, w.sees(3, 0))
-		w.set(func() { w.paused[name(0)] = false })
+		require.Equal(t, Dead, w.statusOf(3, 0))
+		w.locked(func() { w.paused[name(0)] = false })
 		time.Sleep(30 * time.Second)
 		for i := 1; i < 8; i++ {
-			require.Equal(t, Alive, w.sees(i, 0))
+			require.Equal(t, Alive, w.statusOf(i, 0))
 		}
 		n, _ := w.nodes[name(3)].list.get(name(0))
-		require.EqualValues(t, 1, n.Incarnation, "a pause is not a restart")
-		require.NotZero(t, n.Version, "it refuted its death")
+		require.EqualValues(t, 1, n.Incarnation, "a pause must not look like a restart")
+		require.NotZero(t, n.Version, "it refuted that it is dead")
 	})
 }
 
-func TestRestartUnderTheSameAddressIsAnotherRun(t *testing.T) {
-	inWorld(t, 8, func(t *testing.T, w *world) {
+func TestRestartAtSameAddressHasNewIncarnation(t *testing.T) {
+	runCluster(t, 8, func(t *testing.T, w *cluster) {
 		w.nodes[name(0)].Close()
 		w.start(name(0), 2, 8)
 		time.Sleep(2 * time.Second)
@@ -173,7 +173,7 @@
 }
 
 func TestPartitionHeals(t *testing.T) {
-	inWorld(t, 8, func(t *testing.T, w *world) {
+	runCluster(t, 8, func(t *testing.T, w *cluster) {
 		cut := func(on bool) {
 			for i := range 4 {
 				for j := 4; j < 8; j++ {
@@ -182,11 +182,11 @@
 				}
 			}
 		}
-		w.set(func() { cut(true) })
+		w.locked(func() { cut(true) })
 		time.Sleep(30 * time.Second)
 		require.Len(t, w.nodes[name(0)].Live(), 3)
 		require.Len(t, w.nodes[name(7)].Live(), 3)
-		w.set(func() { cut(false) })
+		w.locked(func() { cut(false) })
 		time.Sleep(time.Minute)
 		for i := range 8 {
 			require.Len(t, w.nodes[name(i)].Live(), 7)
@@ -195,27 +195,27 @@
 }
 
 func TestLeavingNodeIsNotProbed(t *testing.T) {
-	inWorld(t, 5, func(t *testing.T, w *world) {
+	runCluster(t, 5, func(t *testing.T, w *cluster) {
 		w.nodes[name(0)].Leave(t.Context())
 		w.nodes[name(0)].Close()
 		time.Sleep(5 * time.Second)
 		for i := 1; i < 5; i++ {
-			require.Equal(t, Left, w.sees(i, 0))
+			require.Equal(t, Left, w.statusOf(i, 0))
 		}
 	})
 }
 
-// TestCostDoesNotGrowWithMembers counts probes a node sends in a minute.
-func TestCostDoesNotGrowWithMembers(t *testing.T) {
+// The number of probes a node sends per minute must not depend on the cluster size.
+func TestProbeRateIsIndependentOfClusterSize(t *testing.T) {
 	perMinute := func(n int) int {
 		calls := 0
 		synctest.Test(t, func(t *testing.T) {
-			w := newWorld(n)
+			w := newCluster(n)
 			defer w.close()
 			time.Sleep(10 * time.Second)
 			before := w.calls[name(0)]
 			time.Sleep(time.Minute)
-			w.set(func() { calls = w.calls[name(0)] - before })
+			w.locked(func() { calls = w.calls[name(0)] - before })
 		})
 		return calls
 	}
