--- a/peer/client.go
+++ b/peer/client.go
@@ -12,23 +12,23 @@
 	"github.com/walnutramp/walnutramp"
 )
 
-// Addresses tells where nodes answer their peers.
+// Addresses resolves the peer addresses of nodes.
 type Addresses interface {
 	// Address returns a node's peer address, a numeric host:port.
 	Address(node walnutramp.NodeName) (string, bool)
 }
 
-// Client calls other nodes, over one connection to each.
+// Client makes RPC calls to other nodes, over one connection per node.
 type Client struct {
 	self      Identity
 	dial      DialFunc
 	addresses Addresses
 	traffic   *Traffic
 
-	mu     sync.Mutex
-	closed bool
-	swept  time.Time // when idle connections were last closed
-	remote map[walnutramp.NodeName]*remote
+	mu        sync.Mutex
+	closed    bool
+	lastSweep time.Time // time of the last closeIdle
+	remote    map[walnutramp.NodeName]*remote
 }
 
 // remote is the connection to one node.
@@ -36,13 +36,13 @@
 	node    walnutramp.NodeName
 	dialing chan struct{} // held while one caller dials
 
-	mu      sync.Mutex
-	address string
-	client  *rpc.Client
-	calls   int       // under way
-	used    time.Time // by the newest call
-	heard   time.Time // when an answer last came
-	failed  time.Time // when dialling last failed
+	mu              sync.Mutex
+	address         string
+	client          *rpc.Client
+	activeCalls     int       // calls in progress
+	lastUsed        time.Time // end of the last call
+	lastReply       time.Time // time of the last reply
+	lastDialFailure time.Time // time of the last failed dial
 }
 
 // NewClient returns a client that dials on demand.
@@ -50,52 +50,51 @@
 	return &Client{self: self, dial: dial, addresses: addresses, traffic: traffic, remote: map[walnutramp.NodeName]*remote{}}
 }
 
-// Call runs a method at a node. When ctx ends first the call may still run
-// there.
+// Call invokes a method at a node. If ctx ends first, the call may still run there.
 func (c *Client) Call(ctx context.Context, node walnutramp.NodeName, method string, args, reply any) error {
-	r, err := c.to(node)
+	r, err := c.acquire(node)
 	if err != nil {
 		return err
 	}
-	defer r.done()
+	defer r.endCall()
 	conn, err := r.connect(ctx, c)
 	if err != nil {
 		return err
 	}
-	// A late answer is decoded after the caller has gone on, so it gets a
-	// reply of its own.
-	fresh := reflect.New(reflect.TypeOf(reply).Elem())
-	call := conn.Go(method, args, fresh.Interface(), make(chan *rpc.Call, 1))
+	// A late reply is decoded after Call has returned, so it is decoded into a
+	// separate value.
+	ownReply := reflect.New(reflect.TypeOf(reply).Elem())
+	call := conn.Go(method, args, ownReply.Interface(), make(chan *rpc.Call, 1))
 	select {
 	case <-call.Done:
-		return r.answered(conn, call, reply, fresh)
+		return r.handleReply(conn, call, reply, ownReply)
 	case <-ctx.Done():
-		r.unanswered(conn)
+		r.handleTimeout(conn)
 		return ctx.Err()
 	}
 }
 
-func (r *remote) answered(conn *rpc.Client, call *rpc.Call, reply any, fresh reflect.Value) error {
+func (r *remote) handleReply(conn *rpc.Client, call *rpc.Call, reply any, ownReply reflect.Value) error {
 	if call.Error != nil && !isServerError(call.Error) {
-		r.drop(conn)
+		r.discard(conn)
 		return call.Error
 	}
 	r.mu.Lock()
-	r.heard = time.Now()
+	r.lastReply = time.Now()
 	r.mu.Unlock()
 	if call.Error == nil {
-		reflect.ValueOf(reply).Elem().Set(fresh.Elem())
+		reflect.ValueOf(reply).Elem().Set(ownReply.Elem())
 	}
 	return call.Error
 }
 
-// unanswered drops a connection on which nothing has been heard for long.
-func (r *remote) unanswered(conn *rpc.Client) {
+// handleTimeout closes a connection that has received no reply for silenceTimeout.
+func (r *remote) handleTimeout(conn *rpc.Client) {
 	r.mu.Lock()
-	stuck := time.Since(r.heard) >= stuckAfter
+	unresponsive := time.Since(r.lastReply) >= silenceTimeout
 	r.mu.Unlock()
-	if stuck {
-		r.drop(conn)
+	if unresponsive {
+		r.discard(conn)
 	}
 }
 
@@ -104,8 +103,8 @@
 	return errors.As(err, &s)
 }
 
-// to returns the way to a node with a call counted in.
-func (c *Client) to(node walnutramp.NodeName) (*remote, error) {
+// acquire returns the connection state of a node, with the new call counted.
+func (c *Client) acquire(node walnutramp.NodeName) (*remote, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closed {
@@ -117,33 +116,32 @@
 		r = &remote{node: node, dialing: make(chan struct{}, 1)}
 		c.remote[node] = r
 	}
-	r.use()
+	r.addCall()
 	return r, nil
 }
 
-// use counts a call in.
-func (r *remote) use() {
+// addCall counts a new call.
+func (r *remote) addCall() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.calls++
+	r.activeCalls++
 }
 
-// done counts a call out.
-func (r *remote) done() {
+// endCall counts the end of a call.
+func (r *remote) endCall() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.calls--
-	r.used = time.Now()
+	r.activeCalls--
+	r.lastUsed = time.Now()
 }
 
-// closeIdle closes connections that nothing has used for a while, so that a
-// node does not keep one to every other that it once probed. The caller holds
-// the client's mutex.
+// closeIdle closes idle connections, so that a node does not keep one to every other
+// node it has probed. The caller holds the client's mutex.
 func (c *Client) closeIdle(now time.Time) {
-	if now.Sub(c.swept) < idleLimit {
+	if now.Sub(c.lastSweep) < idleTimeout {
 		return
 	}
-	c.swept = now
+	c.lastSweep = now
 	for node, r := range c.remote {
 		if r.closeIdle(now) {
 			delete(c.remote, node)
@@ -154,7 +152,7 @@
 func (r *remote) closeIdle(now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.calls > 0 || now.Sub(r.used) < idleLimit {
+	if r.activeCalls > 0 || now.Sub(r.lastUsed) < idleTimeout {
 		return false
 	}
 	if r.client != nil {
@@ -164,13 +162,13 @@
 	return true
 }
 
-// connect returns the open connection, or dials.
+// connect returns the open connection, or dials a new one.
 func (r *remote) connect(ctx context.Context, c *Client) (*rpc.Client, error) {
 	address, ok := c.addresses.Address(r.node)
 	if !ok {
-		return nil, errors.Newf("no address is known for node %s", r.node)
+		return nil, errors.Newf("no address known for node %s", r.node)
 	}
-	if conn, err := r.open(address); conn != nil || err != nil {
+	if conn, err := r.openConn(address); conn != nil || err != nil {
 		return conn, err
 	}
 	select {
@@ -179,22 +177,22 @@
 		return nil, ctx.Err()
 	}
 	defer func() { <-r.dialing }()
-	if conn, err := r.open(address); conn != nil || err != nil {
+	if conn, err := r.openConn(address); conn != nil || err != nil {
 		return conn, err
 	}
 	return r.dial(ctx, c, address)
 }
 
-// open returns the connection if there is one, or an error if dialling has
-// just failed.
-func (r *remote) open(address string) (*rpc.Client, error) {
+// openConn returns the connection if there is one, or an error within redialDelay of a
+// failed dial.
+func (r *remote) openConn(address string) (*rpc.Client, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.client != nil && r.address == address {
 		return r.client, nil
 	}
-	if time.Since(r.failed) < redialPause {
-		return nil, errors.Newf("node %s did not answer just now", r.node)
+	if time.Since(r.lastDialFailure) < redialDelay {
+		return nil, errors.Newf("node %s is unreachable: last dial failed less than %v ago", r.node, redialDelay)
 	}
 	return nil, nil
 }
@@ -204,37 +202,37 @@
 	defer cancel()
 	conn, err := c.dial(ctx, "tcp", address)
 	if err != nil {
-		r.noteFailed()
+		r.recordDialFailure()
 		return nil, err
 	}
-	counted := &countingConn{Conn: conn, traffic: c.traffic, writeLimit: writeTimeout}
+	counted := &countingConn{Conn: conn, traffic: c.traffic, writeTimeout: writeTimeout}
 	secured, err := c.self.connect(ctx, counted, r.node)
-	var ready io.ReadWriteCloser
+	var stream io.ReadWriteCloser
 	if err == nil {
-		ready, err = exchangeHello(ctx, secured, c.self, r.node)
+		stream, err = exchangeHello(ctx, secured, c.self, r.node)
 	}
 	if err != nil {
 		conn.Close()
-		r.noteFailed()
+		r.recordDialFailure()
 		return nil, err
 	}
-	client := rpc.NewClient(ready)
-	if !c.keep(r, client, address) {
+	client := rpc.NewClient(stream)
+	if !c.setConn(r, client, address) {
 		client.Close()
 		return nil, errors.New("client closed")
 	}
 	return client, nil
 }
 
-func (r *remote) noteFailed() {
+func (r *remote) recordDialFailure() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.failed = time.Now()
+	r.lastDialFailure = time.Now()
 }
 
-// keep makes a connection the one to use, unless the client was closed
+// setConn replaces the connection of a node. It returns false if the client was closed
 // meanwhile.
-func (c *Client) keep(r *remote, client *rpc.Client, address string) bool {
+func (c *Client) setConn(r *remote, client *rpc.Client, address string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closed {
@@ -247,11 +245,11 @@
 	}
 	r.client = client
 	r.address = address
-	r.heard = time.Now()
+	r.lastReply = time.Now()
 	return true
 }
 
-func (r *remote) drop(conn *rpc.Client) {
+func (r *remote) discard(conn *rpc.Client) {
 	conn.Close()
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -260,7 +258,7 @@
 	}
 }
 
-// Close breaks every connection; calls under way fail.
+// Close closes all connections; calls in progress fail.
 func (c *Client) Close() {
 	c.mu.Lock()
 	c.closed = true
--- a/peer/peer.go
+++ b/peer/peer.go
@@ -1,6 +1,6 @@
-// Package peer carries calls between the system's own nodes: net/rpc over one
-// TCP connection to each node that is called, opened on demand. Both sides
-// say who they are before the first call.
+// Package peer implements RPC between nodes: net/rpc over one TCP connection per
+// called node, opened on demand. Both sides identify themselves before the first
+// call.
 package peer
 
 import (
@@ -20,18 +20,18 @@
 	"k8s.io/klog/v2"
 )
 
-// Timing of connections.
+// Connection timeouts and limits.
 const (
-	helloTimeout = 2 * time.Second
-	dialTimeout  = 1 * time.Second
-	redialPause  = 50 * time.Millisecond
-	stuckAfter   = 1 * time.Second  // silence after which a connection is given up
-	idleLimit    = 20 * time.Second // after which an unused connection is closed
-	writeTimeout = 2 * time.Second  // of one write to a peer that does not read
-	maxHello     = 1024             // bytes
+	helloTimeout   = 2 * time.Second
+	dialTimeout    = 1 * time.Second
+	redialDelay    = 50 * time.Millisecond
+	silenceTimeout = 1 * time.Second  // without replies after which a connection is closed
+	idleTimeout    = 20 * time.Second // of an unused connection
+	writeTimeout   = 2 * time.Second  // of one write
+	maxHello       = 1024             // bytes
 )
 
-// hello is the line each side sends first.
+// hello is the first line that each side sends, encoded as JSON.
 type hello struct {
 	Protocol    string                 `json:"protocol"`
 	Site        string                 `json:"site"`
@@ -44,8 +44,8 @@
 // DialFunc opens a connection; net.Dialer.DialContext is one.
 type DialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
-// Identity is who a node says it is. With TLS set, both ends prove it by
-// certificates of the site's authority.
+// Identity is the identity that a node announces. With TLS set, both sides prove it
+// with certificates issued by the site's CA.
 type Identity struct {
 	Site        string
 	Node        walnutramp.NodeName
@@ -61,10 +61,10 @@
 type Traffic struct {
 	Sent      atomic.Int64
 	Received  atomic.Int64
-	Strangers atomic.Int64 // connections refused
+	Strangers atomic.Int64 // rejected connections
 }
 
-// Server answers peers' calls.
+// Server serves RPC calls from peers.
 type Server struct {
 	self    Identity
 	rpc     *rpc.Server
@@ -77,12 +77,12 @@
 	tasks     sync.WaitGroup
 }
 
-// NewServer returns a server that answers for no service yet.
+// NewServer returns a server without any registered services.
 func NewServer(self Identity, traffic *Traffic) *Server {
 	return &Server{self: self, rpc: rpc.NewServer(), traffic: traffic, conns: map[net.Conn]struct{}{}}
 }
 
-// Register serves the methods of a service under a name.
+// Register registers the methods of a service under a name.
 func (s *Server) Register(name string, service any) error {
 	return s.rpc.RegisterName(name, service)
 }
@@ -118,29 +118,29 @@
 
 func (s *Server) serveConn(c net.Conn) {
 	defer s.tasks.Done()
-	defer s.forget(c)
+	defer s.untrack(c)
 	counted := &countingConn{Conn: c, traffic: s.traffic}
-	secured, proven, err := s.self.accept(counted)
+	secured, certNode, err := s.self.accept(counted)
 	var conn io.ReadWriteCloser
 	if err == nil {
-		conn, err = exchangeHello(context.Background(), secured, s.self, proven)
+		conn, err = exchangeHello(context.Background(), secured, s.self, certNode)
 	}
 	if err != nil {
 		s.traffic.Strangers.Add(1)
-		klog.V(1).InfoS("Peer refused", "remote", c.RemoteAddr(), "err", err)
+		klog.V(1).InfoS("Rejected peer connection", "remote", c.RemoteAddr(), "err", err)
 		return
 	}
 	s.rpc.ServeConn(conn)
 }
 
-func (s *Server) forget(c net.Conn) {
+func (s *Server) untrack(c net.Conn) {
 	c.Close()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.conns, c)
 }
 
-// Close breaks every connection and waits for the calls under way.
+// Close closes all connections and waits for calls in progress.
 func (s *Server) Close() {
 	s.mu.Lock()
 	s.closed = true
@@ -154,8 +154,8 @@
 	s.tasks.Wait()
 }
 
-// accept takes the server's end of a secured connection and returns the node
-// that the far end's certificate names; without TLS that is empty.
+// accept performs the server side of the TLS handshake and returns the node named in
+// the client's certificate; without TLS, the name is empty.
 func (id Identity) accept(c net.Conn) (net.Conn, walnutramp.NodeName, error) {
 	if id.TLS == nil {
 		return c, "", nil
@@ -166,11 +166,11 @@
 	if err := secured.HandshakeContext(ctx); err != nil {
 		return nil, "", err
 	}
-	names := secured.ConnectionState().PeerCertificates
-	return secured, walnutramp.NodeName(names[0].Subject.CommonName), nil
+	certs := secured.ConnectionState().PeerCertificates
+	return secured, walnutramp.NodeName(certs[0].Subject.CommonName), nil
 }
 
-// connect takes the client's end of a secured connection to a node.
+// connect performs the client side of the TLS handshake with a node.
 func (id Identity) connect(ctx context.Context, c net.Conn, node walnutramp.NodeName) (net.Conn, error) {
 	if id.TLS == nil {
 		return c, nil
@@ -181,8 +181,8 @@
 	return secured, secured.HandshakeContext(ctx)
 }
 
-// exchangeHello says who this side is and checks the other. want is the node
-// expected at the far end, empty for any.
+// exchangeHello sends this side's identity and verifies the other's. want is the
+// expected node, empty for any.
 func exchangeHello(ctx context.Context, c net.Conn, self Identity, want walnutramp.NodeName) (io.ReadWriteCloser, error) {
 	limit, ok := ctx.Deadline()
 	if !ok {
@@ -203,10 +203,10 @@
 		return nil, err
 	}
 	if other.Protocol != protocol || other.Site != self.Site {
-		return nil, errors.Newf("peer speaks %q for site %q", other.Protocol, other.Site)
+		return nil, errors.Newf("protocol or site mismatch: peer announced protocol %q, site %q", other.Protocol, other.Site)
 	}
 	if want != "" && other.Node != want {
-		return nil, errors.Newf("node %s answers in place of %s", other.Node, want)
+		return nil, errors.Newf("peer announced node %s, expected %s", other.Node, want)
 	}
 	return &buffered{Conn: c, r: r}, nil
 }
@@ -233,10 +233,10 @@
 		}
 		line = append(line, b)
 	}
-	return h, errors.New("hello too long")
+	return h, errors.Newf("hello line exceeds %d bytes", maxHello)
 }
 
-// buffered reads through the reader that took the hello.
+// buffered reads through the reader of the hello, which may hold further bytes.
 type buffered struct {
 	net.Conn
 	r *bufio.Reader
@@ -245,11 +245,11 @@
 // Read implements io.Reader.
 func (b *buffered) Read(p []byte) (int, error) { return b.r.Read(p) }
 
-// countingConn counts bytes and bounds how long a write may block.
+// countingConn counts bytes and limits the duration of writes.
 type countingConn struct {
 	net.Conn
-	traffic    *Traffic
-	writeLimit time.Duration // zero for none
+	traffic      *Traffic
+	writeTimeout time.Duration // zero for none
 }
 
 // Read implements net.Conn.
@@ -261,8 +261,8 @@
 
 // Write implements net.Conn.
 func (c *countingConn) Write(p []byte) (int, error) {
-	if c.writeLimit > 0 {
-		c.Conn.SetWriteDeadline(time.Now().Add(c.writeLimit))
+	if c.writeTimeout > 0 {
+		c.Conn.SetWriteDeadline(time.Now().Add(c.writeTimeout))
 	}
 	n, err := c.Conn.Write(p)
 	c.traffic.Sent.Add(int64(n))
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -13,10 +13,10 @@
 	"github.com/walnutramp/walnutramp/peer"
 )
 
-// Echo is a service to call.
+// Echo is a test service.
 type Echo struct{}
 
-// Say answers with what it is told.
+// Say returns its argument.
 func (Echo) Say(args string, reply *string) error {
 	*reply = args
 	return nil
@@ -26,7 +26,7 @@
 
 func (a oneAddress) Address(walnutramp.NodeName) (string, bool) { return string(a), true }
 
-// serve runs a server and returns its address and counts.
+// serve runs a server and returns its address and traffic counters.
 func serve(t *testing.T, id peer.Identity) (string, *peer.Traffic) {
 	traffic := &peer.Traffic{}
 	s := peer.NewServer(id, traffic)
@@ -52,35 +52,35 @@
 	return err
 }
 
-// identity returns a node's identity with keys from dir.
+// identity returns a node's identity with the keys in dir.
 func identity(t *testing.T, dir string, n walnutramp.NodeName) peer.Identity {
 	cfg, err := keys.Load(dir, n)
 	require.NoError(t, err)
 	return peer.Identity{Site: "s", Node: n, Incarnation: 1, TLS: cfg}
 }
 
-func TestNodesWithKeysCallEachOther(t *testing.T) {
+func TestCallWithMutualTLS(t *testing.T) {
 	dir := t.TempDir()
 	require.NoError(t, keys.MakeSite(dir, "s", []walnutramp.NodeName{"a", "b"}))
 	address, traffic := serve(t, identity(t, dir, "a"))
 	require.NoError(t, say(t, identity(t, dir, "b"), address, "a"))
 	require.Zero(t, traffic.Strangers.Load())
-	require.Error(t, say(t, identity(t, dir, "b"), address, "c"), "a node that answers in another's place")
+	require.Error(t, say(t, identity(t, dir, "b"), address, "c"), "the server is another node than the one called")
 }
 
-func TestStrangersAreRefusedAndCounted(t *testing.T) {
+func TestUnauthenticatedPeersAreRejected(t *testing.T) {
 	dir, other := t.TempDir(), t.TempDir()
 	require.NoError(t, keys.MakeSite(dir, "s", []walnutramp.NodeName{"a", "b"}))
 	require.NoError(t, keys.MakeSite(other, "s", []walnutramp.NodeName{"b"}))
-	posing := identity(t, dir, "b")
-	posing.Node = "a"
-	strangers := map[string]peer.Identity{
+	impostor := identity(t, dir, "b")
+	impostor.Node = "a"
+	identities := map[string]peer.Identity{
 		"no keys":              {Site: "s", Node: "b", Incarnation: 1},
 		"another site's keys":  identity(t, other, "b"),
-		"another node's name":  posing,
-		"another site by name": {Site: "x", Node: "b", Incarnation: 1, TLS: posing.TLS},
+		"another node's name":  impostor,
+		"another site by name": {Site: "x", Node: "b", Incarnation: 1, TLS: impostor.TLS},
 	}
-	for name, id := range strangers {
+	for name, id := range identities {
 		t.Run(name, func(t *testing.T) {
 			address, traffic := serve(t, identity(t, dir, "a"))
 			require.Error(t, say(t, id, address, "a"))
@@ -89,7 +89,7 @@
 	}
 }
 
-func TestLongHelloIsRefused(t *testing.T) {
+func TestOversizedHelloIsRejected(t *testing.T) {
 	address, traffic := serve(t, peer.Identity{Site: "s", Node: "a"})
 	c, err := net.Dial("tcp", address)
 	require.NoError(t, err)
