--- a/loadshare/borrow_test.go
+++ b/loadshare/borrow_test.go
@@ -29,10 +29,10 @@
 		borrower := s.nodes[0]
 		spent := borrower.spendAll()
 		require.Equal(t, retriesPerNode, spent)
-		for vain := 0; vain < 5; vain++ {
+		for failed := 0; failed < 5; failed++ {
 			for borrower.Borrow(t.Context(), "s") {
 				spent += borrower.spendAll()
-				vain = 0
+				failed = 0
 			}
 			time.Sleep(borrowBackoff)
 		}
--- a/loadshare/failures_test.go
+++ b/loadshare/failures_test.go
@@ -39,11 +39,11 @@
 
 // isolate drops all traffic to and from a node, as after a power loss.
 func (s *siteOf) isolate(n *siteNode) {
-	lost := n.conn.address
+	isolated := n.conn.address
 	before := s.network.drop
 	s.network.mu.Lock()
 	defer s.network.mu.Unlock()
-	s.network.drop = func(from, to string) bool { return from == lost || to == lost || before(from, to) }
+	s.network.drop = func(from, to string) bool { return from == isolated || to == isolated || before(from, to) }
 }
 
 // othersThatSee returns how many nodes other than one know of a run at an engine.
@@ -60,15 +60,15 @@
 		s := newSite(t, 60, 3)
 		defer s.close()
 		time.Sleep(settleTime)
-		lost := s.relayOf(s.nonRelay())
-		s.isolate(lost)
+		failed := s.relayOf(s.nonRelay())
+		s.isolate(failed)
 		time.Sleep(feedTimeout + 300*time.Millisecond)
 		run := s.nonRelay().begin("i-5", "")
 		time.Sleep(150 * time.Millisecond)
-		require.Equal(t, 59, s.othersThatSee("i-5", lost))
+		require.Equal(t, 59, s.othersThatSee("i-5", failed))
 		run.End(balance.RunEnd{})
 		time.Sleep(150 * time.Millisecond)
-		require.Zero(t, s.othersThatSee("i-5", lost))
+		require.Zero(t, s.othersThatSee("i-5", failed))
 	})
 }
 
@@ -109,9 +109,9 @@
 		s := newSite(t, 60, 3)
 		defer s.close()
 		time.Sleep(settleTime)
-		mute := s.relayOf(s.nonRelay()).conn.address
+		muted := s.relayOf(s.nonRelay()).conn.address
 		s.network.mu.Lock()
-		s.network.drop = func(from, _ string) bool { return from == mute }
+		s.network.drop = func(from, _ string) bool { return from == muted }
 		s.network.mu.Unlock()
 		time.Sleep(feedTimeout + 300*time.Millisecond)
 		s.nonRelay().begin("i-5", "")
@@ -237,26 +237,26 @@
 		s := newSite(t, 60, 3)
 		defer s.close()
 		time.Sleep(settleTime)
-		victim := s.nonRelay()
-		other := s.nodes[slices.IndexFunc(s.nodes, func(n *siteNode) bool { return n != victim && n != s.relayOf(victim) })]
-		lie := message{Feed: &feedDatagram{Scope: scopeSite, Parts: 1, Deltas: []nodeDelta{{
+		receiver := s.nonRelay()
+		other := s.nodes[slices.IndexFunc(s.nodes, func(n *siteNode) bool { return n != receiver && n != s.relayOf(receiver) })]
+		unsolicited := message{Feed: &feedDatagram{Scope: scopeSite, Parts: 1, Deltas: []nodeDelta{{
 			Node: 7, Runs: []compactRun{{Number: 1, Target: shortname.Of("i-5"), Read: 1 << 40, Hold: -5}},
 		}}}}
-		victim.handle(other.conn.address, lie)
-		require.False(t, victim.sees("i-5"))
-		text, err := msgpack.Marshal(lie)
+		receiver.handle(other.conn.address, unsolicited)
+		require.False(t, receiver.sees("i-5"))
+		text, err := msgpack.Marshal(unsolicited)
 		require.NoError(t, err)
 		rng := rand.New(rand.NewPCG(3, 4))
 		for range 2000 {
-			garbled := slices.Clone(text)
-			garbled[rng.IntN(len(garbled))] = byte(rng.IntN(256))
-			if m, err := decode(garbled[:1+rng.IntN(len(garbled))]); err == nil {
-				victim.handle(other.conn.address, m)
+			corrupt := slices.Clone(text)
+			corrupt[rng.IntN(len(corrupt))] = byte(rng.IntN(256))
+			if m, err := decode(corrupt[:1+rng.IntN(len(corrupt))]); err == nil {
+				receiver.handle(other.conn.address, m)
 			}
 		}
 		run := other.begin("i-6", "")
 		time.Sleep(300 * time.Millisecond)
-		require.True(t, victim.sees("i-6"))
+		require.True(t, receiver.sees("i-6"))
 		run.End(balance.RunEnd{})
 	})
 }
@@ -275,11 +275,11 @@
 		}
 		f.Add(text)
 	}
-	kept, err := filepath.Glob("testdata/kept/*/*")
+	files, err := filepath.Glob("testdata/kept/*/*")
 	if err != nil {
 		f.Fatal(err)
 	}
-	for _, file := range kept {
+	for _, file := range files {
 		text, err := os.ReadFile(file)
 		if err != nil {
 			f.Fatal(err)
--- a/loadshare/loadshare_test.go
+++ b/loadshare/loadshare_test.go
@@ -30,17 +30,17 @@
 }
 
 func TestNodesExchangeRuns(t *testing.T) {
-	here, hereTracker := newNode(t)
-	there, thereTracker := newNode(t)
-	both := []string{here.conn.LocalAddr().String(), there.conn.LocalAddr().String()}
-	here.SetPeers(peersFromAddresses(both))
-	there.SetPeers(peersFromAddresses(both))
+	local, localTracker := newNode(t)
+	remote, remoteTracker := newNode(t)
+	addresses := []string{local.conn.LocalAddr().String(), remote.conn.LocalAddr().String()}
+	local.SetPeers(peersFromAddresses(addresses))
+	remote.SetPeers(peersFromAddresses(addresses))
 	choice := balance.Choice{Service: "s", Work: balance.Work{Read: 8000, Hold: 8000}}
-	hereTracker.Pick(choice).Begin(balance.Work{Read: 90000, Hold: 90000}, balance.Trace{})
-	taken := hereTracker.Runs()[0].Target
+	localTracker.Pick(choice).Begin(balance.Work{Read: 90000, Hold: 90000}, balance.Trace{})
+	taken := localTracker.Runs()[0].Target
 	never := func() bool {
 		for range 30 {
-			if thereTracker.Pick(choice).ID == taken {
+			if remoteTracker.Pick(choice).ID == taken {
 				return false
 			}
 		}
--- a/loadshare/publisher.go
+++ b/loadshare/publisher.go
@@ -142,14 +142,14 @@
 const eventDedupTime = 2500 * time.Millisecond
 
 func (p *publisher) notRecentlySent(kind eventKind, targets []string, now time.Time) []string {
-	var fresh []string
+	var unsent []string
 	for _, target := range targets {
 		if key := (eventKey{kind, target}); now.Sub(p.sentEvents[key]) > eventDedupTime {
 			p.sentEvents[key] = now
-			fresh = append(fresh, target)
+			unsent = append(unsent, target)
 		}
 	}
-	return fresh
+	return unsent
 }
 
 // subscribe adds or renews a subscriber. It returns the datagrams to retransmit; if
--- a/loadshare/regions_test.go
+++ b/loadshare/regions_test.go
@@ -175,10 +175,10 @@
 	failures := map[string]func(s *siteOf, lost *siteNode){
 		"cut off": func(s *siteOf, lost *siteNode) { s.isolate(lost) },
 		"frozen":  func(_ *siteOf, lost *siteNode) { lost.conn.freeze() },
-		"not heard": func(s *siteOf, lost *siteNode) {
+		"cannot send": func(s *siteOf, lost *siteNode) {
 			s.network.drop = func(from, _ string) bool { return from == lost.conn.address }
 		},
-		"hears no other region": func(s *siteOf, lost *siteNode) {
+		"cannot receive from other regions": func(s *siteOf, lost *siteNode) {
 			regions := map[string]string{}
 			for _, n := range s.nodes {
 				regions[n.conn.address] = n.regions.OwnRegion()
@@ -278,16 +278,16 @@
 		for _, holder := range s.nonRelayIn("region-1").currentLayout().traceStoresOf("part-1") {
 			require.Equal(t, "region-1", s.region(holder))
 		}
-		there := s.nonRelayIn("region-1")
-		there.Find(t.Context(), "part-1")
-		_, name := there.tracker.FindCopy("part-1")
+		remote := s.nonRelayIn("region-1")
+		remote.Find(t.Context(), "part-1")
+		_, name := remote.tracker.FindCopy("part-1")
 		require.Equal(t, "run-1", name)
-		here := s.nonRelayIn("region-0")
-		here.Find(t.Context(), "part-1")
-		at, _ := here.tracker.FindCopy("part-1")
+		local := s.nonRelayIn("region-0")
+		local.Find(t.Context(), "part-1")
+		at, _ := local.tracker.FindCopy("part-1")
 		require.Nil(t, at, "Find queries this region only")
-		here.FindAnywhere(t.Context(), "part-1")
-		_, name = here.tracker.FindCopy("part-1")
+		local.FindAnywhere(t.Context(), "part-1")
+		_, name = local.tracker.FindCopy("part-1")
 		require.Equal(t, "run-1", name)
 	})
 }
@@ -295,19 +295,19 @@
 // With one region, relays, trace stores and subscriptions must match those of a site
 // without topology.
 func TestSingleRegionLayoutMatchesNoTopology(t *testing.T) {
-	places := map[string]location{}
-	one := map[string]string{}
+	locations := map[string]location{}
+	singleRegion := map[string]string{}
 	for i := range regionNodes {
 		hall := fmt.Sprint("hall-", i%regionHalls)
-		places[addressOf(i)] = location{dataHall: hall, disk: i%10 == 0}
-		one[hall] = "region"
+		locations[addressOf(i)] = location{dataHall: hall, disk: i%10 == 0}
+		singleRegion[hall] = "region"
 	}
 	own := addressOf(0)
-	without, with := newLayout(own, places, topology.Map{}), newLayout(own, places, topology.New("hall-0", one))
+	without, with := newLayout(own, locations, topology.Map{}), newLayout(own, locations, topology.New("hall-0", singleRegion))
 	require.Equal(t, without.relays, with.relays)
 	require.Empty(t, with.otherRegions())
 	var disks []string
-	for address, p := range places {
+	for address, p := range locations {
 		if p.disk {
 			disks = append(disks, address)
 		}
@@ -322,9 +322,9 @@
 	network := newDatagramNet()
 	s := New(network.listen(own), balance.NewTracker(balance.WithSeed(1)),
 		balance.NewBudgets(balance.BudgetConfig{Ratio: 1, Slack: 10, Window: time.Second}),
-		WithDataHall("hall-0"), WithTopology(topology.New("hall-0", one)))
+		WithDataHall("hall-0"), WithTopology(topology.New("hall-0", singleRegion)))
 	require.Empty(t, s.relay.regions)
-	relay := newLayout(with.relays["hall-0"][0], places, topology.New("hall-0", one))
+	relay := newLayout(with.relays["hall-0"][0], locations, topology.New("hall-0", singleRegion))
 	s.updateFeeds(relay, time.Now())
 	require.Len(t, s.feeds, regionHalls-1, "one feed per other data hall")
 	for key := range s.feeds {
--- a/loadshare/relay.go
+++ b/loadshare/relay.go
@@ -19,7 +19,7 @@
 	expireInterval = 250 * time.Millisecond
 	// Snapshots that saturate a link cause more loss than they repair. They are
 	// limited by a token bucket in runs and nodes, of about 25 bytes each: 0.2 MB/s
-	// of the 1.2 MB/s of the slowest supported links.
+	// of the 1.2 MB/s of the slowest known links.
 	snapshotRate  = 8000.0
 	snapshotBurst = 1600.0
 )
