--- a/targetconn/targetconn_test.go
+++ b/targetconn/targetconn_test.go
@@ -273,16 +273,16 @@
 		f.Add([]byte(strings.ReplaceAll(text, "{ID}", "one")))
 	}
 	f.Fuzz(func(t *testing.T, sent []byte) {
-		here, there := net.Pipe()
+		client, server := net.Pipe()
 		go func() {
-			r, err := http.ReadRequest(bufio.NewReader(there))
+			r, err := http.ReadRequest(bufio.NewReader(server))
 			if err == nil {
 				io.Copy(io.Discard, r.Body)
-				there.Write(sent)
+				server.Write(sent)
 			}
-			there.Close()
+			server.Close()
 		}()
-		p := NewPool(WithDial(func(context.Context, string, string) (net.Conn, error) { return here, nil }))
+		p := NewPool(WithDial(func(context.Context, string, string) (net.Conn, error) { return client, nil }))
 		defer p.Close()
 		ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 		defer cancel()
