--- a/bundle/bundle.go
+++ b/bundle/bundle.go
@@ -1,6 +1,6 @@
-// Package bundle reads and checks the operators' versioned document: which
-// models run where, who may call, what is leaving, and how guarding and
-// resuming lean. A bundle is immutable once parsed.
+// Package bundle parses, validates, signs and diffs the operators' versioned
+// configuration document: models, targets, services, client accounts and
+// policies. A bundle is immutable once parsed.
 package bundle
 
 import (
@@ -10,25 +10,26 @@
 	"github.com/walnutramp/walnutramp"
 )
 
-// Kind says what a target is.
+// Kind is the kind of a target.
 type Kind string
 
-// The kinds of target.
+// Kinds of target.
 const (
 	KindEngine  Kind = "engine"
 	KindService Kind = "service"
 )
 
-// Leaning says which of the two measures a site weighs more.
+// Leaning is a site's trade-off between latency and cost when it resumes
+// generations.
 type Leaning string
 
-// The leanings: latency resumes sooner and spends more, cost the reverse.
+// LeanLatency resumes sooner at a higher cost; LeanCost does the reverse.
 const (
 	LeanLatency Leaning = "latency"
 	LeanCost    Leaning = "cost"
 )
 
-// Bundle is the whole document.
+// Bundle is a parsed configuration document.
 type Bundle struct {
 	Version    uint64                  `yaml:"version"`
 	Site       string                  `yaml:"site"`
@@ -44,29 +45,29 @@
 	Objectives []Objective             `yaml:"objectives"`
 }
 
-// Admission says how long a request may wait for a place. One that would wait
-// longer is told so at once.
+// Admission bounds how long a request may queue. A request that would have to
+// wait longer is rejected at once.
 type Admission struct {
 	Patience time.Duration `yaml:"patience"`
 }
 
-// Placement says whether and how fast this system loads models on engines.
+// Placement controls whether and how fast models are loaded on engines.
 type Placement struct {
-	Orders bool `yaml:"orders"` // give orders at all
-	Loads  int  `yaml:"loads"`  // loads under way at once, what the weight store bears
+	Orders bool `yaml:"orders"` // whether load orders are sent at all
+	Loads  int  `yaml:"loads"`  // maximum concurrent model loads, limited by the weight store
 }
 
-// Model is a model callers may name.
+// Model is a model that callers may request.
 type Model struct {
 	Name     walnutramp.ModelName `yaml:"name"`
-	Context  int                  `yaml:"context"` // tokens, prompt and output together
+	Context  int                  `yaml:"context"` // context length in tokens, prompt and output together
 	Adapters []string             `yaml:"adapters"`
-	Version  string               `yaml:"version"` // of the weights; empty where there is one only
-	Canary   int                  `yaml:"canary"`  // percent of its targets that load a new version before the rest
+	Version  string               `yaml:"version"` // version of the weights; empty if there is only one
+	Canary   int                  `yaml:"canary"`  // percentage of its targets that load a new version first
 }
 
-// Artifact names what an engine loads for a model: the model, and its version
-// where it has one.
+// Artifact returns the name under which an engine loads the model: the model's
+// name, followed by @ and its version if it has one.
 func (m Model) Artifact() string {
 	if m.Version == "" {
 		return string(m.Name)
@@ -79,21 +80,21 @@
 	Name         walnutramp.TargetName  `yaml:"name"`
 	DataHall     walnutramp.DataHall    `yaml:"dataHall"`
 	Kind         Kind                   `yaml:"kind"`
-	Address      string                 `yaml:"address"` // numeric host:port
+	Address      string                 `yaml:"address"` // numeric IP:port
 	Models       []walnutramp.ModelName `yaml:"models"`
-	Slots        int                    `yaml:"slots"` // requests it runs at once
+	Slots        int                    `yaml:"slots"` // maximum concurrent requests
 	ChecksOrders bool                   `yaml:"checksOrders"`
 }
 
-// Service is a plain service the system routes to.
+// Service is a plain service that requests are routed to.
 type Service struct {
 	Name    string                  `yaml:"name"`
 	Targets []walnutramp.TargetName `yaml:"targets"`
 	Routes  []Route                 `yaml:"routes"`
 }
 
-// Route says whether calls under a path may be repeated. The longest matching
-// prefix wins; a call that matches none is not repeatable.
+// Route declares whether calls under a path prefix may be retried. The longest
+// matching prefix wins; a call without a match is not retried.
 type Route struct {
 	Method     string `yaml:"method"`
 	Path       string `yaml:"path"`
@@ -104,31 +105,32 @@
 type Account struct {
 	Name     walnutramp.ClientAccount `yaml:"name"`
 	Keys     []string                 `yaml:"keys"`     // "sha256:" and 64 hex digits
-	Priority int                      `yaml:"priority"` // larger goes first
-	Weight   int                      `yaml:"weight"`   // share among equals
+	Priority int                      `yaml:"priority"` // higher values are served first
+	Weight   int                      `yaml:"weight"`   // share among accounts of equal priority
 	Limits   Limits                   `yaml:"limits"`
 }
 
-// Limits bound an account over the whole site; zero means no bound.
+// Limits are an account's site-wide limits; zero means unlimited.
 type Limits struct {
 	Concurrent        int `yaml:"concurrent"`
 	RequestsPerSecond int `yaml:"requestsPerSecond"`
 	TokensPerSecond   int `yaml:"tokensPerSecond"`
 }
 
-// Guard says how generations are protected against the loss of entry nodes.
+// Guard configures the replication of generations, which protects them against
+// the loss of entry nodes.
 type Guard struct {
-	Replicas int           `yaml:"replicas"` // 1 (none), 3 or 5, the owner included
-	Coalesce time.Duration `yaml:"coalesce"` // how long tokens may wait to share a message
+	Replicas int           `yaml:"replicas"` // replica set size, the owner included: 1 (no replication), 3 or 5
+	Coalesce time.Duration `yaml:"coalesce"` // maximum delay of tokens for batching into one message
 }
 
-// Resume says how broken generations are taken up again.
+// Resume configures how interrupted generations are resumed.
 type Resume struct {
 	Leaning Leaning `yaml:"leaning"`
 }
 
-// Objective is a service-level objective of one account and model; an empty
-// field stands for all of them.
+// Objective is a service-level objective for an account and model; an empty
+// Account or Model matches all.
 type Objective struct {
 	Name           string                   `yaml:"name"`
 	Account        walnutramp.ClientAccount `yaml:"account"`
@@ -139,7 +141,7 @@
 	GoodPercentage float64                  `yaml:"goodPercentage"`
 }
 
-// Target returns the target of that name.
+// Target returns the target with the given name.
 func (b *Bundle) Target(name walnutramp.TargetName) (Target, bool) {
 	for _, t := range b.Targets {
 		if t.Name == name {
@@ -149,7 +151,7 @@
 	return Target{}, false
 }
 
-// Model returns the model of that name.
+// Model returns the model with the given name.
 func (b *Bundle) Model(name walnutramp.ModelName) (Model, bool) {
 	for _, m := range b.Models {
 		if m.Name == name {
@@ -159,7 +161,7 @@
 	return Model{}, false
 }
 
-// Service returns the service of that name.
+// Service returns the service with the given name.
 func (b *Bundle) Service(name string) (Service, bool) {
 	for _, s := range b.Services {
 		if s.Name == name {
@@ -169,7 +171,7 @@
 	return Service{}, false
 }
 
-// IsLeaving reports whether the bundle says that the target is leaving.
+// IsLeaving reports whether the bundle lists the target as leaving.
 func (b *Bundle) IsLeaving(name walnutramp.TargetName) bool {
 	for _, l := range b.Leaving {
 		if l == name {
@@ -179,7 +181,7 @@
 	return false
 }
 
-// AccountOf returns the account that owns a hashed key.
+// AccountOf returns the account that owns a hashed API key.
 func (b *Bundle) AccountOf(keyHash string) (Account, bool) {
 	for _, a := range b.Accounts {
 		for _, k := range a.Keys {
@@ -191,7 +193,7 @@
 	return Account{}, false
 }
 
-// Repeatable reports whether a call of the service may be sent again.
+// Repeatable reports whether a call of the service may be retried.
 func (s *Service) Repeatable(method, path string) bool {
 	best := Route{}
 	for _, r := range s.Routes {
@@ -207,7 +209,8 @@
 	return ok && (rest == "" || rest[0] == '/' || strings.HasSuffix(prefix, "/"))
 }
 
-// ServiceModel is the name under which the router keeps a service's targets.
+// ServiceModel returns the model name under which the router registers a
+// service's targets.
 func ServiceModel(service string) walnutramp.ModelName {
 	return walnutramp.ModelName("service/" + service)
 }
--- a/bundle/bundle_test.go
+++ b/bundle/bundle_test.go
@@ -11,9 +11,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestMistakes reads case files: a document, a divider, and the mistakes that
-// the check must name, a line each.
-func TestMistakes(t *testing.T) {
+// TestValidationErrors reads case files: a document, a divider line, and the expected
+// validation errors, one per line.
+func TestValidationErrors(t *testing.T) {
 	files, err := filepath.Glob("testdata/mistakes/*.txt")
 	require.NoError(t, err)
 	require.NotEmpty(t, files)
@@ -30,7 +30,7 @@
 	}
 }
 
-func TestExamplesAreGood(t *testing.T) {
+func TestExamplesAreValid(t *testing.T) {
 	files, err := filepath.Glob("../examples/*.yaml")
 	require.NoError(t, err)
 	require.NotEmpty(t, files)
@@ -45,7 +45,7 @@
 	}
 }
 
-func TestRepeatableTakesTheLongestPath(t *testing.T) {
+func TestRepeatableUsesLongestPrefix(t *testing.T) {
 	s := Service{Routes: []Route{
 		{Path: "/lookup", Repeatable: true},
 		{Path: "/lookup/reserve"},
@@ -58,8 +58,8 @@
 	require.False(t, s.Repeatable("POST", "/bookings"))
 }
 
-// lines draws a document of numbered lines.
-func lines(rng *rand.Rand) []byte {
+// randomLines returns a random document of numbered randomLines.
+func randomLines(rng *rand.Rand) []byte {
 	var b strings.Builder
 	for range rng.IntN(30) {
 		fmt.Fprintf(&b, "line %d", rng.IntN(8))
@@ -70,17 +70,17 @@
 	return []byte(b.String())
 }
 
-func TestDeltaGivesTheDocument(t *testing.T) {
+func TestDeltaReproducesDocument(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	for range 2000 {
-		from, to := lines(rng), lines(rng)
+		from, to := randomLines(rng), randomLines(rng)
 		d := NewDelta(1, from, 2, to)
 		got, err := d.Apply(from)
 		require.NoError(t, err, "from %q to %q", from, to)
 		require.Equal(t, string(to), string(got))
 		if string(from) != string(to) {
 			_, err = d.Apply(to)
-			require.Error(t, err, "a delta must not fit another document")
+			require.Error(t, err, "a delta must not apply to another document")
 		}
 	}
 }
@@ -94,10 +94,10 @@
 	f.Fuzz(func(t *testing.T, doc []byte) {
 		b, err := Parse(doc)
 		if err != nil && err.Error() == "" {
-			t.Fatal("an error without a word")
+			t.Fatal("empty error message")
 		}
 		if err == nil && (b.Version == 0 || b.Site == "") {
-			t.Fatal("an unchecked bundle")
+			t.Fatal("bundle accepted without version or site")
 		}
 	})
 }
@@ -107,7 +107,7 @@
 	f.Fuzz(func(t *testing.T, doc []byte, from, to int, text []byte) {
 		d := Delta{FromDigest: Digest(doc), ToDigest: Digest(text), Splices: []Splice{{From: from, To: to, Lines: text}}}
 		if got, err := d.Apply(doc); err == nil && Digest(got) != d.ToDigest {
-			t.Fatal("a delta gave another document than it says")
+			t.Fatal("result does not match the delta's digest")
 		}
 	})
 }
--- a/bundle/check.go
+++ b/bundle/check.go
@@ -12,11 +12,11 @@
 
 const keyHashPrefix = "sha256:"
 
-// checker looks for what decoding alone can't see.
+// checker validates what decoding alone cannot detect.
 type checker struct {
-	bundle   *Bundle
-	root     *yaml.Node
-	mistakes Mistakes
+	bundle *Bundle
+	root   *yaml.Node
+	errs   ValidationErrors
 }
 
 func (c *checker) run() {
@@ -31,14 +31,14 @@
 	c.checkServices()
 	c.checkAccounts()
 	c.checkLeaving()
-	c.checkLeanings()
+	c.checkPolicies()
 	c.checkObjectives()
 }
 
 func (c *checker) checkModels() {
 	seen := map[string]bool{}
 	for i, m := range c.bundle.Models {
-		c.name(string(m.Name), seen, "models", i, "name")
+		c.checkName(string(m.Name), seen, "models", i, "name")
 		if m.Canary < 0 || m.Canary > 100 {
 			c.add("must lie between 0 and 100", "give a percentage", "models", i, "canary")
 		}
@@ -51,7 +51,7 @@
 func (c *checker) checkTargets() {
 	seen := map[string]bool{}
 	for i, t := range c.bundle.Targets {
-		c.name(string(t.Name), seen, "targets", i, "name")
+		c.checkName(string(t.Name), seen, "targets", i, "name")
 		if t.DataHall == "" {
 			c.add("is missing", "name the data hall the target stands in", "targets", i, "dataHall")
 		}
@@ -82,7 +82,7 @@
 func (c *checker) checkServices() {
 	seen := map[string]bool{}
 	for i, s := range c.bundle.Services {
-		c.name(s.Name, seen, "services", i, "name")
+		c.checkName(s.Name, seen, "services", i, "name")
 		if strings.Contains(s.Name, "/") {
 			c.add("must not contain a slash", "use letters, digits and dashes", "services", i, "name")
 		}
@@ -104,7 +104,7 @@
 	seen := map[string]bool{}
 	owner := map[string]walnutramp.ClientAccount{}
 	for i, a := range c.bundle.Accounts {
-		c.name(string(a.Name), seen, "accounts", i, "name")
+		c.checkName(string(a.Name), seen, "accounts", i, "name")
 		if a.Weight < 1 {
 			c.add("must be 1 or more", "give the account's share", "accounts", i, "weight")
 		}
@@ -140,7 +140,7 @@
 	}
 }
 
-func (c *checker) checkLeanings() {
+func (c *checker) checkPolicies() {
 	g := c.bundle.Guard
 	if g.Replicas != 1 && g.Replicas != 3 && g.Replicas != 5 {
 		c.add(fmt.Sprintf("%d is no size of replica set", g.Replicas), "use 1 (no guarding), 3 or 5", "guard", "replicas")
@@ -171,7 +171,7 @@
 	}
 }
 
-func (c *checker) name(name string, seen map[string]bool, path ...any) {
+func (c *checker) checkName(name string, seen map[string]bool, path ...any) {
 	if name == "" {
 		c.add("is missing", "give a name", path...)
 		return
@@ -182,12 +182,12 @@
 	seen[name] = true
 }
 
-func (c *checker) add(text, remedy string, path ...any) {
-	c.mistakes = append(c.mistakes, Mistake{
-		Line:   lineOf(c.root, path),
-		Path:   formatPath(path),
-		Text:   text,
-		Remedy: remedy,
+func (c *checker) add(message, hint string, path ...any) {
+	c.errs = append(c.errs, ValidationError{
+		Line:    lineOf(c.root, path),
+		Path:    formatPath(path),
+		Message: message,
+		Hint:    hint,
 	})
 }
 
@@ -206,7 +206,8 @@
 	return b.String()
 }
 
-// lineOf returns the line of the deepest node on path that the document has.
+// lineOf returns the line of the deepest node on path that exists in the
+// document.
 func lineOf(n *yaml.Node, path []any) int {
 	if n.Kind == yaml.DocumentNode && len(n.Content) > 0 {
 		n = n.Content[0]
@@ -221,8 +222,8 @@
 	return n.Line
 }
 
-func child(n *yaml.Node, step any) *yaml.Node {
-	if i, ok := step.(int); ok {
+func child(n *yaml.Node, key any) *yaml.Node {
+	if i, ok := key.(int); ok {
 		if n.Kind == yaml.SequenceNode && i < len(n.Content) {
 			return n.Content[i]
 		}
@@ -232,7 +233,7 @@
 		return nil
 	}
 	for i := 0; i+1 < len(n.Content); i += 2 {
-		if n.Content[i].Value == step {
+		if n.Content[i].Value == key {
 			return n.Content[i+1]
 		}
 	}
--- a/bundle/delta.go
+++ b/bundle/delta.go
@@ -7,45 +7,45 @@
 	"github.com/pmezard/go-difflib/difflib"
 )
 
-// Splice replaces pieces of an older document.
+// Splice replaces a range of chunks of the older document.
 type Splice struct {
-	From, To int // pieces of the older document, counted from 0, To left out
+	From, To int // half-open range of chunk indexes in the older document
 	Lines    []byte
 }
 
-// pieces cuts a document up; joined, they give the document. It is cut at the
-// ends of lines, and of the objects in a list of a JSON text, which often is a
-// single line.
-func pieces(doc []byte) []string {
-	var all []string
-	begin := 0
+// splitChunks splits a document into chunks whose concatenation is the
+// document. It splits after newlines, and after the objects of a JSON list,
+// which is often a single line.
+func splitChunks(doc []byte) []string {
+	var chunks []string
+	start := 0
 	for i, c := range doc {
 		if c == '\n' || c == ',' && i > 0 && doc[i-1] == '}' {
-			all = append(all, string(doc[begin:i+1]))
-			begin = i + 1
+			chunks = append(chunks, string(doc[start:i+1]))
+			start = i + 1
 		}
 	}
-	if begin < len(doc) {
-		all = append(all, string(doc[begin:]))
+	if start < len(doc) {
+		chunks = append(chunks, string(doc[start:]))
 	}
-	return all
+	return chunks
 }
 
-// Delta turns one document into the next.
+// Delta transforms one document version into another.
 type Delta struct {
 	From, To   uint64 // versions
 	FromDigest string
 	ToDigest   string
-	Splices    []Splice // in order
+	Splices    []Splice // sorted by From
 }
 
-// NewDelta returns the delta between two documents.
+// NewDelta computes the delta between two documents.
 func NewDelta(fromVersion uint64, from []byte, toVersion uint64, to []byte) Delta {
 	d := Delta{From: fromVersion, To: toVersion, FromDigest: Digest(from), ToDigest: Digest(to)}
-	a, b := pieces(from), pieces(to)
-	head := commonLines(a, b, false)
-	tail := commonLines(a[head:], b[head:], true)
-	midA, midB := a[head:len(a)-tail], b[head:len(b)-tail]
+	a, b := splitChunks(from), splitChunks(to)
+	prefix := commonChunks(a, b, false)
+	suffix := commonChunks(a[prefix:], b[prefix:], true)
+	midA, midB := a[prefix:len(a)-suffix], b[prefix:len(b)-suffix]
 	for _, op := range difflib.NewMatcherWithJunk(midA, midB, false, nil).GetOpCodes() {
 		if op.Tag == 'e' {
 			continue
@@ -54,13 +54,13 @@
 		for _, line := range midB[op.J1:op.J2] {
 			lines.WriteString(line)
 		}
-		d.Splices = append(d.Splices, Splice{From: head + op.I1, To: head + op.I2, Lines: lines.Bytes()})
+		d.Splices = append(d.Splices, Splice{From: prefix + op.I1, To: prefix + op.I2, Lines: lines.Bytes()})
 	}
 	return d
 }
 
-// commonLines counts equal lines at the beginnings, or the ends.
-func commonLines(a, b []string, fromEnd bool) int {
+// commonChunks returns the length of the common prefix, or suffix, in chunks.
+func commonChunks(a, b []string, fromEnd bool) int {
 	n := 0
 	for n < min(len(a), len(b)) {
 		i, j := n, n
@@ -75,7 +75,7 @@
 	return n
 }
 
-// Size is about how many bytes the delta takes up when it is sent.
+// Size returns the approximate encoded size in bytes.
 func (d *Delta) Size() int {
 	size := len(d.FromDigest) + len(d.ToDigest)
 	for _, s := range d.Splices {
@@ -84,36 +84,36 @@
 	return size
 }
 
-// spliceOverhead is about what a splice takes up beside its text, in bytes.
+// spliceOverhead is the approximate encoding overhead of a splice, in bytes.
 const spliceOverhead = 24
 
-// Apply returns the next document. It fails unless doc is what the delta was
-// made from and the result is what it was made for.
+// Apply returns the newer document. It returns an error unless the digests of
+// doc and of the result match the delta.
 func (d *Delta) Apply(doc []byte) ([]byte, error) {
 	if Digest(doc) != d.FromDigest {
-		return nil, errors.Newf("delta %d to %d is from another document", d.From, d.To)
+		return nil, errors.Newf("delta %d to %d was made from another document", d.From, d.To)
 	}
-	lines := pieces(doc)
+	chunks := splitChunks(doc)
 	var out bytes.Buffer
 	at := 0
 	for _, s := range d.Splices {
-		if s.From < at || s.To < s.From || s.To > len(lines) {
-			return nil, errors.Newf("delta %d to %d does not fit", d.From, d.To)
+		if s.From < at || s.To < s.From || s.To > len(chunks) {
+			return nil, errors.Newf("delta %d to %d has a splice out of range", d.From, d.To)
 		}
-		writeLines(&out, lines[at:s.From])
+		writeChunks(&out, chunks[at:s.From])
 		out.Write(s.Lines)
 		at = s.To
 	}
-	writeLines(&out, lines[at:])
+	writeChunks(&out, chunks[at:])
 	next := out.Bytes()
 	if Digest(next) != d.ToDigest {
-		return nil, errors.Newf("delta %d to %d gives another document", d.From, d.To)
+		return nil, errors.Newf("digest mismatch after applying delta %d to %d", d.From, d.To)
 	}
 	return next, nil
 }
 
-func writeLines(out *bytes.Buffer, lines []string) {
-	for _, l := range lines {
+func writeChunks(out *bytes.Buffer, chunks []string) {
+	for _, l := range chunks {
 		out.WriteString(l)
 	}
 }
--- a/bundle/delta_test.go
+++ b/bundle/delta_test.go
@@ -9,8 +9,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// jsonDocument returns a document of one line with that many routes; the
-// changed ones, counted from 0, have another time-out.
+// jsonDocument returns a single-line document with the given number of routes;
+// the routes with the changed indexes have a different timeout.
 func jsonDocument(t *testing.T, routes int, changed ...int) []byte {
 	t.Helper()
 	type route struct {
@@ -30,7 +30,7 @@
 	return doc
 }
 
-func TestDeltaOfOneLineIsShort(t *testing.T) {
+func TestDeltaOfSingleLineIsSmall(t *testing.T) {
 	from, to := jsonDocument(t, 300), jsonDocument(t, 300, 0, 150, 299)
 	d := NewDelta(3, from, 6, to)
 	got, err := d.Apply(from)
@@ -40,9 +40,9 @@
 	require.Greater(t, len(to), 15000)
 }
 
-func TestPiecesGiveTheDocument(t *testing.T) {
+func TestChunksReproduceDocument(t *testing.T) {
 	for _, text := range []string{"", "\n", "a", "a\n", "a\nb", "},", "{},{}", "},\n},", "a},b\n\nc,"} {
-		all := pieces([]byte(text))
+		all := splitChunks([]byte(text))
 		var joined bytes.Buffer
 		for _, p := range all {
 			require.NotEmpty(t, p)
@@ -50,5 +50,5 @@
 		}
 		require.Equal(t, text, joined.String())
 	}
-	require.Len(t, pieces(jsonDocument(t, 300)), 300)
+	require.Len(t, splitChunks(jsonDocument(t, 300)), 300)
 }
--- a/bundle/parse.go
+++ b/bundle/parse.go
@@ -16,31 +16,31 @@
 // MaxSize is the largest document accepted, in bytes.
 const MaxSize = 8 << 20
 
-// Defaults for what a bundle may leave out.
+// Defaults of optional fields.
 const (
 	defaultSlots    = 16
 	defaultWeight   = 1
 	defaultReplicas = 3
 )
 
-// Mistake is one thing wrong with a document and what to do about it.
-type Mistake struct {
-	Line   int    // 1 is the first line; 0 where no line applies
-	Path   string // such as targets[2].address
-	Text   string
-	Remedy string
+// ValidationError is a validation error with a suggested fix.
+type ValidationError struct {
+	Line    int    // 1-based; 0 if no line applies
+	Path    string // such as targets[2].address
+	Message string
+	Hint    string
 }
 
-// String formats the mistake on one line.
-func (m Mistake) String() string {
-	return fmt.Sprintf("line %d: %s: %s; %s", m.Line, m.Path, m.Text, m.Remedy)
+// String formats the error on one line.
+func (m ValidationError) String() string {
+	return fmt.Sprintf("line %d: %s: %s; %s", m.Line, m.Path, m.Message, m.Hint)
 }
 
-// Mistakes is every mistake of a document at once; it is an error.
-type Mistakes []Mistake
+// ValidationErrors lists all validation errors of a document.
+type ValidationErrors []ValidationError
 
-// Error implements the error interface, a mistake a line.
-func (ms Mistakes) Error() string {
+// Error implements the error interface, with one validation error per line.
+func (ms ValidationErrors) Error() string {
 	lines := make([]string, len(ms))
 	for i, m := range ms {
 		lines[i] = m.String()
@@ -48,41 +48,42 @@
 	return strings.Join(lines, "\n")
 }
 
-// Parse reads and checks a YAML or JSON document. The error is Mistakes.
+// Parse decodes and validates a YAML or JSON document. Its errors are of type
+// ValidationErrors.
 func Parse(doc []byte) (*Bundle, error) {
 	if len(doc) > MaxSize {
-		return nil, Mistakes{{Path: "(document)", Text: fmt.Sprintf("larger than %d bytes", MaxSize), Remedy: "split the site"}}
+		return nil, ValidationErrors{{Path: "(document)", Message: fmt.Sprintf("larger than %d bytes", MaxSize), Hint: "split the site"}}
 	}
 	var root yaml.Node
 	if err := yaml.Unmarshal(doc, &root); err != nil {
-		return nil, Mistakes{{Path: "(document)", Text: err.Error(), Remedy: "write valid YAML or JSON"}}
+		return nil, ValidationErrors{{Path: "(document)", Message: err.Error(), Hint: "write valid YAML or JSON"}}
 	}
 	var b Bundle
-	var mistakes Mistakes
+	var errs ValidationErrors
 	dec := yaml.NewDecoder(bytes.NewReader(doc))
 	dec.KnownFields(true)
 	if err := dec.Decode(&b); err != nil {
-		mistakes = append(mistakes, decodeMistakes(err)...)
+		errs = append(errs, decodeErrors(err)...)
 	}
-	if err := dec.Decode(new(yaml.Node)); !errors.Is(err, io.EOF) && len(mistakes) == 0 {
-		mistakes = append(mistakes, Mistake{Path: "(document)", Text: "more than one document", Remedy: "keep one document a file"})
+	if err := dec.Decode(new(yaml.Node)); !errors.Is(err, io.EOF) && len(errs) == 0 {
+		errs = append(errs, ValidationError{Path: "(document)", Message: "more than one document", Hint: "write one document per file"})
 	}
 	b.fillDefaults()
 	c := &checker{bundle: &b, root: &root}
 	c.run()
-	mistakes = append(mistakes, c.mistakes...)
-	if len(mistakes) > 0 {
-		return nil, mistakes
+	errs = append(errs, c.errs...)
+	if len(errs) > 0 {
+		return nil, errs
 	}
 	return &b, nil
 }
 
-// Decode reads a document that the control group has checked and accepted; it
-// is several times cheaper than Parse and finds fewer mistakes.
+// Decode decodes a document that the control group has already validated. It is
+// several times faster than Parse and detects fewer errors.
 func Decode(doc []byte) (*Bundle, error) {
 	var b Bundle
 	if err := yaml.Unmarshal(doc, &b); err != nil {
-		return nil, errors.Wrap(err, "accepted bundle")
+		return nil, errors.Wrap(err, "decode accepted bundle")
 	}
 	b.fillDefaults()
 	return &b, nil
@@ -94,7 +95,7 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// HashKey returns the form in which a bundle stores an API key.
+// HashKey returns the hash under which a bundle stores an API key.
 func HashKey(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return keyHashPrefix + hex.EncodeToString(sum[:])
@@ -119,24 +120,24 @@
 	}
 }
 
-func decodeMistakes(err error) Mistakes {
+func decodeErrors(err error) ValidationErrors {
 	var typeErr *yaml.TypeError
 	if !errors.As(err, &typeErr) {
-		return Mistakes{{Path: "(document)", Text: err.Error(), Remedy: "write valid YAML or JSON"}}
+		return ValidationErrors{{Path: "(document)", Message: err.Error(), Hint: "write valid YAML or JSON"}}
 	}
-	var ms Mistakes
+	var errs ValidationErrors
 	for _, text := range typeErr.Errors {
-		ms = append(ms, Mistake{Line: leadingLine(text), Path: "(field)", Text: text, Remedy: "use a field and type that docs/BUNDLE.md lists"})
+		errs = append(errs, ValidationError{Line: lineOfDecodeError(text), Path: "(field)", Message: text, Hint: "use a field and type that docs/BUNDLE.md lists"})
 	}
-	return ms
+	return errs
 }
 
-func leadingLine(text string) int {
+func lineOfDecodeError(text string) int {
 	rest, ok := strings.CutPrefix(text, "line ")
 	if !ok {
 		return 0
 	}
-	num, _, _ := strings.Cut(rest, ":")
-	n, _ := strconv.Atoi(num)
+	number, _, _ := strings.Cut(rest, ":")
+	n, _ := strconv.Atoi(number)
 	return n
 }
--- a/bundle/sign.go
+++ b/bundle/sign.go
@@ -12,20 +12,19 @@
 	"github.com/cockroachdb/errors"
 )
 
-// signContext keeps a bundle's signature from standing for anything else.
-const signContext = "walnutramp bundle 1\n"
+// signatureContext is the domain separation prefix of bundle signatures.
+const signatureContext = "walnutramp bundle 1\n"
 
-// Signature is an operator's word for a document.
+// Signature is an operator's Ed25519 signature of a document.
 type Signature struct {
 	Operator string `json:"operator"`
 	Bytes    []byte `json:"bytes"`
 }
 
-// Operators are the public keys that may sign, by operator's name.
+// Operators maps operator names to their public keys.
 type Operators map[string]ed25519.PublicKey
 
-// NewOperatorKey returns a fresh key pair, each in the form that key files
-// hold.
+// NewOperatorKey generates a key pair, base64-encoded as in key files.
 func NewOperatorKey() (public, private string, err error) {
 	pub, priv, err := ed25519.GenerateKey(rand.Reader)
 	if err != nil {
@@ -34,32 +33,32 @@
 	return base64.StdEncoding.EncodeToString(pub), base64.StdEncoding.EncodeToString(priv.Seed()), nil
 }
 
-// Sign signs a document with an operator's private key as NewOperatorKey
-// gives it.
+// Sign signs a document with a private key in the encoding of NewOperatorKey.
 func Sign(doc []byte, operator, private string) (Signature, error) {
 	seed, err := base64.StdEncoding.DecodeString(strings.TrimSpace(private))
 	if err != nil || len(seed) != ed25519.SeedSize {
-		return Signature{}, errors.New("not a private key")
+		return Signature{}, errors.New("invalid private key: want a base64-encoded Ed25519 seed")
 	}
 	key := ed25519.NewKeyFromSeed(seed)
-	return Signature{Operator: operator, Bytes: ed25519.Sign(key, signed(doc))}, nil
+	return Signature{Operator: operator, Bytes: ed25519.Sign(key, signedMessage(doc))}, nil
 }
 
-func signed(doc []byte) []byte { return append([]byte(signContext), doc...) }
+func signedMessage(doc []byte) []byte { return append([]byte(signatureContext), doc...) }
 
-// Verify checks a signature against the known operators.
+// Verify checks a signature against the operators' public keys.
 func (ops Operators) Verify(doc []byte, s Signature) error {
 	key, ok := ops[s.Operator]
 	if !ok {
-		return errors.Newf("operator %q is not known", s.Operator)
+		return errors.Newf("unknown operator %q", s.Operator)
 	}
-	if !ed25519.Verify(key, signed(doc), s.Bytes) {
-		return errors.Newf("the signature is not operator %q's for this document", s.Operator)
+	if !ed25519.Verify(key, signedMessage(doc), s.Bytes) {
+		return errors.Newf("signature of operator %q does not match the document", s.Operator)
 	}
 	return nil
 }
 
-// ParseOperators reads a file of public keys: on each line a name and a key.
+// ParseOperators parses a key file: each line holds an operator's name and a
+// public key; # begins a comment line.
 func ParseOperators(file []byte) (Operators, error) {
 	ops := Operators{}
 	lines := bufio.NewScanner(bytes.NewReader(file))
@@ -73,7 +72,7 @@
 		}
 		key, err := base64.StdEncoding.DecodeString(words[1])
 		if err != nil || len(key) != ed25519.PublicKeySize {
-			return nil, fmt.Errorf("line %d: not a public key", n)
+			return nil, fmt.Errorf("line %d: invalid public key: want a base64-encoded Ed25519 key", n)
 		}
 		ops[words[0]] = key
 	}
