--- a/wal/wal.go
+++ b/wal/wal.go
@@ -1,6 +1,6 @@
-// Package wal is a log of records that last once they are synced: each record
-// has a length and a checksum. A tail torn by a crash is cut off; damage in
-// front of good records is reported, never skipped.
+// Package wal implements a write-ahead log. Each record has a length and a
+// CRC-32C checksum. Opening a log truncates a tail torn by a crash; a damaged
+// record followed by valid ones is an error.
 package wal
 
 import (
@@ -13,65 +13,67 @@
 	"github.com/cockroachdb/errors"
 )
 
-// File is an open file of the log.
+// File is an open log file.
 type File interface {
 	io.Writer
-	// Sync makes everything written so far last.
+	// Sync flushes everything written so far to stable storage.
 	Sync() error
-	// Close gives the file up without syncing.
+	// Close closes the file without syncing.
 	Close() error
 }
 
-// FS is the folder that holds a log.
+// FS is the directory that holds a log.
 type FS interface {
-	// ReadFile returns a file's content; os.ErrNotExist if there is none.
+	// ReadFile returns a file's content, or an error that wraps os.ErrNotExist.
 	ReadFile(name string) ([]byte, error)
-	// Create opens a file for writing from its start, emptied.
+	// Create creates or truncates a file for writing.
 	Create(name string) (File, error)
-	// Append opens a file for writing behind size bytes, cutting off the rest.
+	// Append opens a file for writing after its first size bytes, and truncates
+	// the rest.
 	Append(name string, size int64) (File, error)
-	// Rename replaces a file by another, and makes that last.
+	// Rename atomically and durably replaces the file to by from.
 	Rename(from, to string) error
 }
 
-// MaxRecord bounds a record, in bytes.
+// MaxRecord is the maximum record size in bytes.
 const MaxRecord = 64 << 20
 
-const headerSize = 8
+const recordHeaderSize = 8
 
-// ErrDamaged says that a record in front of others is damaged.
-var ErrDamaged = errors.New("log damaged in front of good records")
+// ErrDamaged means that a damaged record precedes valid ones.
+var ErrDamaged = errors.New("log corrupted: damaged record before valid ones")
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// Log is an open log.
+// Log is an open write-ahead log.
 type Log struct {
 	fs   FS
 	name string
 	file File
 	size int64
-	err  error // the first failure; the log takes nothing after it
+	err  error // first failure; later writes return it
 }
 
-// Open reads the log of that name and returns it with its records.
+// Open opens the log with the given name, creating it if necessary, and returns
+// its records.
 func Open(fs FS, name string) (*Log, [][]byte, error) {
 	content, err := fs.ReadFile(name)
 	if err != nil && !errors.Is(err, os.ErrNotExist) {
 		return nil, nil, err
 	}
-	records, good, err := parse(content)
+	records, validSize, err := parse(content)
 	if err != nil {
 		return nil, nil, err
 	}
-	f, err := fs.Append(name, int64(good))
+	f, err := fs.Append(name, int64(validSize))
 	if err != nil {
 		return nil, nil, err
 	}
-	return &Log{fs: fs, name: name, file: f, size: int64(good)}, records, nil
+	return &Log{fs: fs, name: name, file: f, size: int64(validSize)}, records, nil
 }
 
-// parse returns the good records and how many bytes they take. What follows
-// must be a torn record, with no good one behind it.
+// parse returns the valid records and their total size in bytes. Anything after
+// them must be a torn record without valid ones behind it.
 func parse(content []byte) ([][]byte, int, error) {
 	var records [][]byte
 	at := 0
@@ -81,30 +83,31 @@
 			break
 		}
 		records = append(records, record)
-		at += headerSize + len(record)
+		at += recordHeaderSize + len(record)
 	}
-	if at < len(content) && goodBehind(content, at+1) {
+	if at < len(content) && validRecordFrom(content, at+1) {
 		return nil, 0, ErrDamaged
 	}
 	return records, at, nil
 }
 
 func recordAt(content []byte, at int) ([]byte, bool) {
-	if len(content)-at < headerSize {
+	if len(content)-at < recordHeaderSize {
 		return nil, false
 	}
 	size := int(binary.LittleEndian.Uint32(content[at:]))
 	sum := binary.LittleEndian.Uint32(content[at+4:])
-	if size == 0 || size > MaxRecord || size > len(content)-at-headerSize {
+	if size == 0 || size > MaxRecord || size > len(content)-at-recordHeaderSize {
 		return nil, false
 	}
-	record := content[at+headerSize : at+headerSize+size]
+	record := content[at+recordHeaderSize : at+recordHeaderSize+size]
 	return record, crc32.Checksum(record, castagnoli) == sum
 }
 
-// goodBehind reports whether a good record begins anywhere from at on.
-func goodBehind(content []byte, at int) bool {
-	for ; at+headerSize < len(content); at++ {
+// validRecordFrom reports whether a valid record starts at any offset from at
+// on.
+func validRecordFrom(content []byte, at int) bool {
+	for ; at+recordHeaderSize < len(content); at++ {
 		if _, ok := recordAt(content, at); ok {
 			return true
 		}
@@ -112,15 +115,15 @@
 	return false
 }
 
-// encode appends a record in its stored form.
+// encode appends a record's length, checksum and content to dst.
 func encode(dst, record []byte) []byte {
 	dst = binary.LittleEndian.AppendUint32(dst, uint32(len(record)))
 	dst = binary.LittleEndian.AppendUint32(dst, crc32.Checksum(record, castagnoli))
 	return append(dst, record...)
 }
 
-// Append writes records and syncs them. After an error the log takes nothing
-// more: what a failed sync left behind is not known.
+// Append writes and syncs records. After an error the log accepts no more
+// writes, since the state on disk after a failed sync is unknown.
 func (l *Log) Append(records ...[]byte) error {
 	if l.err != nil {
 		return l.err
@@ -128,7 +131,7 @@
 	var buf []byte
 	for _, r := range records {
 		if len(r) == 0 || len(r) > MaxRecord {
-			return errors.Newf("record of %d bytes", len(r))
+			return errors.Newf("record size of %d bytes is not between 1 and MaxRecord", len(r))
 		}
 		buf = encode(buf, r)
 	}
@@ -144,16 +147,15 @@
 	return nil
 }
 
-// Size returns the log's length in bytes.
+// Size returns the log's size in bytes.
 func (l *Log) Size() int64 { return l.size }
 
-// Replace puts these records in place of all others, in one step that a
-// crash can't split.
+// Replace atomically replaces all records.
 func (l *Log) Replace(records ...[]byte) error {
 	if l.err != nil {
 		return l.err
 	}
-	size, err := writeWhole(l.fs, l.name+".new", records)
+	size, err := writeFile(l.fs, l.name+".new", records)
 	if err == nil {
 		err = l.fs.Rename(l.name+".new", l.name)
 	}
@@ -169,7 +171,7 @@
 	return l.err
 }
 
-func writeWhole(fs FS, name string, records [][]byte) (int64, error) {
+func writeFile(fs FS, name string, records [][]byte) (int64, error) {
 	f, err := fs.Create(name)
 	if err != nil {
 		return 0, err
@@ -185,10 +187,10 @@
 	return int64(len(buf)), f.Sync()
 }
 
-// Close gives the log up.
+// Close closes the log file.
 func (l *Log) Close() error { return l.file.Close() }
 
-// Dir is a folder of the operating system as an FS.
+// Dir is an operating system directory as an FS.
 type Dir string
 
 // ReadFile implements FS.
@@ -228,7 +230,7 @@
 	return d.sync()
 }
 
-// sync makes the folder's names last.
+// sync flushes the directory's entries to stable storage.
 func (d Dir) sync() error {
 	f, err := os.Open(string(d))
 	if err != nil {
--- a/wal/wal_test.go
+++ b/wal/wal_test.go
@@ -14,8 +14,8 @@
 
 func record(i int) []byte { return []byte(fmt.Sprintf("record %d", i)) }
 
-// write appends n records one by one until one fails, and returns how many
-// were said to last.
+// write appends n records one by one and returns how many were reported as
+// durable.
 func write(fs *memfs.FS, n int) int {
 	l, records, err := wal.Open(fs, logName)
 	if err != nil {
@@ -30,32 +30,32 @@
 }
 
 // TestCrashAtEveryPoint fails each disk operation in turn, crashes with some
-// unsynced bytes kept, and opens again: what was said to last is there, and
-// what is there is a beginning of what was written.
+// unsynced bytes kept, and reopens the log: it must hold all records reported
+// as durable, and a prefix of the records written.
 func TestCrashAtEveryPoint(t *testing.T) {
 	const n = 8
 	for fail := range 2*n + 2 {
 		for keep := range 25 {
 			fs := memfs.New()
 			fs.FailAfter(fail)
-			lasting := write(fs, n)
+			durable := write(fs, n)
 			fs.Crash(keep)
 			_, records, err := wal.Open(fs, logName)
 			require.NoError(t, err, "fail %d keep %d", fail, keep)
-			require.GreaterOrEqual(t, len(records), lasting, "fail %d keep %d", fail, keep)
+			require.GreaterOrEqual(t, len(records), durable, "fail %d keep %d", fail, keep)
 			for i, r := range records {
 				require.Equal(t, record(i), r)
 			}
-			require.Equal(t, n, write(fs, n), "the log goes on after a crash")
+			require.Equal(t, n, write(fs, n), "the log accepts records after a crash")
 		}
 	}
 }
 
-func TestFlippedBitIsNeverSkipped(t *testing.T) {
+func TestFlippedBitIsDetected(t *testing.T) {
 	const n = 4
-	whole := memfs.New()
-	require.Equal(t, n, write(whole, n))
-	size := whole.Size(logName)
+	intact := memfs.New()
+	require.Equal(t, n, write(intact, n))
+	size := intact.Size(logName)
 	for at := range size {
 		fs := memfs.New()
 		write(fs, n)
@@ -65,23 +65,23 @@
 			require.ErrorIs(t, err, wal.ErrDamaged)
 			continue
 		}
-		// Only the last record may pass for a torn tail.
+		// Only damage to the last record may be taken for a torn tail.
 		require.Len(t, records, n-1, "byte %d", at)
 		require.GreaterOrEqual(t, at, size-8-len(record(n-1)))
 	}
 }
 
-func TestNothingIsTakenAfterAFailedSync(t *testing.T) {
+func TestNoAppendAfterFailedSync(t *testing.T) {
 	fs := memfs.New()
 	l, _, err := wal.Open(fs, logName)
 	require.NoError(t, err)
-	fs.FailAfter(1) // the write goes through, its sync does not
+	fs.FailAfter(1) // the write succeeds, its sync fails
 	require.ErrorIs(t, l.Append(record(0)), memfs.ErrFault)
 	fs.FailAfter(-1)
 	require.Error(t, l.Append(record(1)))
 }
 
-func TestReplaceIsAllOrNothing(t *testing.T) {
+func TestReplaceIsAtomic(t *testing.T) {
 	for fail := range 6 {
 		fs := memfs.New()
 		require.Equal(t, 3, write(fs, 3))
@@ -117,9 +117,9 @@
 			return
 		}
 		require.NoError(t, l.Append([]byte("next")))
-		_, again, err := wal.Open(fs, logName)
+		_, reopened, err := wal.Open(fs, logName)
 		require.NoError(t, err)
-		require.Len(t, again, len(records)+1)
-		require.True(t, bytes.Equal(again[len(records)], []byte("next")))
+		require.Len(t, reopened, len(records)+1)
+		require.True(t, bytes.Equal(reopened[len(records)], []byte("next")))
 	})
 }
