--- a/duty/duty.go
+++ b/duty/duty.go
@@ -1,7 +1,7 @@
-// Package duty lets one node at a time make calls to the site's platform that
-// must not come from two. The control group grants the duty with a fencing
-// token that rises with each grant; its holder shows the token with each call,
-// so that the platform can refuse what comes late from an earlier holder.
+// Package duty gives one node at a time the exclusive right to call the site's
+// platform. The control group grants this duty with a fencing token that
+// increases with each grant. The holder sends the token with each call, so that
+// the platform can reject late calls of earlier holders.
 package duty
 
 import (
@@ -9,45 +9,47 @@
 	"time"
 )
 
-// Token is a fencing token. Each grant has a higher one than all before it.
+// Token is a fencing token. Each grant has a higher token than all earlier
+// ones.
 type Token uint64
 
-// Subject names what calls are about. Calls on one subject take effect in the
-// order of their tokens, as the platform checks them.
+// Subject identifies the resource that a call changes. The platform applies
+// calls on one subject in the order of their tokens.
 type Subject string
 
-// Permission is what a call is made under.
+// Permission authorizes a call.
 type Permission struct {
-	Holder string    // names the node that holds the duty
-	Token  Token     // of its grant
-	Until  time.Time // when the call must have been written, on the steady clock
+	Holder string    // name of the node that holds the duty
+	Token  Token     // fencing token of the grant
+	Until  time.Time // deadline for writing the call, on the monotonic clock
 }
 
-// Outcome says what came of a call.
+// Outcome is the outcome of a call.
 type Outcome int
 
-// The outcomes.
+// Outcomes of calls.
 const (
-	// Done says that the platform has carried the call out.
+	// Done: the platform carried the call out.
 	Done Outcome = iota
-	// Fenced says that the platform has seen a higher token; it was not
-	// carried out, and never will be.
+	// Fenced: the platform has seen a higher token; the call was not carried
+	// out and never will be.
 	Fenced
-	// Rejected says that the platform read the call and did not carry it out,
-	// for a reason that lies in what was asked for.
+	// Rejected: the platform read the call and did not carry it out, because of
+	// its content.
 	Rejected
-	// Busy says that the platform takes no call now; it was not carried out.
+	// Busy: the platform is overloaded or rate-limited; the call was not
+	// carried out.
 	Busy
-	// Unclear says that no answer came: the call may be carried out yet, also
-	// after later calls under the same token.
+	// Unclear: no answer came. The call may still take effect, even after later
+	// calls under the same token.
 	Unclear
-	// NotSent says that nothing was sent, for want of the duty or of time.
+	// NotSent: nothing was sent, because the duty was not held or time ran out.
 	NotSent
-	// Unreachable says that nothing was sent, since no connection to the
-	// platform came about.
+	// Unreachable: nothing was sent, because the connection to the platform
+	// failed.
 	Unreachable
-	// Conflict says that the call was Fenced or Rejected, and the answer does
-	// not tell which. A Caller finds out; its callers never see it.
+	// Conflict: the call was Fenced or Rejected, and the answer does not tell
+	// which. A Caller resolves it; its users never see it.
 	Conflict
 )
 
@@ -56,16 +58,16 @@
 	Unreachable: "unreachable", Conflict: "conflict",
 }
 
-// String names the outcome, for logs.
+// String returns the outcome as it is logged.
 func (o Outcome) String() string { return outcomeNames[o] }
 
 // Call is one call to the platform.
 type Call struct {
 	Subject Subject
-	// Content tells different calls on a subject apart: one with the same
-	// content is an exact repeat, which changes nothing when it comes twice.
+	// Content identifies the call's effect. A call with the same subject and
+	// content is a repeat, and is idempotent.
 	Content string
-	// Send makes the call once.
+	// Send sends the call once.
 	Send func(ctx context.Context, p Permission) Outcome
 }
 
@@ -73,22 +75,23 @@
 type Caller interface {
 	// Held reports whether this node holds the duty now.
 	Held() bool
-	// Do makes a call under the duty, at the pace that the platform bears. It
-	// takes a new token first where an earlier, different call on the subject
-	// ended unclear.
+	// Do makes a call under the duty, within the platform's rate limit. It
+	// first obtains a new token if an earlier call on the subject with other
+	// content ended Unclear.
 	Do(ctx context.Context, c Call) Outcome
 }
 
-// Config is what a site says of its duties.
+// Config holds a site's duty settings.
 type Config struct {
-	// Lease is within which two holders must not act in turn, A, B, A.
+	// Lease is the lease duration. Within it, two holders must not alternate
+	// (A, B, A).
 	Lease time.Duration
-	// Slack is how long a process may stand still between its last look at
-	// its lease and the write of the call, without its noticing.
+	// Slack is the maximum time for which a process may stall unnoticed between
+	// checking its lease and writing a call.
 	Slack time.Duration
-	// PerSecond is how many calls the platform takes from all nodes together.
+	// PerSecond is the platform's limit of calls per second, over all nodes.
 	PerSecond float64
 }
 
-// Enabled reports whether the site has duties at all.
+// Enabled reports whether the site uses duties.
 func (c Config) Enabled() bool { return c.PerSecond > 0 }
--- a/duty/gate.go
+++ b/duty/gate.go
@@ -5,110 +5,110 @@
 	"time"
 )
 
-// Pauses after calls that the platform did not take or answer. They double from
-// the first to the longest, and a part of each is drawn.
+// Backoff after calls that the platform did not accept or answer. It doubles
+// from minBackoff to maxBackoff, with jitter over its upper half.
 const (
-	firstPause   = 100 * time.Millisecond // one lost answer hardly delays the next call
-	longestPause = 2 * time.Second        // calls are paid for; due times are seconds away
+	minBackoff = 100 * time.Millisecond // a single lost answer hardly delays the next call
+	maxBackoff = 2 * time.Second        // bounded, as calls are due again within seconds
 )
 
-// silentCalls is how many calls in a row have to stay without an answer before
-// the platform counts as silent: one answer may be lost.
-const silentCalls = 3
+// minUnanswered is the number of consecutive unanswered calls after which the
+// platform counts as unresponsive.
+const minUnanswered = 3
 
-// Gate remembers what came of calls: which need a higher token, and when the
-// next may be made. It is not safe for use by several tasks at a time.
+// Gate tracks the outcomes of calls, to decide which calls need a higher token
+// and when the next call may be made. It is not safe for concurrent use.
 type Gate struct {
-	unclear map[Subject]attempt
-	failed  int       // calls in a row that the platform did not take or answer
-	pauseTo time.Time // no call before
-	silent  int       // calls in a row without an answer
-	since   time.Time // the first of these
-	reached bool      // the newest call was answered
-	pending time.Time // when the newest call ended unclear
+	unclear         map[Subject]attempt
+	failures        int       // consecutive calls not accepted or not answered
+	backoffUntil    time.Time // end of the backoff
+	unanswered      int       // consecutive unanswered calls
+	unansweredSince time.Time // send time of the first of these
+	lastAnswered    bool      // the last call was answered
+	lastUnclear     time.Time // time at which the last Unclear call ended
 }
 
-// attempt is a call that may be carried out yet, or that must not come again
+// attempt is a call that may still take effect, or that must not be repeated
 // under its token.
 type attempt struct {
 	content string
 	token   Token
-	refused bool // also an exact repeat needs a higher token
+	refused bool // even a repeat needs a higher token
 }
 
-// NewGate returns a gate that has seen no call.
+// NewGate returns a gate with no recorded calls.
 func NewGate() *Gate { return &Gate{unclear: map[Subject]attempt{}} }
 
 // NeedsToken reports whether a call needs a higher token than the current one,
-// since an earlier and different call on its subject may be carried out after
-// it. An exact repeat goes under the same token: it changes nothing whichever
-// of the two comes last, and a grant costs the group an entry.
+// because an earlier call on its subject with other content may still take
+// effect. A repeat keeps the token: it is idempotent, and a grant costs a log
+// entry.
 func (g *Gate) NeedsToken(c Call, current Token) bool {
 	a, ok := g.unclear[c.Subject]
 	return ok && a.token >= current && (a.refused || a.content != c.Content)
 }
 
-// Pause returns for how long no call may be made.
-func (g *Gate) Pause(now time.Time) time.Duration { return max(0, g.pauseTo.Sub(now)) }
+// Pause returns the remaining backoff.
+func (g *Gate) Pause(now time.Time) time.Duration { return max(0, g.backoffUntil.Sub(now)) }
 
-// Silent returns for how long the platform has not answered; 0 where it did, or
-// where too few calls were made to tell.
+// Silent returns how long the platform has been unresponsive; 0 if it is not,
+// or after fewer than minUnanswered calls.
 func (g *Gate) Silent(now time.Time) time.Duration {
-	if g.silent < silentCalls {
+	if g.unanswered < minUnanswered {
 		return 0
 	}
-	return now.Sub(g.since)
+	return now.Sub(g.unansweredSince)
 }
 
-// Reached reports whether the platform answered the newest call.
-func (g *Gate) Reached() bool { return g.reached }
+// Reached reports whether the platform answered the last call.
+func (g *Gate) Reached() bool { return g.lastAnswered }
 
-// ForgetAnswers has the gate find out anew whether the platform answers.
-func (g *Gate) ForgetAnswers() { g.silent, g.reached = 0, false }
+// ForgetAnswers resets the state behind Silent and Reached.
+func (g *Gate) ForgetAnswers() { g.unanswered, g.lastAnswered = 0, false }
 
-// Pending reports whether a call may be carried out that ended unclear within a
-// time.
+// Pending reports whether a call that ended Unclear within the given time may
+// still take effect.
 func (g *Gate) Pending(now time.Time, within time.Duration) bool {
-	return !g.pending.IsZero() && now.Sub(g.pending) < within
+	return !g.lastUnclear.IsZero() && now.Sub(g.lastUnclear) < within
 }
 
-// Note takes what came of a call that was sent at a time.
+// Note records the outcome of a call.
 func (g *Gate) Note(c Call, p Permission, o Outcome, sent, now time.Time) {
 	g.prune(p.Token)
 	if o == NotSent {
 		return
 	}
-	g.noteSilence(o, sent)
+	g.countUnanswered(o, sent)
 	switch o {
 	case Unclear:
-		g.pending = now
+		g.lastUnclear = now
 		g.unclear[c.Subject] = attempt{content: c.Content, token: p.Token}
 	case Conflict, Fenced:
 		g.unclear[c.Subject] = attempt{content: c.Content, token: p.Token, refused: true}
 	}
 	if o == Done || o == Rejected || o == Conflict {
-		g.failed = 0
+		g.failures = 0
 		return
 	}
-	g.failed++
-	g.pauseTo = now.Add(pauseAfter(g.failed))
+	g.failures++
+	g.backoffUntil = now.Add(backoff(g.failures))
 }
 
-// noteSilence counts calls without an answer.
-func (g *Gate) noteSilence(o Outcome, sent time.Time) {
-	g.reached = o != Unclear && o != Unreachable
-	if g.reached {
-		g.silent = 0
+// countUnanswered counts consecutive unanswered calls.
+func (g *Gate) countUnanswered(o Outcome, sent time.Time) {
+	g.lastAnswered = o != Unclear && o != Unreachable
+	if g.lastAnswered {
+		g.unanswered = 0
 		return
 	}
-	if g.silent == 0 {
-		g.since = sent
+	if g.unanswered == 0 {
+		g.unansweredSince = sent
 	}
-	g.silent++
+	g.unanswered++
 }
 
-// prune forgets calls under lower tokens: what comes under this one or a later
-// one can't be undone by them.
+// prune removes calls under lower tokens, which can no longer override calls
+// under the current one.
 func (g *Gate) prune(current Token) {
 	for subject, a := range g.unclear {
 		if a.token < current {
@@ -117,12 +117,13 @@
 	}
 }
 
-// pauseAfter draws the pause after so many failures in a row.
-func pauseAfter(failed int) time.Duration {
-	pause := firstPause
-	for i := 1; i < failed && pause < longestPause; i++ {
-		pause *= 2
+// backoff returns the jittered backoff after a number of consecutive
+// failures.
+func backoff(failures int) time.Duration {
+	d := minBackoff
+	for i := 1; i < failures && d < maxBackoff; i++ {
+		d *= 2
 	}
-	pause = min(pause, longestPause)
-	return pause/2 + rand.N(pause/2)
+	d = min(d, maxBackoff)
+	return d/2 + rand.N(d/2)
 }
--- a/duty/lease_test.go
+++ b/duty/lease_test.go
@@ -14,9 +14,10 @@
 
 func at(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 
-// leaseOf returns a's lease with a grant that was confirmed at the start.
+// leaseOf returns a lease of holder a with the given record, confirmed at
+// start.
 func leaseOf(r Record) *Lease {
-	l := NewLease(config, a, "machine-a")
+	l := NewLease(config, a, "node-a")
 	l.Learn(r, start)
 	l.Confirm(start)
 	return l
@@ -27,16 +28,16 @@
 	return ok
 }
 
-func TestLeaseCountsFromTheQuestion(t *testing.T) {
+func TestLeaseRunsFromSendTimeOfCheck(t *testing.T) {
 	l := leaseOf(granted(Record{}, 5, a))
 	p, ok := l.Permission(at(100))
 	require.True(t, ok)
-	require.Equal(t, Permission{Holder: "machine-a", Token: 5, Until: at(2700)}, p)
+	require.Equal(t, Permission{Holder: "node-a", Token: 5, Until: at(2700)}, p)
 	require.True(t, permitted(l, at(2699)))
 	require.False(t, permitted(l, at(2700)))
 
 	l.Confirm(at(2000))
-	l.Confirm(at(1000)) // an answer that came late
+	l.Confirm(at(1000)) // late answer to an earlier check
 	require.True(t, permitted(l, at(4699)))
 	require.False(t, permitted(l, at(4700)))
 }
@@ -45,15 +46,15 @@
 	require.False(t, permitted(NewLease(config, a, "a"), start))
 	require.False(t, permitted(leaseOf(Record{}), start))
 	require.False(t, permitted(leaseOf(granted(Record{}, 5, b)), start))
-	require.False(t, permitted(leaseOf(granted(Record{}, 5, a2)), start), "of an earlier process")
+	require.False(t, permitted(leaseOf(granted(Record{}, 5, a2)), start), "grant of an earlier process")
 	require.False(t, permitted(leaseOf(released(granted(Record{}, 5, a))), start))
 }
 
-func TestNothingIsSentUnderAnEndedToken(t *testing.T) {
+func TestEndedTokenGivesNoPermission(t *testing.T) {
 	l := leaseOf(granted(Record{}, 5, a))
 	l.End(5)
 	require.False(t, permitted(l, at(1)))
-	require.True(t, l.Due(at(1), time.Second), "the group is asked before the next grant")
+	require.True(t, l.Due(at(1), time.Second), "leadership is confirmed before the next grant")
 	g, why := l.Next(at(1), false)
 	require.Equal(t, ReasonEnded, why)
 	l.Learn(l.Record().Granted(6, g), at(2))
@@ -61,7 +62,7 @@
 	require.False(t, l.Due(at(2), time.Second))
 }
 
-func TestLeaderTakesAGrantWhereItHasNone(t *testing.T) {
+func TestLeaderRequestsMissingGrant(t *testing.T) {
 	for why, r := range map[Reason]Record{
 		ReasonFirst:     {},
 		ReasonTakenOver: granted(Record{}, 5, b),
@@ -75,13 +76,13 @@
 	}
 }
 
-func TestHolderWaitsForAWholeLease(t *testing.T) {
+func TestHolderWaitsForFullLease(t *testing.T) {
 	l := leaseOf(granted(granted(Record{}, 5, b), 7, a))
 	require.False(t, permitted(l, at(1)))
 	_, why := l.Next(at(2999), false)
 	require.Equal(t, ReasonNone, why)
 
-	// Another grant to itself does not begin the wait anew.
+	// A repeated grant does not restart the wait.
 	l.Learn(l.Record().Granted(8, Grant{Holder: a}), at(1000))
 	g, why := l.Next(at(3000), false)
 	require.Equal(t, ReasonWaited, why)
@@ -97,8 +98,8 @@
 	require.Equal(t, Grant{Holder: a, Waited: 7, Alone: true}, g)
 }
 
-// The wait of an earlier time as holder does not count for this one.
-func TestWaitBeginsAnewBehindAnotherHolder(t *testing.T) {
+// A wait during an earlier tenure does not count for the current one.
+func TestWaitRestartsAfterAnotherHolder(t *testing.T) {
 	l := leaseOf(granted(granted(Record{}, 5, b), 7, a))
 	l.Learn(granted(granted(l.Record(), 8, b), 9, a), at(2000))
 	_, why := l.Next(at(4999), false)
@@ -107,7 +108,7 @@
 	require.Equal(t, ReasonWaited, why)
 }
 
-func TestHolderTellsThatThePlatformAnswers(t *testing.T) {
+func TestHolderReportsReachablePlatform(t *testing.T) {
 	l := leaseOf(Record{Token: 5, First: 5, Holder: a, Recent: []string{"a"}, Unreachable: []string{"b"}})
 	_, why := l.Next(at(1), false)
 	require.Equal(t, ReasonNone, why)
--- a/duty/record.go
+++ b/duty/record.go
@@ -2,52 +2,52 @@
 
 import "slices"
 
-// Holder is a process that holds the duty, or held it.
+// Holder identifies a process that holds or held the duty.
 type Holder struct {
-	Node string // its address among the nodes
-	Life uint64 // names the process: a restarted one is another holder
+	Node string // node name
+	Life uint64 // identifies the process; a restart creates a new holder
 }
 
-// Grant is the command of the control group's log that gives the duty to a
-// holder. Its index in the log is its token.
+// Grant is the log command of the control group that grants the duty. Its log
+// index is the token.
 type Grant struct {
 	Holder Holder
-	// Waited is the first token of the holder's own grants in a row, where a
-	// whole lease has passed since the holder learned of it; 0 otherwise.
+	// Waited is the first token of the holder's consecutive grants, if a full
+	// lease has passed since the holder learned of it; 0 otherwise.
 	Waited Token
-	// Alone says that two leases have passed since then. One holder before may
-	// have acted for nearly a lease after this one's first grant, so only now has
-	// it not acted for a lease.
+	// Alone means that two leases have passed since then. A previous holder may
+	// have acted for almost a lease after this holder's first grant, so only
+	// now has it been inactive for a full lease.
 	Alone bool
-	// Reached says that the platform has answered this holder.
+	// Reached means that the platform has answered this holder.
 	Reached bool
 }
 
-// Release is the command by which a holder gives the duty up.
+// Release is the log command by which a holder releases the duty.
 type Release struct {
 	Token Token
-	// Pending says that a call of the holder may be carried out yet.
+	// Pending means that a call of the holder may still take effect.
 	Pending bool
-	// Unreachable says that the platform did not answer the holder.
+	// Unreachable means that the platform did not answer the holder.
 	Unreachable bool
 }
 
-// Record is what the control group has agreed on about the duty.
+// Record is the state of the duty that the control group has agreed on.
 type Record struct {
-	Token  Token // of the newest grant
-	First  Token // of the holder's grants in a row, the newest among them
+	Token  Token // token of the newest grant
+	First  Token // first token of the holder's consecutive grants
 	Holder Holder
-	Before Holder // who held it before
-	// Released says that the holder makes no more calls.
+	Before Holder // previous holder
+	// Released means that the holder makes no more calls.
 	Released bool
-	// Waits says that an earlier holder may act yet, so that this one must not
-	// before it has waited for a lease.
+	// Waits means that an earlier holder may still act, so that the current one
+	// must first wait for a lease.
 	Waits bool
-	// Recent are the nodes that may have acted since a holder last was alone
-	// for a lease, the holder's own among them.
+	// Recent lists the nodes that may have acted since a holder was last alone
+	// for a lease, the current holder's node included.
 	Recent []string
-	// Unreachable are the nodes that gave the duty up since the platform
-	// last answered anyone.
+	// Unreachable lists the nodes that released the duty as unreachable since
+	// the platform last answered any holder.
 	Unreachable []string
 }
 
@@ -65,14 +65,14 @@
 		next.Recent = []string{g.Holder.Node}
 		return next
 	}
-	next.Recent = with(r.Recent, g.Holder.Node)
+	next.Recent = withName(r.Recent, g.Holder.Node)
 	next.Waits = !waited && r.mustWait(g.Holder.Node)
 	return next
 }
 
 // mustWait reports whether a node that is granted the duty next has to wait
-// until nobody else can act. One that acted lately has to though the holder has
-// released the duty: the two would act in turn, A, B, A.
+// until no other node can act. Even after a release, a node that acted recently
+// has to wait; otherwise two holders would alternate (A, B, A).
 func (r Record) mustWait(node string) bool {
 	if node == r.Holder.Node {
 		return r.Waits
@@ -80,21 +80,21 @@
 	return r.Waits || !r.Released || slices.Contains(r.Recent, node)
 }
 
-// AfterRelease returns the record after its holder gave the duty up. A release
-// under an older token changes nothing.
+// AfterRelease returns the record after a release. A release under an older
+// token has no effect.
 func (r Record) AfterRelease(c Release) Record {
 	if c.Token != r.Token {
 		return r
 	}
 	r.Released = !c.Pending
 	if c.Unreachable {
-		r.Unreachable = with(r.Unreachable, r.Holder.Node)
+		r.Unreachable = withName(r.Unreachable, r.Holder.Node)
 	}
 	return r
 }
 
-// with returns the list with a name, in a new array.
-func with(list []string, name string) []string {
+// withName returns a copy of the list that includes name.
+func withName(list []string, name string) []string {
 	if slices.Contains(list, name) {
 		return list
 	}
--- a/duty/record_test.go
+++ b/duty/record_test.go
@@ -17,7 +17,7 @@
 
 func released(r Record) Record { return r.AfterRelease(Release{Token: r.Token}) }
 
-func TestFirstHolderWaitsForNobody(t *testing.T) {
+func TestFirstHolderDoesNotWait(t *testing.T) {
 	r := granted(Record{}, 5, a)
 	require.Equal(t, Record{Token: 5, First: 5, Holder: a, Recent: []string{"a"}}, r)
 }
@@ -36,14 +36,14 @@
 	require.Equal(t, a, r.Before)
 }
 
-func TestNextHolderNeedNotWaitAfterARelease(t *testing.T) {
+func TestNextHolderDoesNotWaitAfterRelease(t *testing.T) {
 	r := granted(released(granted(Record{}, 5, a)), 7, b)
 	require.False(t, r.Waits)
 	require.False(t, r.Released)
-	require.Equal(t, []string{"a", "b"}, r.Recent, "a acted lately")
+	require.Equal(t, []string{"a", "b"}, r.Recent, "a acted recently")
 }
 
-func TestHoldersDoNotActInTurn(t *testing.T) {
+func TestHoldersDoNotAlternate(t *testing.T) {
 	r := granted(released(granted(Record{}, 5, a)), 7, b)
 	require.True(t, granted(released(r), 9, a).Waits, "a, b, a")
 	require.False(t, granted(released(r), 9, c).Waits, "a, b, c")
@@ -52,11 +52,12 @@
 	require.True(t, granted(released(r), 9, a).Waits, "a may have acted less than a lease ago")
 	r = r.Granted(9, Grant{Holder: b, Waited: 7, Alone: true})
 	require.Equal(t, []string{"b"}, r.Recent)
-	require.False(t, granted(released(r), 10, a).Waits, "a acted a lease ago at least")
+	require.False(t, granted(released(r), 10, a).Waits, "a has not acted for at least a lease")
 }
 
-// One that waits and gives up leaves its successor the wait.
-func TestWaitIsHandedOn(t *testing.T) {
+// A holder that releases the duty while waiting passes the wait on to its
+// successor.
+func TestWaitIsPassedToSuccessor(t *testing.T) {
 	r := granted(released(granted(granted(Record{}, 5, a), 7, b)), 9, c)
 	require.True(t, r.Waits)
 }
@@ -64,10 +65,10 @@
 func TestRestartedHolderWaitsForOthersOnly(t *testing.T) {
 	r := granted(granted(Record{}, 5, a), 7, a2)
 	require.False(t, r.Waits)
-	require.Equal(t, Token(7), r.First, "a restarted process begins anew")
+	require.Equal(t, Token(7), r.First, "a restarted process is a new holder")
 
 	waiting := granted(granted(Record{}, 5, b), 7, a)
-	require.True(t, granted(waiting, 9, a2).Waits, "b may act yet")
+	require.True(t, granted(waiting, 9, a2).Waits, "b may still act")
 }
 
 func TestWaitOfAnEarlierGrantDoesNotCount(t *testing.T) {
@@ -78,17 +79,17 @@
 	require.True(t, r.Granted(9, Grant{Holder: a}).Waits, "nobody has waited")
 }
 
-func TestReleaseWithAPendingCallSparesNoWait(t *testing.T) {
+func TestReleaseWithPendingCallKeepsWait(t *testing.T) {
 	r := granted(Record{}, 5, a).AfterRelease(Release{Token: 5, Pending: true})
 	require.True(t, granted(r, 7, b).Waits)
 }
 
-func TestReleaseOfAnEarlierGrantChangesNothing(t *testing.T) {
+func TestReleaseOfEarlierGrantHasNoEffect(t *testing.T) {
 	r := granted(granted(Record{}, 5, a), 7, a)
 	require.Equal(t, r, r.AfterRelease(Release{Token: 5}))
 }
 
-func TestMachinesThatCanNotReachThePlatformAreRemembered(t *testing.T) {
+func TestUnreachableNodesAreRecorded(t *testing.T) {
 	r := granted(Record{}, 5, a).AfterRelease(Release{Token: 5, Unreachable: true})
 	r = granted(r, 7, b)
 	require.Equal(t, []string{"a"}, r.Unreachable)
@@ -96,10 +97,10 @@
 	require.Empty(t, r.Unreachable)
 }
 
-// A holder acts for nearly a lease after another's grant. That one waits for a
-// lease, acts, and releases the duty: the first must wait still, as else the two
-// act in turn, A, B, A, within a lease.
-func TestHolderThatActedAfterAnothersGrantWaits(t *testing.T) {
+// A holder may act for almost a lease after the next holder's grant. It must
+// therefore wait when it gets the duty back, even after a release; otherwise
+// the two alternate (A, B, A) within a lease.
+func TestPreviousHolderWaitsAfterLateCalls(t *testing.T) {
 	a, b := Holder{Node: "a", Life: 1}, Holder{Node: "b", Life: 2}
 	r := Record{}.Granted(1, Grant{Holder: a})
 	r = r.Granted(2, Grant{Holder: b})
