--- a/metering/counter.go
+++ b/metering/counter.go
@@ -10,48 +10,48 @@
 )
 
 const (
-	// mostRows bounds a node's memory, at some 100 bytes a row: a minute of
-	// 10,000 accounts that are all seen in each window of 5 s.
-	mostRows = 120_000
-	// mostUnplaced bounds the requests that began before the time was known:
-	// a node learns it with the first answer of the control group.
-	mostUnplaced = 10_000
+	// maxRows bounds a node's memory, at about 100 bytes per row: one minute of
+	// 10,000 accounts that are all active in each 5 s window.
+	maxRows = 120_000
+	// maxUnplaced bounds the requests that started before the group time was
+	// known, which a node learns with the control group's first answer.
+	maxUnplaced = 10_000
 )
 
-// key says which requests are counted together.
+// key identifies the requests that are counted together.
 type key struct {
 	window  Window
 	account string
 }
 
-// Counter counts the requests that one node sees begin.
+// Counter counts the requests that start on one node.
 type Counter struct {
 	cfg   Config
 	clock groupclock.Clock
 
 	mu       sync.Mutex
 	rows     map[key]uint64
-	changed  map[key]struct{} // since they were reported
-	unplaced []begun
-	closed   Window // newest that the group has closed
+	changed  map[key]struct{} // changed since the last report
+	unplaced []unplacedRequest
+	closed   Window // newest window that the group has closed
 	dropped  int    // requests that could not be counted
-	told     int    // rows that were handed out
+	reported int    // rows reported so far
 }
 
-// begun is a request that began before the time was known here.
-type begun struct {
+// unplacedRequest is a request that started before the group time was known.
+type unplacedRequest struct {
 	account string
-	at      time.Time // on this node's steady clock
+	at      time.Time // on this node's monotonic clock
 }
 
-// NewCounter returns a counter of nothing.
+// NewCounter returns an empty counter.
 func NewCounter(cfg Config, clock groupclock.Clock) *Counter {
 	return &Counter{cfg: cfg, clock: clock, rows: map[key]uint64{}, changed: map[key]struct{}{}}
 }
 
-// Count counts a request of an account that began to run at a time of this
-// process, which time.Now gave. Requests without an account are not counted.
-// It may be called on nil, which counts nothing.
+// Count counts a request of an account that started at a time given by
+// time.Now. Requests without an account are not counted. A nil Counter ignores
+// the call.
 func (c *Counter) Count(account string, at time.Time) {
 	if c == nil || account == "" {
 		return
@@ -60,28 +60,28 @@
 	defer c.mu.Unlock()
 	now, _, known := c.clock.Now()
 	if !known {
-		c.keepUnplaced(begun{account: account, at: at})
+		c.deferPlacement(unplacedRequest{account: account, at: at})
 		return
 	}
-	c.place(now, begun{account: account, at: at})
+	c.place(now, unplacedRequest{account: account, at: at})
 }
 
-func (c *Counter) keepUnplaced(b begun) {
-	if len(c.unplaced) >= mostUnplaced {
-		c.drop("the time is not known")
+func (c *Counter) deferPlacement(r unplacedRequest) {
+	if len(c.unplaced) >= maxUnplaced {
+		c.drop("group time unknown")
 		return
 	}
-	c.unplaced = append(c.unplaced, b)
+	c.unplaced = append(c.unplaced, r)
 }
 
-// place counts a request in its window. The caller holds the mutex.
-func (c *Counter) place(now time.Time, b begun) {
-	k := key{window: c.cfg.Window(now.Add(-uptime.Since(b.at))), account: b.account}
+// place counts a request in its window. The caller holds c.mu.
+func (c *Counter) place(now time.Time, r unplacedRequest) {
+	k := key{window: c.cfg.Window(now.Add(-uptime.Since(r.at))), account: r.account}
 	if k.window <= c.closed {
-		c.drop("its window is closed")
+		c.drop("window closed")
 		return
 	}
-	if _, known := c.rows[k]; !known && len(c.rows) >= mostRows {
+	if _, known := c.rows[k]; !known && len(c.rows) >= maxRows {
 		c.drop("too many rows")
 		return
 	}
@@ -89,7 +89,8 @@
 	c.changed[k] = struct{}{}
 }
 
-// drop notes a request that is not counted. Each power of two is logged.
+// drop counts a request that is not metered. It logs when the number of dropped
+// requests is a power of two.
 func (c *Counter) drop(why string) {
 	c.dropped++
 	if c.dropped&(c.dropped-1) == 0 {
@@ -97,8 +98,8 @@
 	}
 }
 
-// placeAll counts what began before the time was known, once it is. The
-// caller holds the mutex.
+// placeAll counts the requests that started before the group time was known,
+// once it is. The caller holds c.mu.
 func (c *Counter) placeAll() {
 	if len(c.unplaced) == 0 {
 		return
@@ -113,7 +114,7 @@
 	c.unplaced = nil
 }
 
-// Report returns the rows that have changed since the last report, or all.
+// Report returns the rows that changed since the last report, or all rows.
 func (c *Counter) Report(all bool) []Row {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -125,19 +126,19 @@
 		}
 	}
 	clear(c.changed)
-	c.told += len(rows)
+	c.reported += len(rows)
 	return rows
 }
 
-// Waiting reports whether there is something new to report, and whether there
-// are rows of windows that are not closed yet.
+// Waiting reports whether there is anything new to report, and whether there
+// are rows of windows that are not closed.
 func (c *Counter) Waiting() (news, open bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.changed) > 0 || len(c.unplaced) > 0, len(c.rows) > 0
 }
 
-// Closed forgets the windows up to one that the group has closed.
+// Closed removes the windows up to newest, which the group has closed.
 func (c *Counter) Closed(newest Window) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -153,16 +154,16 @@
 	}
 }
 
-// Stats are a counter's figures.
+// Stats are a counter's statistics.
 type Stats struct {
-	Rows    int // of windows that are not closed
+	Rows    int // rows of windows that are not closed
 	Dropped int // requests that could not be counted
-	Told    int // rows that were reported
+	Told    int // rows reported so far
 }
 
-// Stats returns the counter's figures.
+// Stats returns the counter's statistics.
 func (c *Counter) Stats() Stats {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return Stats{Rows: len(c.rows), Dropped: c.dropped, Told: c.told}
+	return Stats{Rows: len(c.rows), Dropped: c.dropped, Told: c.reported}
 }
--- a/metering/metering_test.go
+++ b/metering/metering_test.go
@@ -11,19 +11,19 @@
 
 var testConfig = Config{Span: 5 * time.Second, Due: 10 * time.Second}
 
-// testClock is right, once it is known.
+// testClock tells the correct time once known is set.
 type testClock struct{ known bool }
 
 func (c *testClock) Now() (time.Time, time.Duration, bool) { return time.Now(), 0, c.known }
 
-func TestWindowsCutTheTimeSince1970(t *testing.T) {
+func TestWindowsStartAtUnixEpoch(t *testing.T) {
 	at := time.Unix(1767225600, 0).Add(4999 * time.Millisecond)
 	require.EqualValues(t, 353445120, testConfig.Window(at))
 	require.EqualValues(t, 353445121, testConfig.Window(at.Add(time.Millisecond)))
 	require.Equal(t, at.Add(time.Millisecond).UTC(), testConfig.End(353445120))
 }
 
-func TestCounterTellsChangesOrEverything(t *testing.T) {
+func TestCounterReportsChangesOrAll(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := NewCounter(testConfig, &testClock{known: true})
 		w := testConfig.Window(time.Now())
@@ -39,16 +39,16 @@
 
 		time.Sleep(testConfig.Span)
 		c.Count("a", time.Now())
-		c.Count("a", time.Now().Add(-testConfig.Span)) // it began before
+		c.Count("a", time.Now().Add(-testConfig.Span)) // started in the previous window
 		require.ElementsMatch(t, []Row{{w, "a", 4}, {w + 1, "a", 1}}, c.Report(false))
 		c.Closed(w)
 		require.Equal(t, []Row{{w + 1, "a", 1}}, c.Report(true))
 		c.Count("a", time.Now().Add(-testConfig.Span))
-		require.Equal(t, Stats{Rows: 1, Dropped: 1, Told: 8}, c.Stats(), "a closed window stays as it is")
+		require.Equal(t, Stats{Rows: 1, Dropped: 1, Told: 8}, c.Stats(), "a closed window does not change")
 	})
 }
 
-func TestCounterWaitsForTheTime(t *testing.T) {
+func TestCounterWaitsForGroupTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		clock := &testClock{}
 		c := NewCounter(testConfig, clock)
@@ -64,26 +64,25 @@
 func TestCounterBoundsItsMemory(t *testing.T) {
 	clock := &testClock{}
 	c := NewCounter(testConfig, clock)
-	for range mostUnplaced + 1 {
+	for range maxUnplaced + 1 {
 		c.Count("a", time.Now())
 	}
 	require.Equal(t, 1, c.Stats().Dropped)
 	clock.known = true
 	c.Report(false)
-	for i := range mostRows + 10 {
+	for i := range maxRows + 10 {
 		c.Count("a", time.Now().Add(time.Duration(i)*testConfig.Span))
 	}
-	require.LessOrEqual(t, c.Stats().Rows, mostRows)
+	require.LessOrEqual(t, c.Stats().Rows, maxRows)
 	(*Counter)(nil).Count("a", time.Now())
 }
 
-// What the nodes told, in any order, with losses and repeats, sums up to the
-// same.
-func TestTallyBearsLostDoubledAndLateWords(t *testing.T) {
+// Reports in any order, with losses and duplicates, add up to the same totals.
+func TestTallyToleratesLostDuplicateAndLateReports(t *testing.T) {
 	for seed := range uint64(50) {
 		rng := rand.New(rand.NewPCG(seed, 1))
-		tally, passed := NewTally(), NewTally()
-		var words []struct {
+		tally, receiver := NewTally(), NewTally()
+		var reports []struct {
 			from Source
 			rows []Row
 		}
@@ -91,7 +90,7 @@
 		for range 60 {
 			from := Source{Node: string(rune('a' + rng.IntN(3))), Life: rng.Uint64N(2)}
 			truth[from] += rng.Uint64N(5)
-			words = append(words, struct {
+			reports = append(reports, struct {
 				from Source
 				rows []Row
 			}{from, []Row{{7, "x", truth[from]}}})
@@ -100,54 +99,54 @@
 		for _, count := range truth {
 			want += count
 		}
-		late := words[rng.IntN(len(words))]
-		for _, word := range words {
-			for range rng.IntN(3) { // lost, told, told twice
-				tally.Take(word.from, word.rows, time.Now())
+		lateReport := reports[rng.IntN(len(reports))]
+		for _, report := range reports {
+			for range rng.IntN(3) { // lost, delivered, or delivered twice
+				tally.Take(report.from, report.rows, time.Now())
 			}
 			if rng.IntN(4) == 0 {
-				passOn(tally, passed, false)
+				forward(tally, receiver, false)
 			}
 		}
 		for from, count := range truth {
 			tally.Take(from, []Row{{7, "x", count}}, time.Now())
 		}
-		tally.Take(late.from, late.rows, time.Now())
-		passOn(tally, passed, false)
+		tally.Take(lateReport.from, lateReport.rows, time.Now())
+		forward(tally, receiver, false)
 		require.Equal(t, want, tally.Sum(7).Total, "seed %d", seed)
-		require.Equal(t, want, passed.Sum(7).Total, "seed %d", seed)
-		fresh := NewTally()
-		passOn(tally, fresh, true)
-		require.Equal(t, tally.Sum(7).Counts, fresh.Sum(7).Counts, "all is told again")
+		require.Equal(t, want, receiver.Sum(7).Total, "seed %d", seed)
+		empty := NewTally()
+		forward(tally, empty, true)
+		require.Equal(t, tally.Sum(7).Counts, empty.Sum(7).Counts, "a full update contains everything")
 		require.Zero(t, tally.Sum(8).Rows)
 	}
 }
 
-func passOn(from, to *Tally, all bool) {
+func forward(from, to *Tally, all bool) {
 	for source, rows := range from.Changes(all) {
 		to.Take(source, rows, time.Now())
 	}
 }
 
-func TestTallyForgetsWhatIsClosed(t *testing.T) {
+func TestTallyRemovesClosedWindows(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		tally := NewTally()
 		from := Source{Node: "a", Life: 1}
 		tally.Take(from, []Row{{7, "x", 2}, {8, "x", 1}}, time.Now())
 		tally.Closed(7)
 		tally.Take(from, []Row{{7, "x", 9}}, time.Now())
-		require.Zero(t, tally.Sum(7).Total, "too late")
+		require.Zero(t, tally.Sum(7).Total, "window already closed")
 		require.EqualValues(t, 1, tally.Sum(8).Total)
 		time.Sleep(time.Minute)
 		tally.Forget(time.Now())
-		require.Equal(t, 1, tally.Sum(8).Nodes, "it has rows of an open window")
+		require.Equal(t, 1, tally.Sum(8).Nodes, "a source with rows of an open window is kept")
 		tally.Closed(8)
 		tally.Forget(time.Now())
-		require.Empty(t, tally.told)
+		require.Empty(t, tally.sources)
 	})
 }
 
-func TestTallyKnowsWhoFellSilent(t *testing.T) {
+func TestTallyCountsSilentNodes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		tally, began := NewTally(), time.Now()
 		tally.Take(Source{Node: "gone", Life: 1}, nil, began)
@@ -156,6 +155,6 @@
 		tally.Take(Source{Node: "anew", Life: 2}, nil, time.Now())
 		tally.Take(Source{Node: "there", Life: 1}, nil, time.Now())
 		require.Equal(t, 1, tally.Silent(began.Add(-time.Second), time.Now()))
-		require.Zero(t, tally.Silent(began, time.Now()), "silent for so long that nobody waits")
+		require.Zero(t, tally.Silent(began, time.Now()), "nodes silent for longer are not waited for")
 	})
 }
--- a/metering/tally.go
+++ b/metering/tally.go
@@ -2,71 +2,70 @@
 
 import "time"
 
-// Source names one life of a node.
+// Source identifies a process of a node.
 type Source struct {
 	Node string
-	Life uint64 // of its process
+	Life uint64 // identifies the process; changes with each restart
 }
 
-// Tally sums the rows that nodes tell. A row tells the sum since the node's
-// start, so one that comes twice, late or after others were lost does no harm.
-// It is not safe for concurrent use.
+// Tally sums the rows reported by nodes. Rows are cumulative per process, so
+// lost, late or duplicate ones do no harm. It is not safe for concurrent use.
 type Tally struct {
-	told    map[Source]*told
-	changed map[Source]map[key]struct{} // since they were passed on
+	sources map[Source]*sourceRows
+	changed map[Source]map[key]struct{} // changed since the last call of Changes
 	closed  Window
 }
 
-// told is what one life of a node has told.
-type told struct {
-	rows  map[key]uint64
-	heard time.Time
+// sourceRows holds the rows reported by one source.
+type sourceRows struct {
+	rows       map[key]uint64
+	lastReport time.Time
 }
 
-// NewTally returns a tally of nothing.
+// NewTally returns an empty tally.
 func NewTally() *Tally {
-	return &Tally{told: map[Source]*told{}, changed: map[Source]map[key]struct{}{}}
+	return &Tally{sources: map[Source]*sourceRows{}, changed: map[Source]map[key]struct{}{}}
 }
 
-// Take takes rows that a node told at a time of this process.
+// Take merges rows that a node reported at the given local time.
 func (t *Tally) Take(from Source, rows []Row, at time.Time) {
-	node := t.told[from]
+	node := t.sources[from]
 	if node == nil {
-		node = &told{rows: map[key]uint64{}}
-		t.told[from] = node
+		node = &sourceRows{rows: map[key]uint64{}}
+		t.sources[from] = node
 	}
-	node.heard = at
-	t.note(from)
+	node.lastReport = at
+	t.markHeard(from)
 	for _, row := range rows {
 		k := key{window: row.Window, account: row.Account}
 		if row.Window <= t.closed || row.Count <= node.rows[k] {
-			continue // too late, or overtaken by a newer word
+			continue // window closed, or row older than the known one
 		}
 		node.rows[k] = row.Count
 		t.changed[from][k] = struct{}{}
 	}
 }
 
-// note notes that a node was heard since the last call of Changes.
-func (t *Tally) note(from Source) {
+// markHeard records that a node reported since the last call of Changes.
+func (t *Tally) markHeard(from Source) {
 	if t.changed[from] == nil {
 		t.changed[from] = map[key]struct{}{}
 	}
 }
 
-// Sum is what all nodes told of a window.
+// Sum is the total of a window over all nodes.
 type Sum struct {
 	Counts Counts
 	Total  uint64
 	Rows   int
-	Nodes  int       // that told rows of it
-	Newest time.Time // when one of these last told anything
+	Nodes  int       // number of sources with rows in the window
+	Newest time.Time // time of the latest report of any of these
 }
 
 // Sum sums a window over all nodes.
 func (t *Tally) Sum(w Window) Sum {
 	sum := Sum{Counts: Counts{}}
-	for _, node := range t.told {
+	for _, node := range t.sources {
 		rows := 0
 		for k, count := range node.rows {
 			if k.window != w {
@@ -81,20 +80,20 @@
 			continue
 		}
 		sum.Nodes++
-		if node.heard.After(sum.Newest) {
-			sum.Newest = node.heard
+		if node.lastReport.After(sum.Newest) {
+			sum.Newest = node.lastReport
 		}
 	}
 	return sum
 }
 
-// Silent returns how many nodes were last heard between two times. A node that
-// has started anew is heard when its new life is.
+// Silent returns how many nodes reported last between since and until. A report
+// of a restarted process counts for its node.
 func (t *Tally) Silent(since, until time.Time) int {
 	newest := map[string]time.Time{}
-	for from, node := range t.told {
-		if node.heard.After(newest[from.Node]) {
-			newest[from.Node] = node.heard
+	for from, node := range t.sources {
+		if node.lastReport.After(newest[from.Node]) {
+			newest[from.Node] = node.lastReport
 		}
 	}
 	silent := 0
@@ -106,14 +105,14 @@
 	return silent
 }
 
-// Changes returns what has changed since the last call, or everything. A node
-// that had nothing new to tell is named without rows.
+// Changes returns the rows that changed since the last call, or all rows. A
+// source that reported nothing new is included without rows.
 func (t *Tally) Changes(all bool) map[Source][]Row {
 	changes := map[Source][]Row{}
 	for from := range t.changed {
 		changes[from] = nil
 	}
-	for from, node := range t.told {
+	for from, node := range t.sources {
 		for k, count := range node.rows {
 			if _, changed := t.changed[from][k]; changed || all {
 				changes[from] = append(changes[from], Row{Window: k.window, Account: k.account, Count: count})
@@ -124,13 +123,13 @@
 	return changes
 }
 
-// Closed forgets the windows up to one that the group has closed.
+// Closed removes the windows up to newest, which the group has closed.
 func (t *Tally) Closed(newest Window) {
 	if newest <= t.closed {
 		return
 	}
 	t.closed = newest
-	for from, node := range t.told {
+	for from, node := range t.sources {
 		for k := range node.rows {
 			if k.window <= newest {
 				delete(node.rows, k)
@@ -140,12 +139,12 @@
 	}
 }
 
-// Forget drops the nodes that have told nothing since a time and have no rows
-// of an open window.
+// Forget removes the sources that have not reported since before and have no
+// rows of an open window.
 func (t *Tally) Forget(before time.Time) {
-	for from, node := range t.told {
-		if len(node.rows) == 0 && node.heard.Before(before) {
-			delete(t.told, from)
+	for from, node := range t.sources {
+		if len(node.rows) == 0 && node.lastReport.Before(before) {
+			delete(t.sources, from)
 			delete(t.changed, from)
 		}
 	}
