--- a/groupclock/agreement.go
+++ b/groupclock/agreement.go
@@ -7,55 +7,56 @@
 )
 
 const (
-	// freshFor is how old a member's newest sample may be: three are asked
-	// for in that time.
-	freshFor = 3 * time.Second
-	// agreeWithin is how far apart good times of day are at most, beside what
-	// the way of the samples hides. Hosts that keep their clocks are closer by
-	// far, and a window of usage is far longer.
-	agreeWithin = 100 * time.Millisecond
+	// maxSampleAge is the maximum age of a member's newest sample; three are
+	// requested in that time.
+	maxSampleAge = 3 * time.Second
+	// maxDeviation is the maximum deviation of a correct clock from the median,
+	// in addition to the samples' error bounds. Synchronized hosts are much
+	// closer, and a usage window is much longer.
+	maxDeviation = 100 * time.Millisecond
 )
 
-// Agreement finds the time that most of the members' times of day agree on.
+// Agreement computes the time that a majority of the members' wall clocks agree
+// on.
 type Agreement struct {
 	steady  Steady
 	members map[string]*filter
 }
 
-// NewAgreement returns an agreement of nobody yet.
+// NewAgreement returns an agreement without samples.
 func NewAgreement(steady Steady) *Agreement {
 	return &Agreement{steady: steady, members: map[string]*filter{}}
 }
 
-// Steady reads the steady clock, to say when a question was asked.
+// Steady reads the monotonic clock, to record when a request is sent.
 func (a *Agreement) Steady() time.Duration { return a.steady() }
 
-// Heard takes a member's time of day, which came just now.
+// Heard adds a sample of a member's wall clock, unix, just received in reply to
+// a request sent at asked.
 func (a *Agreement) Heard(member string, unix, asked time.Duration) {
 	if a.members[member] == nil {
 		a.members[member] = &filter{}
 	}
-	a.members[member].add(measured(unix, asked, a.steady(), 0))
+	a.members[member].add(newSample(unix, asked, a.steady(), 0))
 }
 
-// Forget drops what was heard.
+// Forget drops all samples.
 func (a *Agreement) Forget() { clear(a.members) }
 
-// Result is what the members agree on.
+// Result is the outcome of an agreement.
 type Result struct {
-	Heard  int           // members that answered lately
-	Spread time.Duration // between the first and the last of their times
-	Agreed bool          // the rest holds
-	Within time.Duration // by how much the time may be off
+	Heard  int           // members with a recent sample
+	Spread time.Duration // between the earliest and the latest wall clock
+	Agreed bool          // whether enough members agree; otherwise the time is not usable
+	Within time.Duration // error bound of the time
 
 	at     time.Duration
 	offset time.Duration
 }
 
-// Result returns what the members agree on: the median of those that were
-// heard lately. It needs a majority of a group of so many, and most of those
-// heard must be close to the median, so that clocks that were set never
-// decide by themselves.
+// Result returns the median of the recent samples. Agreement requires recent
+// samples of a majority of the group, most of them close to the median, so that
+// a minority of wrong clocks cannot change the time.
 func (a *Agreement) Result(group int) Result {
 	now := a.steady()
 	fresh := a.fresh(now)
@@ -68,7 +69,7 @@
 	r.offset, r.Within = median.offset, median.withinAt(now)
 	agree := 0
 	for _, s := range fresh {
-		if (s.offset - median.offset).Abs() <= agreeWithin+s.withinAt(now)+r.Within {
+		if (s.offset - median.offset).Abs() <= maxDeviation+s.withinAt(now)+r.Within {
 			agree++
 		}
 	}
@@ -76,13 +77,13 @@
 	return r
 }
 
-// fresh returns the best sample of each member that was heard lately, in the
-// order of their times.
+// fresh returns the best sample of each member with a recent one, sorted by
+// offset.
 func (a *Agreement) fresh(now time.Duration) []sample {
 	var fresh []sample
 	for _, f := range a.members {
 		newest := f.samples[len(f.samples)-1]
-		if now-newest.at > freshFor {
+		if now-newest.at > maxSampleAge {
 			continue
 		}
 		best, _ := f.best(now)
@@ -92,10 +93,10 @@
 	return fresh
 }
 
-// Agreed takes the time that the members agree on, on the member that asked
-// them. It shares the agreement's steady clock.
+// Agreed sets the time from a result, on the member that computed it. Both use
+// the same monotonic clock.
 func (f *Follower) Agreed(r Result) {
 	if r.Agreed {
-		f.take(sample{at: r.at, offset: r.offset, within: r.Within})
+		f.addSample(sample{at: r.at, offset: r.offset, within: r.Within})
 	}
 }
--- a/groupclock/follower.go
+++ b/groupclock/follower.go
@@ -7,48 +7,49 @@
 	"github.com/walnutramp/walnutramp/internal/uptime"
 )
 
-// Steady reads a clock that is never set: the time since any fixed moment.
+// Steady reads a monotonic clock, as the time since an arbitrary fixed moment.
 type Steady func() time.Duration
 
-// NewSteady returns the steady clock of this process.
+// NewSteady returns the monotonic clock of this process, which includes time
+// suspended.
 func NewSteady() Steady {
 	began := uptime.Now()
 	return func() time.Duration { return uptime.Since(began) }
 }
 
-// Stamp is the group's time as an answer carries it.
+// Stamp is the group time as carried in a reply.
 type Stamp struct {
-	Unix   time.Duration // since the start of 1970
-	Within time.Duration // by how much it may be off
-	Held   time.Duration // between the question and the reading of the clock
+	Unix   time.Duration // since the Unix epoch
+	Within time.Duration // error bound
+	Held   time.Duration // time between receiving the request and reading the clock
 }
 
-// Follower keeps the group's time by a steady clock between the stamps that
-// it hears. It implements Clock.
+// Follower extrapolates the group time from received stamps with a monotonic
+// clock. It implements Clock.
 type Follower struct {
 	steady Steady
 
-	mu    sync.Mutex
-	heard filter
+	mu      sync.Mutex
+	samples filter
 }
 
-// NewFollower returns a clock that does not know the time yet.
+// NewFollower returns a clock without a known time.
 func NewFollower(steady Steady) *Follower { return &Follower{steady: steady} }
 
-// Steady reads the steady clock, to say when a question was asked.
+// Steady reads the monotonic clock, to record when a request is sent.
 func (f *Follower) Steady() time.Duration { return f.steady() }
 
-// Heard takes the stamp of an answer that came just now.
+// Heard adds the stamp of a reply just received to a request sent at asked.
 func (f *Follower) Heard(s Stamp, asked time.Duration) {
-	heard := measured(s.Unix, asked, f.steady(), s.Held)
-	heard.within += s.Within
-	f.take(heard)
+	received := newSample(s.Unix, asked, f.steady(), s.Held)
+	received.within += s.Within
+	f.addSample(received)
 }
 
-func (f *Follower) take(s sample) {
+func (f *Follower) addSample(s sample) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.heard.add(s)
+	f.samples.add(s)
 }
 
 // Now implements Clock.
@@ -56,15 +57,15 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	steady := f.steady()
-	best, known := f.heard.best(steady)
+	best, known := f.samples.best(steady)
 	if !known {
 		return time.Time{}, 0, false
 	}
 	return time.Unix(0, int64(best.offset+steady)).UTC(), best.withinAt(steady), true
 }
 
-// Stamp returns the time for an answer to a question that came a while ago;
-// nil while it is not known.
+// Stamp returns the stamp for a reply to a request that was received held ago;
+// nil while the time is unknown.
 func (f *Follower) Stamp(held time.Duration) *Stamp {
 	now, within, known := f.Now()
 	if !known {
