--- a/keys/keys.go
+++ b/keys/keys.go
@@ -1,6 +1,6 @@
-// Package keys makes a site's keys: an authority of its own and, for each
-// node, a certificate that names it, so that nodes take calls from each other
-// and from nobody else.
+// Package keys generates and loads a site's TLS credentials: a certificate
+// authority, and a certificate and key for each node. Nodes authenticate each
+// other by mutual TLS and reject all other peers.
 package keys
 
 import (
@@ -20,18 +20,19 @@
 	"github.com/walnutramp/walnutramp"
 )
 
-// Files in a folder of keys; a node's are named after it.
+// File names in a key directory; a node's files are named after it.
 const (
 	authorityFile = "site.crt"
 	certSuffix    = ".crt"
 	keySuffix     = ".key"
 )
 
-// validity is how long certificates are good.
+// validity is the lifetime of certificates.
 const validity = 2 * 365 * 24 * time.Hour
 
-// MakeSite writes an authority and a certificate and key for each node into
-// dir. The authority's own key is not kept: a site that grows makes new keys.
+// MakeSite creates a certificate authority, and a certificate and key for each
+// node, in dir. The authority's private key is discarded: adding nodes to a
+// site requires a new set of keys.
 func MakeSite(dir, site string, nodes []walnutramp.NodeName) error {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return err
@@ -40,7 +41,7 @@
 	if err != nil {
 		return err
 	}
-	authority := certificate(site, site)
+	authority := certificateTemplate(site, site)
 	authority.IsCA = true
 	authority.BasicConstraintsValid = true
 	authority.KeyUsage = x509.KeyUsageCertSign
@@ -52,14 +53,14 @@
 		return err
 	}
 	for _, n := range nodes {
-		if err := makeNode(dir, site, n, authority, authorityKey); err != nil {
+		if err := makeNodeKeys(dir, site, n, authority, authorityKey); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func certificate(site, name string) *x509.Certificate {
+func certificateTemplate(site, name string) *x509.Certificate {
 	serial, err := rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), 120))
 	if err != nil {
 		serial = big.NewInt(time.Now().UnixNano())
@@ -75,12 +76,12 @@
 	}
 }
 
-func makeNode(dir, site string, node walnutramp.NodeName, authority *x509.Certificate, authorityKey *ecdsa.PrivateKey) error {
+func makeNodeKeys(dir, site string, node walnutramp.NodeName, authority *x509.Certificate, authorityKey *ecdsa.PrivateKey) error {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
 		return err
 	}
-	der, err := x509.CreateCertificate(rand.Reader, certificate(site, string(node)), authority, key.Public(), authorityKey)
+	der, err := x509.CreateCertificate(rand.Reader, certificateTemplate(site, string(node)), authority, key.Public(), authorityKey)
 	if err != nil {
 		return err
 	}
@@ -99,8 +100,9 @@
 	return os.WriteFile(file, pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: der}), mode)
 }
 
-// Load reads a node's keys from dir, for both ends of a connection: either
-// end must hold a certificate of the site's authority.
+// Load returns a TLS configuration for both ends of a connection between nodes,
+// with the node's credentials from dir. Both ends must present a certificate of
+// the site's authority.
 func Load(dir string, node walnutramp.NodeName) (*tls.Config, error) {
 	base := filepath.Join(dir, string(node))
 	cert, err := tls.LoadX509KeyPair(base+certSuffix, base+keySuffix)
@@ -113,7 +115,7 @@
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(authority) {
-		return nil, errors.Newf("%s holds no certificate", authorityFile)
+		return nil, errors.Newf("%s contains no valid certificate", authorityFile)
 	}
 	return &tls.Config{
 		Certificates: []tls.Certificate{cert},
