--- a/bundle/bundle_test.go
+++ b/bundle/bundle_test.go
@@ -11,8 +11,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestValidationErrors reads case files: a document, a divider line, and the expected
-// validation errors, one per line.
+// TestValidationErrors reads case files: a document, a divider line, and the
+// expected validation errors, one per line.
 func TestValidationErrors(t *testing.T) {
 	files, err := filepath.Glob("testdata/mistakes/*.txt")
 	require.NoError(t, err)
--- a/consensus/member.go
+++ b/consensus/member.go
@@ -151,8 +151,8 @@
 	m.store.log.Close()
 }
 
-// notifyChanged wakes all goroutines that wait for a state change. The caller holds
-// m.mu.
+// notifyChanged wakes all goroutines that wait for a state change. The caller
+// holds m.mu.
 func (m *Member) notifyChanged() {
 	close(m.changed)
 	m.changed = make(chan struct{})
--- a/consensus/parts.go
+++ b/consensus/parts.go
@@ -52,7 +52,8 @@
 	received int // number of bytes that the follower holds
 }
 
-// fitEntries returns the leading entries that fit into limit bytes, at least one.
+// fitEntries returns the leading entries that fit into limit bytes, at least
+// one.
 func fitEntries(entries []Entry, limit int) []Entry {
 	size := 0
 	for i, e := range entries {
@@ -75,8 +76,8 @@
 	return &snap
 }
 
-// nextPart replaces a payload that is too large for one call by its next part. The
-// caller holds m.mu.
+// nextPart replaces a payload that is too large for one call by its next part.
+// The caller holds m.mu.
 func (m *Member) nextPart(p *progress, args AppendArgs) AppendArgs {
 	full := payload{Entries: args.Entries, Snapshot: args.Snapshot}
 	if full.size() <= m.cfg.CallBytes {
--- a/quarantine/judge.go
+++ b/quarantine/judge.go
@@ -42,8 +42,8 @@
 	return sum
 }
 
-// countedCrashes returns the crashes that count. Crashes with a common cause, such as
-// the loss of a data hall, count once.
+// countedCrashes returns the crashes that count. Crashes with a common cause,
+// such as the loss of a data hall, count once.
 func (r *record) countedCrashes(now time.Time) []crash {
 	var distinct []crash
 	for _, e := range r.crashes {
--- a/quarantine/ledger.go
+++ b/quarantine/ledger.go
@@ -77,8 +77,8 @@
 	l.notify(held, true)
 }
 
-// sentAfterKnownCrashes reports whether a run was sent after all known crashes of its
-// content. The caller holds l.mu.
+// sentAfterKnownCrashes reports whether a run was sent after all known crashes
+// of its content. The caller holds l.mu.
 func (l *Ledger) sentAfterKnownCrashes(n Note, now time.Time) bool {
 	r := l.records[n.Content]
 	return r == nil || len(r.crashes) == 0 || !r.crashes[len(r.crashes)-1].at.After(now.Add(-n.Age-n.Ran))
@@ -148,8 +148,9 @@
 	return max(since.Add(retention).Sub(now), time.Second), true
 }
 
-// DecisionDelay returns how long to wait for notes of other nodes before a content
-// that local evidence would quarantine is quarantined; 0 for any other content.
+// DecisionDelay returns how long to wait for notes of other nodes before a
+// content that local evidence would quarantine is quarantined; 0 for any other
+// content.
 func (l *Ledger) DecisionDelay(content Fingerprint) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -251,8 +252,8 @@
 	}
 }
 
-// insert inserts a crash unless it is known; a higher standing replaces the known
-// one.
+// insert inserts a crash unless it is known; a higher standing replaces the
+// known one.
 func (l *Ledger) insert(content Fingerprint, r *record, e crash) bool {
 	for i := range r.crashes {
 		if r.crashes[i].same(e) {
--- a/quarantine/news.go
+++ b/quarantine/news.go
@@ -66,8 +66,8 @@
 	return l.severeNotes(l.cfg.Now())
 }
 
-// severeNotes returns the crashes of contents that are quarantined or close to it, at
-// most maxRepeated of the newest. The caller holds l.mu.
+// severeNotes returns the crashes of contents that are quarantined or close to
+// it, at most maxRepeated of the newest. The caller holds l.mu.
 func (l *Ledger) severeNotes(now time.Time) []Note {
 	var notes []Note
 	for content, r := range l.records {
--- a/quarantine/witness.go
+++ b/quarantine/witness.go
@@ -97,7 +97,8 @@
 	return probe
 }
 
-// endsTargetsMessage is the error message for callers whose request is quarantined.
+// endsTargetsMessage is the error message for callers whose request is
+// quarantined.
 const endsTargetsMessage = "targets end when they run this request"
 
 // Refuse returns the error for a new request whose content is quarantined, with
