--- a/route/route.go
+++ b/route/route.go
@@ -235,7 +235,7 @@
 	defer r.mu.Unlock()
 	if !req.Resume && r.cfg.InForce != nil && !r.cfg.InForce() {
 		return nil, nil, walnutramp.NewError(walnutramp.CodeNotInForce, walnutramp.NotRun,
-			"node cannot confirm that its bundle is in force").WithRetryAfter(retryAfterNoTarget)
+			"this node can't confirm its bundle now").WithRetryAfter(retryAfterNoTarget)
 	}
 	if len(r.live(req.Model, time.Now())) == 0 {
 		return nil, nil, r.noTargetError(req.Model)
