--- a/control/calls.go
+++ b/control/calls.go
@@ -13,54 +13,56 @@
 	"k8s.io/klog/v2"
 )
 
-// do sends a command until a leader has answered or time is up. The command
-// may be sent more than once, so it must bear that.
+// do sends a command to the leader and retries until it is answered or
+// commandTimeout passes. A command may be applied more than once, so it must be
+// idempotent.
 func (c *Client) do(ctx context.Context, method string, args any) (Result, *walnutramp.Error) {
-	return c.doWithin(ctx, tryTime, method, args)
+	return c.doWithTimeout(ctx, attemptTimeout, method, args)
 }
 
-// doWithin is do with the time of one try.
-func (c *Client) doWithin(ctx context.Context, try time.Duration, method string, args any) (Result, *walnutramp.Error) {
-	r, _, err := c.doRepeating(ctx, try, method, args)
+// doWithTimeout is do with a timeout for each attempt.
+func (c *Client) doWithTimeout(ctx context.Context, timeout time.Duration, method string, args any) (Result, *walnutramp.Error) {
+	r, _, err := c.doReportingRetry(ctx, timeout, method, args)
 	return r, err
 }
 
-// doRepeating is doWithin, and reports whether a try brought no answer before: what
-// was answered at last may be to a repeat of what was done by then.
-func (c *Client) doRepeating(ctx context.Context, try time.Duration, method string, args any) (r Result, repeated bool, _ *walnutramp.Error) {
-	ctx, cancel := context.WithTimeout(ctx, commandTime)
+// doReportingRetry is doWithTimeout and also reports whether an earlier attempt got
+// no answer: the result may then be that of a command applied twice.
+func (c *Client) doReportingRetry(ctx context.Context, timeout time.Duration, method string, args any) (r Result, retried bool, _ *walnutramp.Error) {
+	ctx, cancel := context.WithTimeout(ctx, commandTimeout)
 	defer cancel()
 	for {
 		var reply DoReply
-		tryCtx, cancelTry := context.WithTimeout(ctx, try)
-		err := c.peers.Call(tryCtx, c.target(), Service+method, args, &reply)
-		cancelTry()
+		attemptCtx, cancelAttempt := context.WithTimeout(ctx, timeout)
+		err := c.peers.Call(attemptCtx, c.target(), Service+method, args, &reply)
+		cancelAttempt()
 		switch {
 		case err != nil:
-			c.forgetLeader("")
-			repeated = true
+			c.dropLeader("")
+			retried = true
 		case reply.Code == walnutramp.CodeOK:
-			return reply.Result, repeated, nil
+			return reply.Result, retried, nil
 		case reply.Code.Final():
-			return Result{}, repeated, walnutramp.NewError(reply.Code, walnutramp.NotRun, "%s", reply.Code.Info().Text)
+			return Result{}, retried, walnutramp.NewError(reply.Code, walnutramp.NotRun, "%s", reply.Code.Info().Text)
 		default:
-			c.forgetLeader(reply.Leader)
+			c.dropLeader(reply.Leader)
 		}
-		if !pause.For(ctx, tryPause) {
-			return Result{}, repeated, walnutramp.NewError(walnutramp.CodeLedgerAway, walnutramp.NotRun,
-				"the control group did not answer in %v", commandTime).WithRetryAfter(time.Second)
+		if !pause.For(ctx, retryDelay) {
+			return Result{}, retried, walnutramp.NewError(walnutramp.CodeLedgerAway, walnutramp.NotRun,
+				"the control group did not answer in %v", commandTimeout).WithRetryAfter(time.Second)
 		}
 	}
 }
 
-// Claim implements caller.Ledger. Where it fails the claim may yet stand, so
-// it is settled as not run in the background: this node never sends it.
+// Claim implements caller.Ledger. If the call fails, the claim may still be
+// recorded. It is then settled as not run in the background, since this node never
+// sends the request.
 func (c *Client) Claim(ctx context.Context, claim caller.Claim) (caller.Held, error) {
 	token := rand.Uint64()
 	cmd := Command{Claim: &Claim{Account: claim.Account, Key: claim.Key, Digest: claim.Digest, Token: token}}
 	r, err := c.do(ctx, ".Do", DoArgs{Command: cmd})
 	if err != nil {
-		c.disclaim(claim, token)
+		c.abandonClaim(claim, token)
 		return caller.Held{}, err
 	}
 	return caller.Held{
@@ -69,8 +71,8 @@
 	}, nil
 }
 
-// disclaim records in the background that a claim was not sent.
-func (c *Client) disclaim(claim caller.Claim, token uint64) {
+// abandonClaim records in the background that the claimed request was not sent.
+func (c *Client) abandonClaim(claim caller.Claim, token uint64) {
 	if c.ctx.Err() != nil {
 		return
 	}
@@ -78,7 +80,7 @@
 	go func() {
 		defer c.tasks.Done()
 		if err := c.Settle(c.ctx, claim, token, walnutramp.NotRun, target.Answer{}); err != nil {
-			klog.V(1).InfoS("Claim left open", "account", claim.Account, "err", err)
+			klog.V(1).InfoS("Failed to settle abandoned claim", "account", claim.Account, "err", err)
 		}
 	}()
 }
@@ -92,52 +94,52 @@
 	return nil
 }
 
-// Offer hands a document to the group of a site that asks for no signature.
-// What it holds must have been checked.
+// Offer submits a document to the group of a site without signatures. The caller
+// must have validated it.
 func (c *Client) Offer(ctx context.Context, version uint64, doc []byte) (Result, error) {
 	sub := newSubmit(version, "operator", doc)
-	try := tryTime + time.Duration(len(sub.Packed))*time.Second/offerRate
-	r, err := c.doWithin(ctx, try, ".Offer", OfferArgs{Submit: sub})
+	timeout := attemptTimeout + time.Duration(len(sub.Packed))*time.Second/minOfferRate
+	r, err := c.doWithTimeout(ctx, timeout, ".Offer", OfferArgs{Submit: sub})
 	if err != nil {
 		return Result{}, err
 	}
 	return r, nil
 }
 
-// Newest returns the newest document of the group, as its leader had it
-// confirmed by a majority after this call; false if none could confirm it.
+// Newest returns the group's newest document, confirmed by the leader with a
+// majority after the call began. ok is false if no leader confirmed it in time.
 func (c *Client) Newest(ctx context.Context) (version uint64, doc []byte, ok bool) {
-	ctx, cancel := context.WithTimeout(ctx, commandTime)
+	ctx, cancel := context.WithTimeout(ctx, commandTimeout)
 	defer cancel()
 	for {
 		var reply NewestReply
 		node := c.target()
-		tryCtx, cancelTry := context.WithTimeout(ctx, tryTime)
-		err := c.peers.Call(tryCtx, node, Service+".Newest", NewestArgs{}, &reply)
-		cancelTry()
+		attemptCtx, cancelAttempt := context.WithTimeout(ctx, attemptTimeout)
+		err := c.peers.Call(attemptCtx, node, Service+".Newest", NewestArgs{}, &reply)
+		cancelAttempt()
 		if err == nil && reply.Code == walnutramp.CodeOK {
-			if doc, err = c.confirmed(ctx, node, &reply); err == nil {
+			if doc, err = c.confirmedDocument(ctx, node, &reply); err == nil {
 				return reply.Version, doc, true
 			}
-			klog.InfoS("Configuration not read whole", "node", node, "version", reply.Version, "err", err)
+			klog.InfoS("Failed to read configuration", "node", node, "version", reply.Version, "err", err)
 		}
-		c.forgetLeader(reply.Leader)
-		if !pause.For(ctx, tryPause) {
+		c.dropLeader(reply.Leader)
+		if !pause.For(ctx, retryDelay) {
 			return 0, nil, false
 		}
 	}
 }
 
-// confirmed returns the document of an answer to a node that holds none; nil
-// before the first.
-func (c *Client) confirmed(ctx context.Context, node walnutramp.NodeName, r *NewestReply) ([]byte, error) {
+// confirmedDocument returns the document of a reply to a client that holds none;
+// nil before the first document.
+func (c *Client) confirmedDocument(ctx context.Context, node walnutramp.NodeName, r *NewestReply) ([]byte, error) {
 	if r.Version == 0 {
 		return nil, nil
 	}
 	return c.document(ctx, node, 0, nil, r)
 }
 
-// Submit offers a signed bundle to the group.
+// Submit submits a signed bundle to the group.
 func (c *Client) Submit(ctx context.Context, doc []byte, s bundle.Signature) (Result, error) {
 	r, err := c.do(ctx, ".Submit", SubmitArgs{Doc: doc, Signature: s})
 	if err != nil {
@@ -146,9 +148,9 @@
 	return r, nil
 }
 
-// History returns the accepted bundles from a member that answers.
+// History returns the accepted bundles from the first member that answers.
 func (c *Client) History(ctx context.Context) (HistoryReply, error) {
-	ctx, cancel := context.WithTimeout(ctx, commandTime)
+	ctx, cancel := context.WithTimeout(ctx, commandTimeout)
 	defer cancel()
 	for {
 		var r HistoryReply
@@ -156,8 +158,8 @@
 		if err == nil {
 			return r, nil
 		}
-		c.forgetLeader("")
-		if !pause.For(ctx, tryPause) {
+		c.dropLeader("")
+		if !pause.For(ctx, retryDelay) {
 			return HistoryReply{}, err
 		}
 	}
--- a/control/client.go
+++ b/control/client.go
@@ -19,60 +19,60 @@
 	"k8s.io/klog/v2"
 )
 
-// Peers calls other nodes, and this one where it is a member itself.
+// Peers calls other nodes, and this one if it is a member itself.
 type Peers interface {
 	// Call runs a method of a node's service and fills reply.
 	Call(ctx context.Context, node walnutramp.NodeName, method string, args, reply any) error
 }
 
-// Times of a node's dealings with the control group.
+// Timeouts, intervals and rates of calls to the control group.
 const (
-	renewWait   = 1 * time.Second // how long the leader may wait for news
-	renewLimit  = 2500 * time.Millisecond
-	renewPause  = 100 * time.Millisecond
-	firstWait   = 300 * time.Millisecond // while the node holds nothing, and nobody else does
-	firstPause  = 30 * time.Millisecond  // while the node holds nothing
-	answerLimit = 600 * time.Millisecond // beyond the leader's wait, where members change
-	commandTime = 3 * time.Second        // until a command is given up
-	tryTime     = 1 * time.Second        // of one call of a command
-	tryPause    = 50 * time.Millisecond
-	offerRate   = 1 << 20 // bytes a second at which a document is at least taken and agreed on: a link of 100 Mbit/s to seven followers gives 1.7 MB/s
+	renewLongPoll     = 1 * time.Second // how long the leader may hold a request until something changes
+	renewTimeout      = 2500 * time.Millisecond
+	renewRetryDelay   = 100 * time.Millisecond
+	initialLongPoll   = 300 * time.Millisecond // instead of renewLongPoll while the node holds no document
+	initialRetryDelay = 30 * time.Millisecond  // instead of renewRetryDelay while the node holds no document
+	responseTimeout   = 600 * time.Millisecond // on top of the long poll, if members change
+	commandTimeout    = 3 * time.Second        // of a command with all its attempts
+	attemptTimeout    = 1 * time.Second        // of one attempt
+	retryDelay        = 50 * time.Millisecond
+	minOfferRate      = 1 << 20 // bytes per second at which a document is at least transferred and replicated
 
-	// LeaseTime is how long a node may take new work after it asked for the
-	// word that its bundle is the newest.
+	// LeaseTime is how long a node may accept new requests after it asked the leader to
+	// confirm that its bundle is the newest.
 	LeaseTime = 3 * time.Second
 )
 
-// Client is a node's way to the control group. It keeps the newest bundle
-// with its lease, and implements caller.Ledger.
+// Client is a node's client of the control group. It keeps the newest bundle and
+// its lease, and implements caller.Ledger.
 type Client struct {
-	peers       Peers
-	adopt       AdoptFunc
-	entry       EntryPlace   // this node among the entries; without an address if it is none
-	seen        SeenFunc     // is told the entries
-	entries     []EntryPlace // as last told
-	entriesHeld uint64       // their version
-	fed         FedFunc      // is told the leader's list of targets
-	held        uint64       // version of that list
-	fast        bool         // nodes of the group come and go, so silence is given up on early
-	whole       bool         // the change to the newest document did not fit: the whole is asked for
-	contact     contact
-	agent       *rollout.Agent       // of roll-outs; nil for none
-	clock       *groupclock.Follower // of the group's time; nil for none
-	usage       *metering.Counter    // of requests; nil for none
-	demand      DemandSource         // of services; nil for none
-	quota       *quota.Holder        // of this node's part of the bound on repeats; nil for none
-	life        uint64               // names this process
+	peers             Peers
+	adopt             AdoptFunc
+	self              EntryPlace   // this node as an entry node; without an address if it is none
+	onEntryNodes      SeenFunc     // receives the directory of entry nodes
+	entryNodes        []EntryPlace // as last received
+	entryNodesVersion uint64       // version of entryNodes; 0 requests all of them
+	onTargets         TargetsFunc  // receives the target list
+	targetsVersion    uint64       // version of the target list; 0 requests the full list
+	dynamicMembers    bool         // members change, so timeouts are short
+	needFull          bool         // an update did not apply: request the full document
+	contact           contactMonitor
+	agent             *rollout.Agent       // of roll-outs; nil if unused
+	clock             *groupclock.Follower // of the group's time; nil if unused
+	usage             *metering.Counter    // of requests; nil if unused
+	demand            DemandSource         // of services; nil if unused
+	quota             *quota.Holder        // of this node's share of the retry budget; nil if unused
+	incarnation       uint64               // identifies this process
 
-	mu     sync.Mutex
-	seeds  []walnutramp.NodeName // always asked, whoever the members are
-	group  []walnutramp.NodeName // as last heard
-	leader walnutramp.NodeName   // last known, or empty
-	missed walnutramp.NodeName   // who was asked in vain last
-	doc    []byte
-	have   uint64
-	until  time.Time           // end of the lease
-	near   walnutramp.NodeName // member that takes this node's reports; empty for any
+	mu           sync.Mutex
+	seeds        []walnutramp.NodeName // contacted regardless of membership
+	group        []walnutramp.NodeName // as last received
+	leader       walnutramp.NodeName   // leader or relay as last known; empty if unknown
+	lastFailed   walnutramp.NodeName   // node that was asked last without success
+	doc          []byte
+	version      uint64
+	leaseEnd     time.Time
+	reportMember walnutramp.NodeName // member that takes this node's reports; empty for any
 
 	ctx    context.Context
 	cancel context.CancelFunc
@@ -82,7 +82,7 @@
 // AdoptFunc puts a document in force that is newer than all before it.
 type AdoptFunc func(version uint64, doc []byte) error
 
-// NewClient returns a client of a group of fixed members; inForce is told of
+// NewClient returns a client of a group with fixed members. inForce is called with
 // every bundle that comes into force.
 func NewClient(peers Peers, members []walnutramp.NodeName, inForce func(*bundle.Bundle)) *Client {
 	return newClient(peers, members, func(_ uint64, doc []byte) error {
@@ -94,137 +94,137 @@
 	})
 }
 
-// NewDocumentClient returns a client of a group whose members change, on a
-// site whose documents are not bundles. It learns the members from the seeds.
+// NewDocumentClient returns a client of a group whose members change, on a site
+// whose documents are not bundles. It discovers the members through the seeds.
 func NewDocumentClient(peers Peers, seeds []walnutramp.NodeName, adopt AdoptFunc) *Client {
 	c := newClient(peers, seeds, adopt)
-	c.fast = true
+	c.dynamicMembers = true
 	return c
 }
 
 func newClient(peers Peers, seeds []walnutramp.NodeName, adopt AdoptFunc) *Client {
-	c := &Client{peers: peers, seeds: seeds, adopt: adopt, life: rand.Uint64() | 1}
+	c := &Client{peers: peers, seeds: seeds, adopt: adopt, incarnation: rand.Uint64() | 1}
 	c.ctx, c.cancel = context.WithCancel(context.Background())
 	return c
 }
 
-// SetSeeds replaces the nodes that are always asked.
+// SetSeeds replaces the seeds, which are contacted regardless of membership.
 func (c *Client) SetSeeds(seeds []walnutramp.NodeName) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.seeds = seeds
 }
 
-// Start begins renewing the lease; Close ends it.
+// Start starts renewing the lease and sending reports; Close stops both.
 func (c *Client) Start() {
 	c.tasks.Add(1)
 	go func() {
 		defer c.tasks.Done()
-		c.renewAlways()
+		c.renewLoop()
 	}()
 	if c.agent != nil {
-		c.tasks.Go(c.reportAlways)
+		c.tasks.Go(c.rolloutReportLoop)
 	}
-	if c.tells() {
-		c.tasks.Go(c.tellAlways)
+	if c.hasReports() {
+		c.tasks.Go(c.reportUsageLoop)
 	}
 }
 
-// Close ends renewing and every side job.
+// Close stops all background tasks and waits for them.
 func (c *Client) Close() {
 	c.cancel()
 	c.tasks.Wait()
 }
 
-// InForce reports whether the node holds the lease: it may take new work.
+// InForce reports whether the node holds the lease and may accept new requests.
 func (c *Client) InForce() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return uptime.Now().Before(c.until)
+	return uptime.Now().Before(c.leaseEnd)
 }
 
-// Version returns the version in force here; 0 before the first.
+// Version returns the version of the document in force; 0 before the first.
 func (c *Client) Version() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.have
+	return c.version
 }
 
-func (c *Client) renewAlways() {
+func (c *Client) renewLoop() {
 	for c.ctx.Err() == nil {
 		if !c.renew() {
-			pause.For(c.ctx, c.renewPause())
+			pause.For(c.ctx, c.renewDelay())
 		}
 	}
 }
 
-func (c *Client) renewPause() time.Duration {
-	if c.fast && c.Version() == 0 {
-		return firstPause
+func (c *Client) renewDelay() time.Duration {
+	if c.dynamicMembers && c.Version() == 0 {
+		return initialRetryDelay
 	}
-	return renewPause
+	return renewRetryDelay
 }
 
-// renew asks the leader once. The lease counts from before the question, so
-// the time that the leader waits for news shortens it.
+// renew asks the leader once. The lease starts when the request is sent, so the
+// time that the leader holds the request counts against it.
 func (c *Client) renew() bool {
-	wait, limit := renewWait, renewLimit
+	longPoll, timeout := renewLongPoll, renewTimeout
 	if !c.InForce() {
-		wait = 0
+		longPoll = 0
 	}
-	if c.fast && c.Version() == 0 {
-		wait = firstWait
+	if c.dynamicMembers && c.Version() == 0 {
+		longPoll = initialLongPoll
 	}
-	if c.fast {
-		limit = wait + answerLimit
+	if c.dynamicMembers {
+		timeout = longPoll + responseTimeout
 	}
-	ctx, cancel := context.WithTimeout(c.ctx, limit)
+	ctx, cancel := context.WithTimeout(c.ctx, timeout)
 	defer cancel()
-	asked := uptime.Now()
+	askedAt := uptime.Now()
 	var reply NewestReply
-	args := c.question(wait)
+	args := c.newestArgs(longPoll)
 	node := c.target()
 	if err := c.peers.Call(ctx, node, Service+".Newest", args, &reply); err != nil {
-		c.contact.failed(node, args.Have, asked, err)
-		c.forgetLeader("")
+		c.contact.recordFailure(node, args.Have, askedAt, err)
+		c.dropLeader("")
 		return false
 	}
 	c.LearnGroup(reply.Group)
-	c.takeTime(reply.Time, asked)
-	c.takeEntries(&reply)
+	c.observeTime(reply.Time, askedAt)
+	c.applyEntryNodes(&reply)
 	if reply.Code != walnutramp.CodeOK {
-		c.contact.failed(node, args.Have, asked, errors.Newf("answered with %v", reply.Code))
-		c.forgetLeader(reply.Leader)
+		c.contact.recordFailure(node, args.Have, askedAt, errors.Newf("answered with %v", reply.Code))
+		c.dropLeader(reply.Leader)
 		return false
 	}
-	c.contact.heard(node, reply.Version)
-	c.takeNear(reply.Near)
-	c.takeShare(reply.Share, asked)
-	c.takeVersions(reply.Versions)
-	if err := reply.Roster.readWhole(c.ctx, c.peers, node, reply.Source); err != nil {
-		klog.ErrorS(err, "List of targets not read", "asked", node)
+	c.contact.recordAnswer(node, reply.Version)
+	c.setNearMember(reply.Near)
+	c.applyShare(reply.Share, askedAt)
+	c.applyVersions(reply.Versions)
+	if err := reply.Roster.readFull(c.ctx, c.peers, node, reply.Source); err != nil {
+		klog.ErrorS(err, "Failed to read target list", "asked", node)
 	} else {
-		c.takeRoster(reply.Roster)
+		c.applyTargets(reply.Roster)
 	}
-	taken := c.take(node, args.Have, &reply, asked.Add(-reply.Age))
+	adopted := c.applyNewest(node, args.Have, &reply, askedAt.Add(-reply.Age))
 	if reply.Unconfirmed {
-		c.forgetLeader(reply.Leader)
+		c.dropLeader(reply.Leader)
 		return false
 	}
 	if reply.Relay != "" {
-		c.askNext(reply.Relay)
+		c.setLeader(reply.Relay)
 	}
-	return taken
+	return adopted
 }
 
-// question asks for what this node does not hold yet.
-func (c *Client) question(wait time.Duration) NewestArgs {
+// newestArgs requests what this node does not hold yet.
+func (c *Client) newestArgs(longPoll time.Duration) NewestArgs {
 	have := c.Version()
 	args := NewestArgs{
-		Have: have, Wait: wait, Unconfirmed: c.fast && (have == 0 || c.lacksTargets()),
-		Entry: c.entry.Address, Life: c.life, Entries: c.entriesHeld, Directory: true, Disk: c.entry.Disk, Roster: c.held, DataHall: c.entry.DataHall,
+		Have: have, Wait: longPoll, Unconfirmed: c.dynamicMembers && (have == 0 || c.needsTargets()),
+		Entry: c.self.Address, Life: c.incarnation, Entries: c.entryNodesVersion, Directory: true, Disk: c.self.Disk, Roster: c.targetsVersion, DataHall: c.self.DataHall,
 	}
-	if c.whole {
+	if c.needFull {
 		args.Have = 0
 	}
 	args.Versions = anyVersions
@@ -234,18 +234,18 @@
 	return args
 }
 
-// lacksTargets reports whether the node was told no list of targets yet, where it is told
-// one.
-func (c *Client) lacksTargets() bool { return c.fed != nil && c.held == 0 }
+// needsTargets reports whether the client takes the target list but has not
+// received one.
+func (c *Client) needsTargets() bool { return c.onTargets != nil && c.targetsVersion == 0 }
 
-// askNext sets whom to ask from now on.
-func (c *Client) askNext(node walnutramp.NodeName) {
+// setLeader sets the node to ask from now on: the leader, or a relay.
+func (c *Client) setLeader(node walnutramp.NodeName) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.leader = node
 }
 
-// LearnGroup takes the members that somebody of the group named.
+// LearnGroup records the members as named by a node of the group.
 func (c *Client) LearnGroup(group []walnutramp.NodeName) {
 	if len(group) == 0 {
 		return
@@ -255,80 +255,81 @@
 	c.group = group
 }
 
-// target returns whom to ask: the leader if known, else any member.
+// target returns the node to ask: the leader if known, else a random candidate, if
+// possible not the one that failed last.
 func (c *Client) target() walnutramp.NodeName {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.leader == "" {
-		known := c.known()
-		if others := without(known, c.missed); len(others) > 0 {
-			known = others
+		candidates := c.candidates()
+		if others := without(candidates, c.lastFailed); len(others) > 0 {
+			candidates = others
 		}
-		c.leader = known[rand.IntN(len(known))]
+		c.leader = candidates[rand.IntN(len(candidates))]
 	}
 	return c.leader
 }
 
-// known returns the seeds and the members. The caller holds the mutex.
-func (c *Client) known() []walnutramp.NodeName {
-	known := slices.Clone(c.group)
+// candidates returns the members and the seeds. The caller holds the mutex.
+func (c *Client) candidates() []walnutramp.NodeName {
+	candidates := slices.Clone(c.group)
 	for _, s := range c.seeds {
-		if !slices.Contains(known, s) {
-			known = append(known, s)
+		if !slices.Contains(candidates, s) {
+			candidates = append(candidates, s)
 		}
 	}
-	return known
+	return candidates
 }
 
-// without returns a list without one of its elements.
-func without[T comparable](list []T, left T) []T {
-	return slices.DeleteFunc(slices.Clone(list), func(e T) bool { return e == left })
+// without returns a copy of a list without one of its elements.
+func without[T comparable](list []T, excluded T) []T {
+	return slices.DeleteFunc(slices.Clone(list), func(e T) bool { return e == excluded })
 }
 
-// forgetLeader notes that the node that was asked last is no leader, or does
-// not answer: it is not asked again next, whoever names it.
-func (c *Client) forgetLeader(hint walnutramp.NodeName) {
+// dropLeader records that the node asked last does not lead or does not answer. The
+// next request goes to hint, unless hint is the node that failed just before.
+func (c *Client) dropLeader(hint walnutramp.NodeName) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	missed := c.missed
-	c.missed, c.leader = c.leader, ""
-	if hint != "" && hint == missed {
-		return // a member that has not heard of the new leader yet
+	previousFailed := c.lastFailed
+	c.lastFailed, c.leader = c.leader, ""
+	if hint != "" && hint == previousFailed {
+		return // the member that sent the hint has not learned of the new leader yet
 	}
-	if c.fast && hint != "" || slices.Contains(c.seeds, hint) {
+	if c.dynamicMembers && hint != "" || slices.Contains(c.seeds, hint) {
 		c.leader = hint
 	}
 }
 
-// take puts a newer document in force and extends the lease. The answer is a
-// node's to the question of one that holds a version.
-func (c *Client) take(node walnutramp.NodeName, had uint64, r *NewestReply, asked time.Time) bool {
+// applyNewest puts a newer document in force and extends the lease. r is node's
+// reply to a request for updates of baseVersion.
+func (c *Client) applyNewest(node walnutramp.NodeName, baseVersion uint64, r *NewestReply, askedAt time.Time) bool {
 	c.mu.Lock()
-	doc, have := c.doc, c.have
+	doc, have := c.doc, c.version
 	c.mu.Unlock()
 	if r.Version < have {
-		return false // an older leader's word; versions never go back
+		return false // from a former leader; versions never decrease
 	}
 	if r.Version > have {
-		next, err := c.document(c.ctx, node, had, doc, r)
+		next, err := c.document(c.ctx, node, baseVersion, doc, r)
 		if err == nil {
 			err = c.adopt(r.Version, next)
 		}
 		if err != nil {
-			klog.ErrorS(err, "Configuration not taken", "version", r.Version, "had", had)
-			c.whole = true
+			klog.ErrorS(err, "Failed to apply configuration", "version", r.Version, "had", baseVersion)
+			c.needFull = true
 			return false
 		}
 		klog.InfoS("Configuration in force", "version", r.Version, "had", have, "bytes", len(next), "confirmed", !r.Unconfirmed)
 		doc = next
 	}
-	c.whole = false
+	c.needFull = false
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.doc, c.have = doc, r.Version
+	c.doc, c.version = doc, r.Version
 	if r.Unconfirmed {
 		return true
 	}
-	c.until = asked.Add(LeaseTime)
+	c.leaseEnd = askedAt.Add(LeaseTime)
 	return true
 }
--- a/control/clock.go
+++ b/control/clock.go
@@ -13,42 +13,42 @@
 	"k8s.io/klog/v2"
 )
 
-// Times of keeping the group's time.
+// Intervals and timeout of queries for the members' wall clocks.
 const (
-	askTimeEvery = 1 * time.Second        // the steady clock bridges the time between
-	askTimeSoon  = 100 * time.Millisecond // while a new leader has no agreement yet
-	askTimeLimit = 300 * time.Millisecond // a slower answer tells too little
+	timeQueryInterval      = 1 * time.Second        // the monotonic clock covers the time between
+	timeQueryRetryInterval = 100 * time.Millisecond // until the members' clocks agree
+	timeQueryTimeout       = 300 * time.Millisecond // a slower answer is too imprecise
 )
 
-// Timekeeper keeps the group's time on a member: while the member leads, by
-// asking the others for their times of day; else by the leader's word.
+// Timekeeper maintains the group's time on a member. The leader derives it from the
+// members' wall clocks; other members follow the leader.
 type Timekeeper struct {
-	peers    Peers
-	node     walnutramp.NodeName
-	member   *consensus.Member
-	follower *groupclock.Follower
-	wall     func() time.Time
+	peers     Peers
+	node      walnutramp.NodeName
+	member    *consensus.Member
+	follower  *groupclock.Follower
+	wallClock func() time.Time
 
 	mu        sync.Mutex
 	agreement *groupclock.Agreement
-	newest    groupclock.Result // of the time as leader
+	latest    groupclock.Result // while leading
 }
 
-// TimekeeperOption sets how a Timekeeper works.
+// TimekeeperOption configures a Timekeeper.
 type TimekeeperOption func(*Timekeeper)
 
-// WithTimeOfDay sets the clock that tells the member's time of day.
-func WithTimeOfDay(wall func() time.Time) TimekeeperOption {
-	return func(k *Timekeeper) { k.wall = wall }
+// WithWallClock sets the member's wall clock.
+func WithWallClock(wall func() time.Time) TimekeeperOption {
+	return func(k *Timekeeper) { k.wallClock = wall }
 }
 
-// NewTimekeeper returns a timekeeper for a member's server, which tells the
-// group's time with its answers from then on.
+// NewTimekeeper returns a timekeeper and attaches it to a member's server, which
+// then adds the group's time to its replies.
 func NewTimekeeper(peers Peers, node walnutramp.NodeName, m *consensus.Member, s *Server, opts ...TimekeeperOption) *Timekeeper {
-	steady := groupclock.NewSteady()
+	monotonic := groupclock.NewSteady()
 	k := &Timekeeper{
-		peers: peers, node: node, member: m, wall: time.Now,
-		follower: groupclock.NewFollower(steady), agreement: groupclock.NewAgreement(steady),
+		peers: peers, node: node, member: m, wallClock: time.Now,
+		follower: groupclock.NewFollower(monotonic), agreement: groupclock.NewAgreement(monotonic),
 	}
 	for _, opt := range opts {
 		opt(k)
@@ -57,131 +57,132 @@
 	return k
 }
 
-// Clock returns the group's clock, as this member knows it.
+// Clock returns the group's clock as known to this member.
 func (k *Timekeeper) Clock() groupclock.Clock { return k.follower }
 
-// Agreement returns what the members' clocks last agreed on; empty where this
+// Agreement returns the latest agreement of the members' clocks; empty if this
 // member does not lead.
 func (k *Timekeeper) Agreement() groupclock.Result {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.newest
+	return k.latest
 }
 
-// Time implements the RPC for a member's time of day.
+// Time implements the RPC that returns a member's wall clock.
 func (s *Server) Time(_ TimeArgs, reply *TimeReply) error {
 	if s.timekeeper != nil {
-		reply.Unix = s.timekeeper.timeOfDay()
+		reply.Unix = s.timekeeper.wallTime()
 	}
 	return nil
 }
 
-func (k *Timekeeper) timeOfDay() time.Duration { return time.Duration(k.wall().UnixNano()) }
+func (k *Timekeeper) wallTime() time.Duration { return time.Duration(k.wallClock().UnixNano()) }
 
-// Run asks the members while this one leads, until ctx ends.
+// Run queries the members' clocks while this member leads, until ctx ends.
 func (k *Timekeeper) Run(ctx context.Context) {
-	every := askTimeSoon
-	for pause.For(ctx, every) {
-		every = askTimeSoon
+	interval := timeQueryRetryInterval
+	for pause.For(ctx, interval) {
+		interval = timeQueryRetryInterval
 		if !k.member.Leads() {
-			k.resign()
+			k.resetAgreement()
 			continue
 		}
 		group := k.member.Status().Group
-		k.askAll(ctx, group.Nodes())
-		if k.agree(group.Counted()) {
-			every = askTimeEvery
+		k.queryMembers(ctx, group.Nodes())
+		if k.updateAgreement(group.Counted()) {
+			interval = timeQueryInterval
 		}
 	}
 }
 
-func (k *Timekeeper) resign() {
+func (k *Timekeeper) resetAgreement() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.agreement.Forget()
-	k.newest = groupclock.Result{}
+	k.latest = groupclock.Result{}
 }
 
-// askAll asks all members at once for their times of day.
-func (k *Timekeeper) askAll(ctx context.Context, members []walnutramp.NodeName) {
-	ctx, cancel := context.WithTimeout(ctx, askTimeLimit)
+// queryMembers queries the wall clocks of all members concurrently.
+func (k *Timekeeper) queryMembers(ctx context.Context, members []walnutramp.NodeName) {
+	ctx, cancel := context.WithTimeout(ctx, timeQueryTimeout)
 	defer cancel()
 	var tasks sync.WaitGroup
 	for _, member := range members {
 		if member == k.node {
-			k.heard(member, k.timeOfDay(), k.follower.Steady())
+			k.recordTime(member, k.wallTime(), k.follower.Steady())
 			continue
 		}
-		tasks.Go(func() { k.ask(ctx, member) })
+		tasks.Go(func() { k.queryMember(ctx, member) })
 	}
 	tasks.Wait()
 }
 
-func (k *Timekeeper) ask(ctx context.Context, member walnutramp.NodeName) {
-	asked := k.follower.Steady()
+func (k *Timekeeper) queryMember(ctx context.Context, member walnutramp.NodeName) {
+	askedAt := k.follower.Steady()
 	var reply TimeReply
 	err := k.peers.Call(ctx, member, Service+".Time", TimeArgs{}, &reply)
 	if err != nil || reply.Unix == 0 {
-		klog.V(1).InfoS("Time of day not heard", "member", member, "err", err)
+		klog.V(1).InfoS("Failed to query wall clock", "member", member, "err", err)
 		return
 	}
-	k.heard(member, reply.Unix, asked)
+	k.recordTime(member, reply.Unix, askedAt)
 }
 
-func (k *Timekeeper) heard(member walnutramp.NodeName, unix, asked time.Duration) {
+func (k *Timekeeper) recordTime(member walnutramp.NodeName, unix, askedAt time.Duration) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.agreement.Heard(string(member), unix, asked)
+	k.agreement.Heard(string(member), unix, askedAt)
 }
 
-// agree takes what the members agree on; false if that is nothing.
-func (k *Timekeeper) agree(group int) bool {
+// updateAgreement recomputes the group's time and reports whether the members'
+// clocks agree.
+func (k *Timekeeper) updateAgreement(memberCount int) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	before := k.newest
-	k.newest = k.agreement.Result(group)
-	k.follower.Agreed(k.newest)
-	if k.newest.Agreed != before.Agreed {
-		klog.InfoS("Members' times of day", "agreed", k.newest.Agreed, "heard", k.newest.Heard, "of", group,
-			"spread_ms", k.newest.Spread.Milliseconds(), "within_us", k.newest.Within.Microseconds())
+	before := k.latest
+	k.latest = k.agreement.Result(memberCount)
+	k.follower.Agreed(k.latest)
+	if k.latest.Agreed != before.Agreed {
+		klog.InfoS("Members' times of day", "agreed", k.latest.Agreed, "heard", k.latest.Heard, "of", memberCount,
+			"spread_ms", k.latest.Spread.Milliseconds(), "within_us", k.latest.Within.Microseconds())
 	}
-	return k.newest.Agreed
+	return k.latest.Agreed
 }
 
-// stamp puts the group's time on an answer to a question that came at a time.
-func (s *Server) stamp(reply *NewestReply, came time.Time) {
+// addTime adds the group's time to the reply to a request received at receivedAt.
+func (s *Server) addTime(reply *NewestReply, receivedAt time.Time) {
 	if s.timekeeper != nil {
-		reply.Time = s.timekeeper.follower.Stamp(uptime.Since(came))
+		reply.Time = s.timekeeper.follower.Stamp(uptime.Since(receivedAt))
 	}
 }
 
-// hear takes the time that came with the leader's answer.
-func (k *Timekeeper) hear(told *groupclock.Stamp, asked time.Time) {
+// observe applies the time stamp of a leader's reply.
+func (k *Timekeeper) observe(stamp *groupclock.Stamp, askedAt time.Time) {
 	if k != nil {
-		hearTime(k.follower, told, asked)
+		observeStamp(k.follower, stamp, askedAt)
 	}
 }
 
-// WithClock has the client keep a clock by the group's time. It is called
-// before Start.
+// WithClock makes the client follow the group's time. It must be called before
+// Start.
 func (c *Client) WithClock(f *groupclock.Follower) { c.clock = f }
 
-// takeTime takes the time that came with an answer.
-func (c *Client) takeTime(told *groupclock.Stamp, asked time.Time) {
+// observeTime applies the time stamp of a reply.
+func (c *Client) observeTime(stamp *groupclock.Stamp, askedAt time.Time) {
 	if c.clock != nil {
-		hearTime(c.clock, told, asked)
+		observeStamp(c.clock, stamp, askedAt)
 	}
 }
 
-// hearTime has a clock take a stamp that came just now; nil says nothing.
-func hearTime(f *groupclock.Follower, told *groupclock.Stamp, asked time.Time) {
-	if told == nil {
+// observeStamp applies a stamp that was just received to a clock; nil is ignored.
+func observeStamp(f *groupclock.Follower, stamp *groupclock.Stamp, askedAt time.Time) {
+	if stamp == nil {
 		return
 	}
 	_, _, known := f.Now()
-	f.Heard(*told, f.Steady()-uptime.Since(asked))
+	f.Heard(*stamp, f.Steady()-uptime.Since(askedAt))
 	if !known {
 		_, within, _ := f.Now()
-		klog.InfoS("The group's time is known", "within_us", within.Microseconds())
+		klog.InfoS("Synchronized with the group's time", "within_us", within.Microseconds())
 	}
 }
--- a/control/contact.go
+++ b/control/contact.go
@@ -9,48 +9,48 @@
 	"k8s.io/klog/v2"
 )
 
-// contact notes whether a node hears the control group, and logs when that
-// changes: one line when a question first fails, one when an answer comes again.
-type contact struct {
-	mu    sync.Mutex
-	stats ContactStats
-	lost  time.Time // when the first of the failed questions was asked; zero while answers come
-	tries int       // failed questions since
+// contactMonitor tracks whether a node reaches the control group. It logs the first
+// request that fails and the first that succeeds again.
+type contactMonitor struct {
+	mu           sync.Mutex
+	stats        ContactStats
+	failingSince time.Time // when the first failed request was sent; zero while requests succeed
+	failures     int       // failed requests since
 }
 
-// ContactStats counts a node's questions to the control group since its start.
+// ContactStats counts a node's requests to the control group since its start.
 type ContactStats struct {
 	Asked  uint64
-	Failed uint64 // no answer in time, or one that says to ask elsewhere
+	Failed uint64 // no answer in time, or a redirect
 }
 
-// failed notes a question that brought no word.
-func (c *contact) failed(node walnutramp.NodeName, version uint64, asked time.Time, why error) {
+// recordFailure records a request without a usable answer.
+func (c *contactMonitor) recordFailure(node walnutramp.NodeName, version uint64, askedAt time.Time, cause error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.stats.Asked++
 	c.stats.Failed++
-	c.tries++
-	if !c.lost.IsZero() {
+	c.failures++
+	if !c.failingSince.IsZero() {
 		return
 	}
-	c.lost = asked
-	klog.InfoS("Control group not heard", "asked", node, "waited", uptime.Since(asked), "version", version, "err", why)
+	c.failingSince = askedAt
+	klog.InfoS("Control group not heard", "asked", node, "waited", uptime.Since(askedAt), "version", version, "err", cause)
 }
 
-// heard notes an answer.
-func (c *contact) heard(node walnutramp.NodeName, version uint64) {
+// recordAnswer records an answered request.
+func (c *contactMonitor) recordAnswer(node walnutramp.NodeName, version uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.stats.Asked++
-	if c.lost.IsZero() {
+	if c.failingSince.IsZero() {
 		return
 	}
-	klog.InfoS("Control group heard again", "asked", node, "after", uptime.Since(c.lost), "tries", c.tries, "version", version)
-	c.lost, c.tries = time.Time{}, 0
+	klog.InfoS("Control group reachable again", "asked", node, "after", uptime.Since(c.failingSince), "tries", c.failures, "version", version)
+	c.failingSince, c.failures = time.Time{}, 0
 }
 
-// ContactStats returns how the node's questions to the control group fared.
+// ContactStats returns the counts of the node's requests to the control group.
 func (c *Client) ContactStats() ContactStats {
 	c.contact.mu.Lock()
 	defer c.contact.mu.Unlock()
--- a/control/difference.go
+++ b/control/difference.go
@@ -2,33 +2,33 @@
 
 import "slices"
 
-// difference returns what turns one list into another, both sorted by key: the keys that
-// are gone, and what is new or changed. Of several elements with one key, all are put
-// if one changed.
-func difference[T comparable](from, to []T, key func(T) string) (removed []string, put []T) {
+// diff returns what turns one list into another: the keys to remove, and the new or
+// changed elements to put. Both lists must be sorted by key. If one of several
+// elements with the same key changed, all of them are put.
+func diff[T comparable](from, to []T, key func(T) string) (removed []string, put []T) {
 	for len(from) > 0 || len(to) > 0 {
 		switch {
 		case len(to) == 0 || len(from) > 0 && key(from[0]) < key(to[0]):
-			was := alike(from, key)
-			removed = append(removed, key(was[0]))
-			from = from[len(was):]
+			oldRun := keyRun(from, key)
+			removed = append(removed, key(oldRun[0]))
+			from = from[len(oldRun):]
 		case len(from) == 0 || key(to[0]) < key(from[0]):
-			is := alike(to, key)
-			put = append(put, is...)
-			to = to[len(is):]
+			newRun := keyRun(to, key)
+			put = append(put, newRun...)
+			to = to[len(newRun):]
 		default:
-			was, is := alike(from, key), alike(to, key)
-			if !slices.Equal(was, is) {
-				put = append(put, is...)
+			oldRun, newRun := keyRun(from, key), keyRun(to, key)
+			if !slices.Equal(oldRun, newRun) {
+				put = append(put, newRun...)
 			}
-			from, to = from[len(was):], to[len(is):]
+			from, to = from[len(oldRun):], to[len(newRun):]
 		}
 	}
 	return removed, put
 }
 
-// alike returns the first elements of a list that have one key.
-func alike[T comparable](list []T, key func(T) string) []T {
+// keyRun returns the leading elements of a list that have the same key.
+func keyRun[T comparable](list []T, key func(T) string) []T {
 	n := 1
 	for n < len(list) && key(list[n]) == key(list[0]) {
 		n++
@@ -36,20 +36,20 @@
 	return list[:n]
 }
 
-// applied returns a list with a difference made in it.
-func applied[T any](list []T, removed []string, put []T, key func(T) string) []T {
-	out := make(map[string]bool, len(removed)+len(put))
+// applyDiff returns a copy of a list with a diff applied.
+func applyDiff[T any](list []T, removed []string, put []T, key func(T) string) []T {
+	replaced := make(map[string]bool, len(removed)+len(put))
 	for _, key := range removed {
-		out[key] = true
+		replaced[key] = true
 	}
 	for _, e := range put {
-		out[key(e)] = true
+		replaced[key(e)] = true
 	}
-	next := make([]T, 0, len(list)+len(put))
+	result := make([]T, 0, len(list)+len(put))
 	for _, e := range list {
-		if !out[key(e)] {
-			next = append(next, e)
+		if !replaced[key(e)] {
+			result = append(result, e)
 		}
 	}
-	return append(next, put...)
+	return append(result, put...)
 }
--- a/control/directory.go
+++ b/control/directory.go
@@ -11,260 +11,262 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// EntryPlace is an entry node and where it stands.
+// EntryPlace is an entry node and its location.
 type EntryPlace struct {
-	Address  string // at which it hears other entries
-	DataHall string // empty if it is not known
-	Disk     bool   // it keeps files over a loss of power
+	Address  string // for calls by other entry nodes
+	DataHall string // empty if unknown
+	Disk     bool   // its files survive a power loss
 }
 
 func entryAddress(e EntryPlace) string { return e.Address }
 
-func byAddress(a, b EntryPlace) int { return cmp.Compare(a.Address, b.Address) }
+func compareAddresses(a, b EntryPlace) int { return cmp.Compare(a.Address, b.Address) }
 
-// DirectoryReply tells an asker which entries there are, or what has changed since the
-// version that it holds.
+// DirectoryReply lists the entry nodes, or the changes since the version that the
+// requester holds.
 type DirectoryReply struct {
-	Version uint64 // 0 where none is known
-	From    uint64 // version that this is a change of; 0 for the whole
+	Version uint64 // 0 if unknown
+	From    uint64 // version that the changes apply to; 0 for the full list
 	Joined  []HallEntries
 	Left    []string // addresses
 }
 
-// HallEntries are entries of one data hall: its name goes once for all.
+// HallEntries lists the entry nodes of one data hall, so that its name is sent only
+// once.
 type HallEntries struct {
 	DataHall  string
 	Addresses []string
-	Disks     []string // addresses of others, which keep files over a loss of power
+	Disks     []string // addresses of nodes whose files survive a power loss; not in Addresses
 }
 
-// byHall returns entries as they are told.
-func byHall(entries []EntryPlace) []HallEntries {
-	var told []HallEntries
-	at := map[string]int{}
-	for _, e := range entries {
-		i, known := at[e.DataHall]
-		if !known {
-			i = len(told)
-			at[e.DataHall] = i
-			told = append(told, HallEntries{DataHall: e.DataHall})
+// groupByHall groups entry nodes by data hall.
+func groupByHall(nodes []EntryPlace) []HallEntries {
+	var groups []HallEntries
+	index := map[string]int{}
+	for _, e := range nodes {
+		i, found := index[e.DataHall]
+		if !found {
+			i = len(groups)
+			index[e.DataHall] = i
+			groups = append(groups, HallEntries{DataHall: e.DataHall})
 		}
 		if e.Disk {
-			told[i].Disks = append(told[i].Disks, e.Address)
+			groups[i].Disks = append(groups[i].Disks, e.Address)
 		} else {
-			told[i].Addresses = append(told[i].Addresses, e.Address)
+			groups[i].Addresses = append(groups[i].Addresses, e.Address)
 		}
 	}
-	return told
+	return groups
 }
 
-// joined returns the entries that a reply tells of.
-func (r *DirectoryReply) joined() []EntryPlace {
-	var entries []EntryPlace
+// joinedNodes returns the entry nodes in Joined.
+func (r *DirectoryReply) joinedNodes() []EntryPlace {
+	var nodes []EntryPlace
 	for _, h := range r.Joined {
 		for _, a := range h.Addresses {
-			entries = append(entries, EntryPlace{Address: a, DataHall: h.DataHall})
+			nodes = append(nodes, EntryPlace{Address: a, DataHall: h.DataHall})
 		}
 		for _, a := range h.Disks {
-			entries = append(entries, EntryPlace{Address: a, DataHall: h.DataHall, Disk: true})
+			nodes = append(nodes, EntryPlace{Address: a, DataHall: h.DataHall, Disk: true})
 		}
 	}
-	return entries
+	return nodes
 }
 
-// apply returns the entries that a reply tells of, by those that the asker holds under a
-// version; false if it is a change of others.
-func (r *DirectoryReply) apply(held uint64, entries []EntryPlace) ([]EntryPlace, bool) {
+// apply applies the reply to the entry nodes held at a version. It returns false if
+// the changes apply to another version.
+func (r *DirectoryReply) apply(version uint64, nodes []EntryPlace) ([]EntryPlace, bool) {
 	if r.From == 0 {
-		return r.joined(), true
+		return r.joinedNodes(), true
 	}
-	if r.From != held {
+	if r.From != version {
 		return nil, false
 	}
-	return applied(entries, r.Left, r.joined(), entryAddress), true
+	return applyDiff(nodes, r.Left, r.joinedNodes(), entryAddress), true
 }
 
-// directoryVersion is the entries at one time, by address. Lists of them are not changed.
+// directoryVersion is one immutable version of the directory, sorted by address.
 type directoryVersion struct {
 	version uint64 // hash of the entries
 	entries []EntryPlace
-	// changes lead here from older versions, and from none; each is worked out once, when
-	// it is first asked for.
+	// changes caches the replies by the version that the requester holds; 0 is the full
+	// list.
 	changes map[uint64]*DirectoryReply
 }
 
-func newDirectoryVersion(entries []EntryPlace) directoryVersion {
+func newDirectoryVersion(nodes []EntryPlace) directoryVersion {
 	hash := xxhash.New()
-	for _, e := range entries {
+	for _, e := range nodes {
 		fmt.Fprintln(hash, e.Address, e.DataHall, e.Disk)
 	}
-	return directoryVersion{version: max(1, hash.Sum64()), entries: entries, changes: map[uint64]*DirectoryReply{}}
+	return directoryVersion{version: max(1, hash.Sum64()), entries: nodes, changes: map[uint64]*DirectoryReply{}}
 }
 
-// keepDirectories is how many versions are kept to tell changes from. Askers ask each
-// second, and few entries come or go within one.
-const keepDirectories = 32
+// maxDirectoryVersions is how many versions are kept to compute changes from.
+// Requesters poll every second, and few entry nodes join or leave in between.
+const maxDirectoryVersions = 32
 
-// directory is the newest version of the entries, with some before it.
+// directory holds the newest version of the list of entry nodes and recent ones.
 type directory struct {
-	past []directoryVersion // newest last
+	versions []directoryVersion // newest last
 }
 
-// newest returns the newest version; its version is 0 before the first.
+// newest returns the newest version; its version number is 0 before the first.
 func (d *directory) newest() *directoryVersion {
-	if len(d.past) == 0 {
+	if len(d.versions) == 0 {
 		return &directoryVersion{}
 	}
-	return &d.past[len(d.past)-1]
+	return &d.versions[len(d.versions)-1]
 }
 
-// add takes a version, unless it is the newest one.
+// add appends a version unless it equals the newest.
 func (d *directory) add(v directoryVersion) {
 	if d.newest().version == v.version {
 		return
 	}
-	d.past = append(d.past, v)
-	d.past = d.past[max(0, len(d.past)-keepDirectories):]
+	d.versions = append(d.versions, v)
+	d.versions = d.versions[max(0, len(d.versions)-maxDirectoryVersions):]
 }
 
-// reply tells the holder of a version what is new.
-func (d *directory) reply(held uint64) DirectoryReply {
+// reply returns the changes since a version, or the full list if that version is
+// not kept.
+func (d *directory) reply(version uint64) DirectoryReply {
 	newest := d.newest()
-	if held == newest.version || newest.version == 0 {
-		return DirectoryReply{Version: newest.version, From: held}
+	if version == newest.version || newest.version == 0 {
+		return DirectoryReply{Version: newest.version, From: version}
 	}
-	if known := newest.changes[held]; known != nil {
-		return *known
+	if cached := newest.changes[version]; cached != nil {
+		return *cached
 	}
-	at := slices.IndexFunc(d.past, func(v directoryVersion) bool { return v.version == held })
-	told := DirectoryReply{Version: newest.version}
-	if at < 0 {
-		held = 0
-		told.Joined = byHall(newest.entries)
+	index := slices.IndexFunc(d.versions, func(v directoryVersion) bool { return v.version == version })
+	reply := DirectoryReply{Version: newest.version}
+	if index < 0 {
+		version = 0
+		reply.Joined = groupByHall(newest.entries)
 	} else {
-		left, joined := difference(d.past[at].entries, newest.entries, entryAddress)
-		told.From, told.Left, told.Joined = held, left, byHall(joined)
+		left, joined := diff(d.versions[index].entries, newest.entries, entryAddress)
+		reply.From, reply.Left, reply.Joined = version, left, groupByHall(joined)
 	}
-	newest.changes[held] = &told
-	return told
+	newest.changes[version] = &reply
+	return reply
 }
 
-// entryLife is how long an entry counts as there since it asked.
-const entryLife = 4 * time.Second
+// entryNodeTTL is how long an entry node stays listed after its last request.
+const entryNodeTTL = 4 * time.Second
 
-// entries are the entry nodes that asked for the newest document lately.
-type entries struct {
-	mu       sync.Mutex
-	heard    map[string]heardEntry // by address
-	changed  bool                  // since the newest version
-	expireAt time.Time             // before which no entry is silent for too long
-	known    directory
+// entryRegistry tracks the entry nodes that recently asked for the newest document.
+type entryRegistry struct {
+	mu         sync.Mutex
+	nodes      map[string]registeredNode // by address
+	changed    bool                      // since the newest version
+	nextExpiry time.Time                 // no node expires before this time
+	directory  directory
 }
 
-type heardEntry struct {
+type registeredNode struct {
 	EntryPlace
-	at time.Time
+	lastSeen time.Time
 }
 
-// note notes an entry that asks; one without an address is none.
-func (e *entries) note(asker EntryPlace) {
-	if asker.Address == "" {
+// register records a request by an entry node; one without an address is ignored.
+func (e *entryRegistry) register(node EntryPlace) {
+	if node.Address == "" {
 		return
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.heard == nil {
-		e.heard = map[string]heardEntry{}
+	if e.nodes == nil {
+		e.nodes = map[string]registeredNode{}
 	}
-	before, known := e.heard[asker.Address]
-	if known && asker.DataHall == "" {
-		asker = before.EntryPlace
+	previous, registered := e.nodes[node.Address]
+	if registered && node.DataHall == "" {
+		node = previous.EntryPlace
 	}
-	e.changed = e.changed || !known || before.EntryPlace != asker
-	e.heard[asker.Address] = heardEntry{EntryPlace: asker, at: time.Now()}
+	e.changed = e.changed || !registered || previous.EntryPlace != node
+	e.nodes[node.Address] = registeredNode{EntryPlace: node, lastSeen: time.Now()}
 }
 
 // current returns the directory, brought up to date. The caller holds the mutex.
-func (e *entries) current() *directory {
+func (e *entryRegistry) current() *directory {
 	now := time.Now()
-	if !now.Before(e.expireAt) {
+	if !now.Before(e.nextExpiry) {
 		e.expire(now)
 	}
 	if e.changed {
 		e.changed = false
-		live := make([]EntryPlace, 0, len(e.heard))
-		for _, entry := range e.heard {
-			live = append(live, entry.EntryPlace)
+		live := make([]EntryPlace, 0, len(e.nodes))
+		for _, node := range e.nodes {
+			live = append(live, node.EntryPlace)
 		}
-		slices.SortFunc(live, byAddress)
-		e.known.add(newDirectoryVersion(live))
+		slices.SortFunc(live, compareAddresses)
+		e.directory.add(newDirectoryVersion(live))
 	}
-	return &e.known
+	return &e.directory
 }
 
-// expire drops the entries that were silent for too long. The caller holds the mutex.
-func (e *entries) expire(now time.Time) {
-	e.expireAt = now.Add(entryLife)
-	for address, entry := range e.heard {
-		if now.Sub(entry.at) > entryLife {
-			delete(e.heard, address)
+// expire removes the entry nodes whose TTL has passed. The caller holds the mutex.
+func (e *entryRegistry) expire(now time.Time) {
+	e.nextExpiry = now.Add(entryNodeTTL)
+	for address, node := range e.nodes {
+		if now.Sub(node.lastSeen) > entryNodeTTL {
+			delete(e.nodes, address)
 			e.changed = true
 			continue
 		}
-		if at := entry.at.Add(entryLife + 1); at.Before(e.expireAt) {
-			e.expireAt = at
+		if expiry := node.lastSeen.Add(entryNodeTTL + 1); expiry.Before(e.nextExpiry) {
+			e.nextExpiry = expiry
 		}
 	}
 }
 
-// all returns the addresses of the entries that asked lately, in order.
-func (e *entries) all() []string {
+// addresses returns the sorted addresses of the live entry nodes.
+func (e *entryRegistry) addresses() []string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return addressesOf(e.current().newest().entries)
 }
 
-func addressesOf(entries []EntryPlace) []string {
-	addresses := make([]string, len(entries))
-	for i, e := range entries {
+func addressesOf(nodes []EntryPlace) []string {
+	addresses := make([]string, len(nodes))
+	for i, e := range nodes {
 		addresses[i] = e.Address
 	}
 	return addresses
 }
 
-// disks returns the addresses of those with a disk.
-func (e *entries) disks() []string {
+// diskAddresses returns the addresses of the live entry nodes with durable files.
+func (e *entryRegistry) diskAddresses() []string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	with := slices.DeleteFunc(slices.Clone(e.current().newest().entries), func(p EntryPlace) bool { return !p.Disk })
-	return addressesOf(with)
+	withDisk := slices.DeleteFunc(slices.Clone(e.current().newest().entries), func(p EntryPlace) bool { return !p.Disk })
+	return addressesOf(withDisk)
 }
 
-// count returns how many entries asked lately.
-func (e *entries) count() int {
+// count returns the number of live entry nodes.
+func (e *entryRegistry) count() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return len(e.current().newest().entries)
 }
 
-// tell has a reply name the entries that asked lately.
-func (e *entries) tell(args NewestArgs, reply *NewestReply) {
+// fillReply adds the changes of the directory to a reply.
+func (e *entryRegistry) fillReply(args NewestArgs, reply *NewestReply) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.current().tell(args, reply)
+	e.current().fillReply(args, reply)
 }
 
-// tell has a reply to an asker that needs to know the entries tell what is new to it:
-// one of an older build all addresses.
-func (d *directory) tell(args NewestArgs, reply *NewestReply) {
-	if !args.wantsRoster() {
+// fillReply adds the changes of the directory for a requester that uses it. Older
+// builds get all addresses.
+func (d *directory) fillReply(args NewestArgs, reply *NewestReply) {
+	if !args.wantsTargets() {
 		return
 	}
 	if args.Directory {
 		reply.Directory = d.reply(args.Entries)
 		return
 	}
-	// Older builds name a version by its addresses alone, and ask for what they were told.
+	// Older builds identify a version by its addresses only and send that back.
 	addresses := addressesOf(d.newest().entries)
 	reply.EntriesVersion = max(1, xxhash.Sum64String(strings.Join(addresses, " ")))
 	if reply.EntriesVersion != args.Entries {
--- a/control/disk.go
+++ b/control/disk.go
@@ -13,18 +13,18 @@
 
 const identityFile = "identity"
 
-// FoundIdentity marks an empty data folder as one of a founder's. It is done
-// once, when a site is set up; a folder that was emptied later must not be
-// marked again.
+// FoundIdentity marks an empty data directory as that of a founding member. It is
+// called once, when a site is set up. A directory that was emptied later must not
+// be marked again, since the member's votes are lost.
 func FoundIdentity(fs wal.FS) error {
 	if _, err := fs.ReadFile(identityFile); err == nil {
-		return errors.New("the data folder is in use")
+		return errors.New("data directory is already in use")
 	}
 	return writeIdentity(fs, consensus.Founder)
 }
 
-// ReadIdentity returns the folder's identity; an empty folder gets a new one,
-// which no group knows.
+// ReadIdentity returns the identity stored in a data directory. An empty directory
+// gets a new identity, which no group knows.
 func ReadIdentity(fs wal.FS) (consensus.Identity, error) {
 	b, err := fs.ReadFile(identityFile)
 	if err == nil && len(b) > 0 {
@@ -54,7 +54,7 @@
 	return fs.Rename(identityFile+".new", identityFile)
 }
 
-// FoundingGroup is the group that founders start with.
+// FoundingGroup returns the initial group of founding members.
 func FoundingGroup(nodes []walnutramp.NodeName) consensus.Group {
 	var g consensus.Group
 	for _, n := range nodes {
--- a/control/duties.go
+++ b/control/duties.go
@@ -5,9 +5,9 @@
 	"github.com/walnutramp/walnutramp/duty"
 )
 
-// applyDuty applies a command about who holds the duty. The index of a grant is
-// its token: no two entries of the log share one, and what is committed keeps
-// it through leaders, snapshots and restarts.
+// applyDuty applies a grant or release of the duty. The log index of a grant is
+// its fencing token: indexes are unique and survive leader changes, snapshots
+// and restarts.
 func (s *State) applyDuty(index uint64, c *Command) Result {
 	if c.Grant != nil {
 		s.duty = s.duty.Granted(duty.Token(index), *c.Grant)
@@ -17,8 +17,7 @@
 	return Result{Code: walnutramp.CodeOK}
 }
 
-// dutyRecord returns who holds the duty, as far as this member has applied the
-// log.
+// dutyRecord returns the duty record as applied by this member.
 func (s *State) dutyRecord() duty.Record {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/control/duty_calls.go
+++ b/control/duty_calls.go
@@ -10,22 +10,21 @@
 	"k8s.io/klog/v2"
 )
 
-// callLimit bounds the wait for an answer: with it a call that got none comes
-// again several times before the counts of a window are due.
-const callLimit = 1500 * time.Millisecond
+// callTimeout bounds one call to the platform. It leaves time for several
+// retries before the counts of a window are due.
+const callTimeout = 1500 * time.Millisecond
 
-// loggedContent bounds how much of a call's content a log line holds, in bytes:
-// the counts of 10,000 accounts would fill the queue of lines.
-const loggedContent = 80
+// maxLoggedContent is the number of bytes of a call's content in a log line; the
+// counts of 10,000 accounts would fill the log queue.
+const maxLoggedContent = 80
 
-// Do implements duty.Caller. It makes one try, and NotSent is its answer where
-// none may be made now: callers compare what they want with what is, and come
-// again.
+// Do implements duty.Caller. It makes one attempt and returns NotSent if no call
+// may be made now. Callers recompute what to send and retry.
 func (h *DutyHolder) Do(ctx context.Context, c duty.Call) duty.Outcome {
-	if !h.ready() || h.limiter.Wait(ctx) != nil || !h.begin(ctx, c.Subject) {
+	if !h.ready() || h.limiter.Wait(ctx) != nil || !h.acquireSubject(ctx, c.Subject) {
 		return duty.NotSent
 	}
-	defer h.end(c.Subject)
+	defer h.releaseSubject(c.Subject)
 	if !h.ready() {
 		return duty.NotSent
 	}
@@ -36,17 +35,18 @@
 	return h.send(ctx, c, p)
 }
 
-// begin waits until no other call on the subject is under way.
-func (h *DutyHolder) begin(ctx context.Context, s duty.Subject) bool {
+// acquireSubject waits until no other call on the subject is in flight and
+// reserves the subject.
+func (h *DutyHolder) acquireSubject(ctx context.Context, s duty.Subject) bool {
 	for {
 		h.mu.Lock()
 		if h.draining || h.stopped {
 			h.mu.Unlock()
 			return false
 		}
-		other, ok := h.busy[s]
+		other, ok := h.inFlight[s]
 		if !ok {
-			h.busy[s] = make(chan struct{})
+			h.inFlight[s] = make(chan struct{})
 			h.mu.Unlock()
 			return true
 		}
@@ -59,15 +59,15 @@
 	}
 }
 
-func (h *DutyHolder) end(s duty.Subject) {
+func (h *DutyHolder) releaseSubject(s duty.Subject) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	close(h.busy[s])
-	delete(h.busy, s)
+	close(h.inFlight[s])
+	delete(h.inFlight, s)
 }
 
-// ready reports whether calls may be made now, by the lease and by what came of
-// earlier ones.
+// ready reports whether the lease is held and no backoff from earlier calls is
+// in effect.
 func (h *DutyHolder) ready() bool {
 	if !h.Held() {
 		return false
@@ -77,14 +77,14 @@
 	return h.gate.Pause(uptime.Now()) == 0
 }
 
-// permissionFor returns what a call may be made under, with a new grant where
-// it needs one, and time for its answer where that can be had.
+// permissionFor returns the permission for a call. It takes a new grant if the
+// call needs a higher token, and renews a lease that ends within callTimeout.
 func (h *DutyHolder) permissionFor(ctx context.Context, c duty.Call) (duty.Permission, bool) {
-	if h.needsToken(c) && !h.take(ctx, h.lease.Regrant(), duty.ReasonNewContent) {
+	if h.needsToken(c) && !h.acquire(ctx, h.lease.Regrant(), duty.ReasonNewContent) {
 		return duty.Permission{}, false
 	}
 	p, ok := h.permission()
-	if !ok || uptime.Until(p.Until) > callLimit {
+	if !ok || uptime.Until(p.Until) > callTimeout {
 		return p, ok
 	}
 	h.renew(ctx)
@@ -97,20 +97,20 @@
 	return h.gate.NeedsToken(c, h.lease.Record().Token)
 }
 
-// send makes the call. Where no answer came it is given up before another
-// member may act, so that what the network still holds of it is dropped.
+// send makes the call. It cancels an unanswered call before another member may
+// act, so that nothing left in the connection is delivered later.
 func (h *DutyHolder) send(ctx context.Context, c duty.Call, p duty.Permission) duty.Outcome {
 	sent := uptime.Now()
-	end := sent.Add(callLimit)
+	end := sent.Add(callTimeout)
 	if last := p.Until.Add(h.cfg.Slack); last.Before(end) {
 		end = last
 	}
 	callCtx, cancel := context.WithTimeout(ctx, uptime.Until(end))
 	outcome := c.Send(callCtx, p)
 	cancel()
-	h.note(c, p, outcome, sent)
+	h.recordOutcome(c, p, outcome, sent)
 	if outcome == duty.Conflict {
-		outcome = h.resolve(ctx, p)
+		outcome = h.resolveConflict(ctx, p)
 	}
 	if outcome == duty.Fenced {
 		h.mu.Lock()
@@ -118,21 +118,20 @@
 		h.mu.Unlock()
 	}
 	h.metrics.GetOrCreateCounter(fmt.Sprintf("walnutramp_duty_calls_total{outcome=%q}", outcome)).Inc()
-	klog.InfoS("Duty call", "subject", c.Subject, "content", c.Content[:min(len(c.Content), loggedContent)], "token", p.Token, "outcome", outcome, "ms", uptime.Since(sent).Milliseconds())
+	klog.InfoS("Duty call", "subject", c.Subject, "content", c.Content[:min(len(c.Content), maxLoggedContent)], "token", p.Token, "outcome", outcome, "ms", uptime.Since(sent).Milliseconds())
 	return outcome
 }
 
-// note takes what came of a call.
-func (h *DutyHolder) note(c duty.Call, p duty.Permission, o duty.Outcome, sent time.Time) {
+func (h *DutyHolder) recordOutcome(c duty.Call, p duty.Permission, o duty.Outcome, sent time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.gate.Note(c, p, o, sent, uptime.Now())
 }
 
-// resolve says what a Conflict was. While a majority says that this member
-// leads and its grants are the newest, nobody has had a higher token, so the
-// call was rejected for what it asked.
-func (h *DutyHolder) resolve(ctx context.Context, p duty.Permission) duty.Outcome {
+// resolveConflict tells whether a Conflict was Fenced or Rejected. If a majority
+// confirms that this member leads and its grants are the newest, no higher token
+// was issued, so the platform rejected the call's content.
+func (h *DutyHolder) resolveConflict(ctx context.Context, p duty.Permission) duty.Outcome {
 	if !h.renew(ctx) {
 		return duty.Fenced
 	}
--- a/control/duty_holder.go
+++ b/control/duty_holder.go
@@ -17,37 +17,36 @@
 	"k8s.io/klog/v2"
 )
 
-// Times of the duty.
 const (
-	dutyEvery = 100 * time.Millisecond // between two looks at what the leader has to do
-	// dutyRenewals is how many times a lease is renewed within its length, so
-	// that a few answers may be lost before a call has to wait for one.
-	dutyRenewals = 8
-	keptEvery    = 10 * time.Second // between two lines about a duty that is kept
+	dutyCheckInterval = 100 * time.Millisecond
+	// renewalsPerLease is the number of renewals within one lease, so that losing
+	// a few replies does not delay calls.
+	renewalsPerLease = 8
+	heldLogInterval  = 10 * time.Second // between log lines while the duty is held
 )
 
-// paceShare is the part of the platform's bound on calls that a holder uses:
-// two holders that follow each other within a second stay within it.
-const paceShare = 0.5
+// callRateShare is the share of the platform's rate limit that one holder uses,
+// so that two successive holders within a second stay within the limit.
+const callRateShare = 0.5
 
-// dutyGroup is what the holder needs of the control group.
+// dutyGroup is the part of the control group that DutyHolder uses.
 type dutyGroup interface {
 	Leads() bool
-	// Confirm has a majority say, after now, that this member leads.
+	// Confirm has a majority confirm, after the call, that this member leads.
 	Confirm(ctx context.Context) bool
-	// Agree has the group agree on a command; false if that is not known to
-	// have come about.
-	Agree(ctx context.Context, c Command) bool
-	// Record returns what this member has applied.
+	// Commit proposes a command and waits until it is applied. It returns
+	// false if the outcome is not known.
+	Commit(ctx context.Context, c Command) bool
+	// Record returns the duty record as applied by this member.
 	Record() duty.Record
 }
 
-// leaderTransfer is a member that can make another one the leader.
+// leaderTransfer transfers leadership to another member.
 type leaderTransfer interface {
 	HandOver(ctx context.Context) bool
 }
 
-// memberGroup is the control group by way of its member in this process.
+// memberGroup implements dutyGroup with the member in this process.
 type memberGroup struct {
 	*consensus.Member
 	server *Server
@@ -55,37 +54,38 @@
 
 func (g memberGroup) Record() duty.Record { return g.server.state.dutyRecord() }
 
-func (g memberGroup) Agree(ctx context.Context, c Command) bool {
+func (g memberGroup) Commit(ctx context.Context, c Command) bool {
 	var reply DoReply
 	if err := g.server.propose(ctx, c, &reply); err != nil {
-		klog.ErrorS(err, "Command not handed to the group")
+		klog.ErrorS(err, "Could not propose a command to the control group")
 		return false
 	}
 	return reply.Code == walnutramp.CodeOK
 }
 
-// DutyHolder makes calls to the platform on the leader, which holds the duty:
-// it takes grants, keeps the lease, and paces calls. It implements duty.Caller.
+// DutyHolder makes calls to the platform while its member leads the control
+// group and holds the duty. It takes grants, renews the lease and limits the call
+// rate. It implements duty.Caller.
 type DutyHolder struct {
 	group    dutyGroup
-	transfer leaderTransfer // nil where leadership can't be handed over
+	transfer leaderTransfer // nil if leadership can't be transferred
 	cfg      duty.Config
 	self     duty.Holder
 	limiter  *rate.Limiter
 	metrics  *metrics.Set
-	steps    chan struct{} // full during a step of Run, or a release
+	stepLock chan struct{} // held during a step of Run or a release
 
 	mu       sync.Mutex
 	lease    *duty.Lease
 	gate     *duty.Gate
-	busy     map[duty.Subject]chan struct{} // closed when the call under way ends
-	draining bool                           // no call begins
-	stopped  bool                           // for good
-	held     bool                           // when Run last looked
-	logged   time.Time                      // when that was last logged
+	inFlight map[duty.Subject]chan struct{} // closed when the call ends
+	draining bool                           // no new call starts
+	stopped  bool                           // permanently, by Release
+	wasHeld  bool                           // as last logged
+	loggedAt time.Time
 }
 
-// DutyOption sets how a DutyHolder works.
+// DutyOption configures a DutyHolder.
 type DutyOption func(*dutyOptions)
 
 type dutyOptions struct {
@@ -93,11 +93,11 @@
 	transfer leaderTransfer
 }
 
-// WithHolderName sets what the platform knows this node by, in place of its
+// WithHolderName sets the node name sent to the platform; the default is its
 // address.
 func WithHolderName(name string) DutyOption { return func(o *dutyOptions) { o.name = name } }
 
-// NewDutyHolder returns a holder for a member and its server.
+// NewDutyHolder returns a DutyHolder for a member and its server.
 func NewDutyHolder(m *consensus.Member, s *Server, node walnutramp.NodeName, cfg duty.Config, opts ...DutyOption) *DutyHolder {
 	o := dutyOptions{name: string(node)}
 	o.transfer, _ = any(m).(leaderTransfer)
@@ -110,16 +110,15 @@
 func newDutyHolder(group dutyGroup, node walnutramp.NodeName, cfg duty.Config, o dutyOptions) *DutyHolder {
 	self := duty.Holder{Node: string(node), Life: rand.Uint64()}
 	h := &DutyHolder{
-		group: group, transfer: o.transfer, cfg: cfg, self: self, metrics: metrics.NewSet(), steps: make(chan struct{}, 1),
-		limiter: rate.NewLimiter(rate.Limit(cfg.PerSecond*paceShare), 1),
-		lease:   duty.NewLease(cfg, self, o.name), gate: duty.NewGate(), busy: map[duty.Subject]chan struct{}{},
+		group: group, transfer: o.transfer, cfg: cfg, self: self, metrics: metrics.NewSet(), stepLock: make(chan struct{}, 1),
+		limiter: rate.NewLimiter(rate.Limit(cfg.PerSecond*callRateShare), 1),
+		lease:   duty.NewLease(cfg, self, o.name), gate: duty.NewGate(), inFlight: map[duty.Subject]chan struct{}{},
 	}
-	h.addGauges()
+	h.registerGauges()
 	return h
 }
 
-// addGauges adds what the holder tells of its lease at any time.
-func (h *DutyHolder) addGauges() {
+func (h *DutyHolder) registerGauges() {
 	h.metrics.NewGauge("walnutramp_duty_held", func() float64 {
 		if h.Held() {
 			return 1
@@ -136,7 +135,7 @@
 	})
 }
 
-// WriteMetrics writes the holder's figures in the Prometheus text form.
+// WriteMetrics writes the holder's metrics in the Prometheus text format.
 func (h *DutyHolder) WriteMetrics(w io.Writer) { h.metrics.WritePrometheus(w) }
 
 // Held implements duty.Caller.
@@ -145,7 +144,8 @@
 	return ok
 }
 
-// permission returns what a call may be made under now.
+// permission returns the permission for a call made now; false if none may be
+// made.
 func (h *DutyHolder) permission() (duty.Permission, bool) {
 	if !h.group.Leads() {
 		return duty.Permission{}, false
@@ -158,27 +158,28 @@
 	return h.lease.Permission(uptime.Now())
 }
 
-// Run takes and keeps the duty while this member leads, until ctx ends.
+// Run acquires and renews the duty while this member leads, until ctx is done.
 func (h *DutyHolder) Run(ctx context.Context) {
-	for pause.For(ctx, dutyEvery) {
+	for pause.For(ctx, dutyCheckInterval) {
 		h.step(ctx)
-		h.logChange()
+		h.logState()
 	}
 }
 
-// step does what the leader has to do now for the duty.
+// step renews the lease, transfers leadership if the platform has not answered,
+// or takes the next grant.
 func (h *DutyHolder) step(ctx context.Context) {
-	h.steps <- struct{}{}
-	defer func() { <-h.steps }()
+	h.stepLock <- struct{}{}
+	defer func() { <-h.stepLock }()
 	if h.isStopped() || !h.group.Leads() || h.renewalDue() && !h.renew(ctx) {
 		return
 	}
-	if patience, silent := h.silence(); silent > patience && h.transfer != nil {
-		h.handOver(ctx, silent)
+	if transferDelay, unresponsive := h.platformSilence(); unresponsive > transferDelay && h.transfer != nil {
+		h.transferLeadership(ctx, unresponsive)
 		return
 	}
-	if grant, why := h.next(); why != duty.ReasonNone {
-		h.take(ctx, grant, why)
+	if grant, reason := h.nextGrant(); reason != duty.ReasonNone {
+		h.acquire(ctx, grant, reason)
 	}
 }
 
@@ -188,43 +189,42 @@
 	return h.stopped
 }
 
-// renewalDue reports whether a majority should confirm again that this member
-// leads.
+// renewalDue reports whether leadership should be confirmed again.
 func (h *DutyHolder) renewalDue() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.lease.Due(uptime.Now(), h.cfg.Lease/dutyRenewals)
+	return h.lease.Due(uptime.Now(), h.cfg.Lease/renewalsPerLease)
 }
 
-// renew has a majority confirm that this member leads, and learns what was
-// granted up to then.
+// renew confirms leadership with a majority, reads the latest duty record and
+// extends the lease.
 func (h *DutyHolder) renew(ctx context.Context) bool {
-	ctx, cancel := context.WithTimeout(ctx, confirmTime)
+	ctx, cancel := context.WithTimeout(ctx, leadershipConfirmTimeout)
 	defer cancel()
-	asked := uptime.Now()
+	requestedAt := uptime.Now()
 	if !h.group.Confirm(ctx) {
 		return false
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.lease.Learn(h.group.Record(), uptime.Now())
-	h.lease.Confirm(asked)
+	h.lease.Confirm(requestedAt)
 	return true
 }
 
-// next returns the grant that is to be taken now, and why.
-func (h *DutyHolder) next() (duty.Grant, duty.Reason) {
+// nextGrant returns the grant to take now and the reason for it.
+func (h *DutyHolder) nextGrant() (duty.Grant, duty.Reason) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.lease.Next(uptime.Now(), h.gate.Reached())
 }
 
-// take has the group agree on a grant to this process.
-func (h *DutyHolder) take(ctx context.Context, g duty.Grant, why duty.Reason) bool {
-	ctx, cancel := context.WithTimeout(ctx, stepLimit)
+// acquire commits a grant to this process.
+func (h *DutyHolder) acquire(ctx context.Context, g duty.Grant, reason duty.Reason) bool {
+	ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
 	defer cancel()
-	if !h.group.Agree(ctx, Command{Grant: &g}) {
-		klog.InfoS("Duty not granted", "why", why)
+	if !h.group.Commit(ctx, Command{Grant: &g}) {
+		klog.InfoS("Duty not granted", "why", reason)
 		return false
 	}
 	h.mu.Lock()
@@ -233,30 +233,30 @@
 	h.lease.Learn(h.group.Record(), uptime.Now())
 	r := h.lease.Record()
 	if r.First != before {
-		h.gate.ForgetAnswers() // what an earlier time as holder saw
+		h.gate.ForgetAnswers() // those of an earlier tenure
 	}
-	klog.InfoS("Duty granted", "why", why, "token", r.Token, "waits", r.Waits, "before", r.Before.Node, "recent", r.Recent)
+	klog.InfoS("Duty granted", "why", reason, "token", r.Token, "waits", r.Waits, "before", r.Before.Node, "recent", r.Recent)
 	return true
 }
 
-// logChange logs that the duty was taken or lost since the last look, and now
-// and then that it is kept.
-func (h *DutyHolder) logChange() {
+// logState logs that the duty was taken or lost since the previous call, and
+// logs at intervals that it is held.
+func (h *DutyHolder) logState() {
 	held, leads := h.Held(), h.group.Leads()
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if held == h.held && (!held || uptime.Since(h.logged) < keptEvery) {
+	if held == h.wasHeld && (!held || uptime.Since(h.loggedAt) < heldLogInterval) {
 		return
 	}
 	r := h.lease.Record()
 	left := uptime.Until(h.lease.Until()).Milliseconds()
 	switch {
-	case held && h.held:
-		klog.InfoS("Duty kept", "token", r.Token, "left_ms", left)
+	case held && h.wasHeld:
+		klog.InfoS("Duty held", "token", r.Token, "left_ms", left)
 	case held:
 		klog.InfoS("Duty taken", "token", r.Token, "before", r.Before.Node, "left_ms", left)
 	default:
 		klog.InfoS("Duty lost", "token", r.Token, "leads", leads, "left_ms", left, "released", h.stopped || h.draining, "holder", r.Holder.Node)
 	}
-	h.held, h.logged = held, uptime.Now()
+	h.wasHeld, h.loggedAt = held, uptime.Now()
 }
--- a/control/duty_holder_test.go
+++ b/control/duty_holder_test.go
@@ -14,15 +14,15 @@
 
 var dutyConfig = duty.Config{Lease: 3 * time.Second, Slack: 300 * time.Millisecond, PerSecond: 20}
 
-// fakeGroup is a control group whose log is a counter.
+// fakeGroup is a dutyGroup with a counter for a log.
 type fakeGroup struct {
-	mu       sync.Mutex
-	leads    bool
-	silent   bool // no majority answers
-	record   duty.Record
-	index    uint64
-	released []duty.Release
-	handed   []time.Time
+	mu        sync.Mutex
+	leads     bool
+	noQuorum  bool
+	record    duty.Record
+	index     uint64
+	released  []duty.Release
+	transfers []time.Time
 }
 
 func (g *fakeGroup) Leads() bool {
@@ -39,7 +39,7 @@
 
 func (g *fakeGroup) Confirm(ctx context.Context) bool {
 	g.mu.Lock()
-	ok := g.leads && !g.silent
+	ok := g.leads && !g.noQuorum
 	g.mu.Unlock()
 	if !ok {
 		<-ctx.Done()
@@ -47,10 +47,10 @@
 	return ok
 }
 
-func (g *fakeGroup) Agree(ctx context.Context, c Command) bool {
+func (g *fakeGroup) Commit(ctx context.Context, c Command) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if !g.leads || g.silent || ctx.Err() != nil {
+	if !g.leads || g.noQuorum || ctx.Err() != nil {
 		return false
 	}
 	g.index++
@@ -69,39 +69,40 @@
 	return g.record
 }
 
-// HandOver implements leaderTransfer; the other member leads for a moment only.
+// HandOver implements leaderTransfer. The group goes on reporting that this
+// member leads.
 func (g *fakeGroup) HandOver(context.Context) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.handed = append(g.handed, time.Now())
+	g.transfers = append(g.transfers, time.Now())
 	return true
 }
 
-// fakePlatform answers calls as it is told.
+// fakePlatform returns the outcomes it is given.
 type fakePlatform struct {
-	mu       sync.Mutex
-	outcomes []duty.Outcome // in turn; the last stays
-	calls    []duty.Permission
-	at       []time.Time
-	takes    time.Duration
-	underWay int
-	most     int
+	mu          sync.Mutex
+	outcomes    []duty.Outcome // in order; the last one repeats
+	calls       []duty.Permission
+	sentAt      []time.Time
+	latency     time.Duration
+	inFlight    int
+	maxInFlight int
 }
 
 func (p *fakePlatform) send(_ context.Context, perm duty.Permission) duty.Outcome {
 	p.mu.Lock()
-	p.calls, p.at = append(p.calls, perm), append(p.at, time.Now())
+	p.calls, p.sentAt = append(p.calls, perm), append(p.sentAt, time.Now())
 	outcome := p.outcomes[0]
 	if len(p.outcomes) > 1 {
 		p.outcomes = p.outcomes[1:]
 	}
-	p.underWay++
-	p.most = max(p.most, p.underWay)
+	p.inFlight++
+	p.maxInFlight = max(p.maxInFlight, p.inFlight)
 	p.mu.Unlock()
-	time.Sleep(p.takes)
+	time.Sleep(p.latency)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.underWay--
+	p.inFlight--
 	return outcome
 }
 
@@ -109,8 +110,8 @@
 	return duty.Call{Subject: subject, Content: content, Send: p.send}
 }
 
-// playDuty runs a holder on a leader with a group of its own.
-func playDuty(t *testing.T, transfers bool, test func(t *testing.T, h *DutyHolder, g *fakeGroup)) {
+// withDutyHolder runs a test on a leader's DutyHolder with a fakeGroup.
+func withDutyHolder(t *testing.T, transfers bool, test func(t *testing.T, h *DutyHolder, g *fakeGroup)) {
 	synctest.Test(t, func(t *testing.T) {
 		g := &fakeGroup{leads: true}
 		o := dutyOptions{name: "machine"}
@@ -121,7 +122,7 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		var run sync.WaitGroup
 		run.Go(func() { h.Run(ctx) })
-		time.Sleep(time.Second + dutyEvery/2) // tests look between two steps of the holder
+		time.Sleep(time.Second + dutyCheckInterval/2) // between two steps of the holder
 		test(t, h, g)
 		cancel()
 		run.Wait()
@@ -129,13 +130,13 @@
 }
 
 func TestLeaderHoldsTheDuty(t *testing.T) {
-	playDuty(t, false, func(t *testing.T, h *DutyHolder, g *fakeGroup) {
+	withDutyHolder(t, false, func(t *testing.T, h *DutyHolder, g *fakeGroup) {
 		require.True(t, h.Held())
 		p := &fakePlatform{outcomes: []duty.Outcome{duty.Done}}
 		require.Equal(t, duty.Done, h.Do(t.Context(), p.call("s", "x")))
 		require.Equal(t, "machine", p.calls[0].Holder)
 		require.Equal(t, g.Record().Token, p.calls[0].Token)
-		require.Greater(t, time.Until(p.calls[0].Until), callLimit)
+		require.Greater(t, time.Until(p.calls[0].Until), callTimeout)
 
 		g.set(func() { g.leads = false })
 		require.False(t, h.Held())
@@ -144,25 +145,25 @@
 	})
 }
 
-func TestDutyEndsWithoutAMajority(t *testing.T) {
-	playDuty(t, false, func(t *testing.T, h *DutyHolder, g *fakeGroup) {
-		g.set(func() { g.silent = true })
+func TestDutyLapsesWithoutMajority(t *testing.T) {
+	withDutyHolder(t, false, func(t *testing.T, h *DutyHolder, g *fakeGroup) {
+		g.set(func() { g.noQuorum = true })
 		time.Sleep(dutyConfig.Lease - dutyConfig.Slack)
 		require.False(t, h.Held())
-		g.set(func() { g.silent = false })
+		g.set(func() { g.noQuorum = false })
 		time.Sleep(time.Second)
 		require.True(t, h.Held())
-		require.EqualValues(t, 1, g.Record().Token, "nobody else held it")
+		require.EqualValues(t, 1, g.Record().Token, "no other holder in between")
 	})
 }
 
-func TestNewLeaderWaitsForALease(t *testing.T) {
-	playDuty(t, false, func(t *testing.T, h *DutyHolder, g *fakeGroup) {
+func TestNewLeaderWaitsOutPreviousLease(t *testing.T) {
+	withDutyHolder(t, false, func(t *testing.T, h *DutyHolder, g *fakeGroup) {
 		g.set(func() {
 			g.index = 9
 			g.record = g.record.Granted(9, duty.Grant{Holder: duty.Holder{Node: "n2", Life: 1}})
 		})
-		time.Sleep(time.Second) // it learns of it, as a new leader does, and takes a grant
+		time.Sleep(time.Second) // reads the record and takes a grant
 		taken := g.Record()
 		require.Equal(t, "n1", taken.Holder.Node)
 		require.False(t, h.Held())
@@ -178,11 +179,11 @@
 	})
 }
 
-func TestUnclearCallTakesATokenBeforeOtherContent(t *testing.T) {
-	playDuty(t, false, func(t *testing.T, h *DutyHolder, g *fakeGroup) {
+func TestNewContentAfterUnclearCallNeedsNewToken(t *testing.T) {
+	withDutyHolder(t, false, func(t *testing.T, h *DutyHolder, g *fakeGroup) {
 		p := &fakePlatform{outcomes: []duty.Outcome{duty.Unclear, duty.Done}}
 		do := func(content string) duty.Outcome {
-			time.Sleep(time.Second) // over every pause
+			time.Sleep(time.Second) // longer than any backoff
 			return h.Do(t.Context(), p.call("s", content))
 		}
 		require.Equal(t, duty.Unclear, do("x"))
@@ -196,11 +197,11 @@
 	})
 }
 
-func TestRefusedTokenIsNotShownAgain(t *testing.T) {
-	playDuty(t, false, func(t *testing.T, h *DutyHolder, g *fakeGroup) {
+func TestFencedTokenIsNotReused(t *testing.T) {
+	withDutyHolder(t, false, func(t *testing.T, h *DutyHolder, g *fakeGroup) {
 		p := &fakePlatform{outcomes: []duty.Outcome{duty.Fenced, duty.Done}}
 		require.Equal(t, duty.Fenced, h.Do(t.Context(), p.call("s", "x")))
-		require.False(t, h.Held(), "the group is asked first")
+		require.False(t, h.Held(), "the record has to be read first")
 		time.Sleep(time.Second)
 		require.Equal(t, duty.Done, h.Do(t.Context(), p.call("s", "x")))
 		require.Greater(t, p.calls[1].Token, p.calls[0].Token)
@@ -208,7 +209,7 @@
 }
 
 func TestConflictIsResolvedByTheGroup(t *testing.T) {
-	playDuty(t, false, func(t *testing.T, h *DutyHolder, g *fakeGroup) {
+	withDutyHolder(t, false, func(t *testing.T, h *DutyHolder, g *fakeGroup) {
 		p := &fakePlatform{outcomes: []duty.Outcome{duty.Conflict, duty.Done, duty.Conflict}}
 		require.Equal(t, duty.Rejected, h.Do(t.Context(), p.call("s", "x")))
 		time.Sleep(time.Second)
@@ -216,101 +217,101 @@
 		require.Greater(t, p.calls[1].Token, p.calls[0].Token)
 
 		time.Sleep(time.Second)
-		g.set(func() { g.silent = true })
-		require.Equal(t, duty.Fenced, h.Do(t.Context(), p.call("s", "x")), "nobody can say")
+		g.set(func() { g.noQuorum = true })
+		require.Equal(t, duty.Fenced, h.Do(t.Context(), p.call("s", "x")), "no majority can confirm")
 		require.False(t, h.Held())
 	})
 }
 
-func TestOneCallAtATimeOnASubject(t *testing.T) {
-	playDuty(t, false, func(t *testing.T, h *DutyHolder, g *fakeGroup) {
-		for subjects, most := range map[string]int{"s s s": 1, "s t u": 3} {
-			p := &fakePlatform{outcomes: []duty.Outcome{duty.Done}, takes: time.Second}
+func TestCallsOnASubjectAreSerialized(t *testing.T) {
+	withDutyHolder(t, false, func(t *testing.T, h *DutyHolder, g *fakeGroup) {
+		for subjects, maxInFlight := range map[string]int{"s s s": 1, "s t u": 3} {
+			p := &fakePlatform{outcomes: []duty.Outcome{duty.Done}, latency: time.Second}
 			var calls sync.WaitGroup
 			for _, s := range strings.Fields(subjects) {
 				calls.Go(func() { require.Equal(t, duty.Done, h.Do(t.Context(), p.call(duty.Subject(s), "x"))) })
 			}
 			calls.Wait()
-			require.Equal(t, most, p.most)
+			require.Equal(t, maxInFlight, p.maxInFlight)
 			require.Len(t, p.calls, 3)
 		}
 	})
 }
 
-func TestCallsArePaced(t *testing.T) {
-	playDuty(t, false, func(t *testing.T, h *DutyHolder, g *fakeGroup) {
+func TestCallsAreRateLimited(t *testing.T) {
+	withDutyHolder(t, false, func(t *testing.T, h *DutyHolder, g *fakeGroup) {
 		p := &fakePlatform{outcomes: []duty.Outcome{duty.Done}}
 		began := time.Now()
 		for range 21 {
 			require.Equal(t, duty.Done, h.Do(t.Context(), p.call("s", "x")))
 		}
-		require.InDelta(t, 20/(dutyConfig.PerSecond*paceShare), time.Since(began).Seconds(), 0.05)
+		require.InDelta(t, 20/(dutyConfig.PerSecond*callRateShare), time.Since(began).Seconds(), 0.05)
 	})
 }
 
-// Callers that come again at once do not reach a platform that is busy.
-func TestBusyPlatformIsLeftAlone(t *testing.T) {
-	playDuty(t, false, func(t *testing.T, h *DutyHolder, g *fakeGroup) {
+// Callers that retry at once must not overload a busy platform.
+func TestCallsBackOffFromBusyPlatform(t *testing.T) {
+	withDutyHolder(t, false, func(t *testing.T, h *DutyHolder, g *fakeGroup) {
 		p := &fakePlatform{outcomes: []duty.Outcome{duty.Busy}}
 		for end := time.Now().Add(10 * time.Second); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 			h.Do(t.Context(), p.call("s", "x"))
 		}
-		require.LessOrEqual(t, len(p.calls), 16, "pauses of 50 ms to 1 s grow to 1 to 2 s")
+		require.LessOrEqual(t, len(p.calls), 16, "backoff grows to 1 to 2 s")
 		require.GreaterOrEqual(t, len(p.calls), 8)
 	})
 }
 
-func TestReleaseWaitsForTheCallUnderWay(t *testing.T) {
+func TestReleaseWaitsForInFlightCall(t *testing.T) {
 	for outcome, pending := range map[duty.Outcome]bool{duty.Done: false, duty.Unclear: true} {
-		playDuty(t, false, func(t *testing.T, h *DutyHolder, g *fakeGroup) {
-			p := &fakePlatform{outcomes: []duty.Outcome{outcome}, takes: 500 * time.Millisecond}
+		withDutyHolder(t, false, func(t *testing.T, h *DutyHolder, g *fakeGroup) {
+			p := &fakePlatform{outcomes: []duty.Outcome{outcome}, latency: 500 * time.Millisecond}
 			go h.Do(t.Context(), p.call("s", "x"))
 			time.Sleep(100 * time.Millisecond)
 			h.Release(t.Context())
-			require.Zero(t, p.underWay)
+			require.Zero(t, p.inFlight)
 			require.Equal(t, []duty.Release{{Token: 1, Pending: pending}}, g.released)
 			require.Equal(t, duty.NotSent, h.Do(t.Context(), p.call("s", "x")))
 			time.Sleep(time.Second)
-			require.EqualValues(t, 1, g.Record().Token, "it takes no grant any more")
+			require.EqualValues(t, 1, g.Record().Token, "takes no further grant")
 		})
 	}
 }
 
-// A planned stop has little time: a call without an answer must not take all of
-// it, so that the group learns of the release.
-func TestReleaseLeavesTimeForItsWord(t *testing.T) {
-	playDuty(t, false, func(t *testing.T, h *DutyHolder, g *fakeGroup) {
-		p := &fakePlatform{outcomes: []duty.Outcome{duty.Unclear}, takes: callLimit}
+// A call without an answer must not use up the time of a planned stop before the
+// release is committed.
+func TestReleaseReservesTimeToCommit(t *testing.T) {
+	withDutyHolder(t, false, func(t *testing.T, h *DutyHolder, g *fakeGroup) {
+		p := &fakePlatform{outcomes: []duty.Outcome{duty.Unclear}, latency: callTimeout}
 		go h.Do(t.Context(), p.call("s", "x"))
 		time.Sleep(100 * time.Millisecond)
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		h.Release(ctx)
 		require.Equal(t, []duty.Release{{Token: 1, Pending: true}}, g.released)
-		time.Sleep(callLimit)
+		time.Sleep(callTimeout)
 	})
 }
 
-// The way to the platform is cut, the way to the group is not: the duty moves,
-// and less often the more members can't reach the platform.
-func TestHolderThatCanNotReachThePlatformHandsOver(t *testing.T) {
-	playDuty(t, true, func(t *testing.T, h *DutyHolder, g *fakeGroup) {
-		p := &fakePlatform{outcomes: []duty.Outcome{duty.Unclear}, takes: callLimit}
+// With the platform unreachable but the group reachable, leadership moves, and
+// less often the more members have failed to reach the platform.
+func TestUnreachablePlatformTransfersLeadership(t *testing.T) {
+	withDutyHolder(t, true, func(t *testing.T, h *DutyHolder, g *fakeGroup) {
+		p := &fakePlatform{outcomes: []duty.Outcome{duty.Unclear}, latency: callTimeout}
 		began := time.Now()
 		for time.Since(began) < 60*time.Second {
 			h.Do(t.Context(), p.call("s", "x"))
 			time.Sleep(50 * time.Millisecond)
 		}
-		require.GreaterOrEqual(t, len(g.handed), 2)
-		require.LessOrEqual(t, len(g.handed), 7)
-		require.InDelta(t, silentPatience.Seconds(), g.handed[0].Sub(began).Seconds(), 2.5)
+		require.GreaterOrEqual(t, len(g.transfers), 2)
+		require.LessOrEqual(t, len(g.transfers), 7)
+		require.InDelta(t, minTransferDelay.Seconds(), g.transfers[0].Sub(began).Seconds(), 2.5)
 		require.Equal(t, []string{"n1"}, g.Record().Unreachable)
 		require.True(t, g.released[0].Unreachable)
 		require.True(t, g.released[0].Pending)
 
 		time.Sleep(3 * time.Second)
 		p.mu.Lock()
-		p.outcomes, p.takes = []duty.Outcome{duty.Done}, 0
+		p.outcomes, p.latency = []duty.Outcome{duty.Done}, 0
 		p.mu.Unlock()
 		require.Equal(t, duty.Done, h.Do(t.Context(), p.call("s", "x")))
 		time.Sleep(time.Second)
@@ -318,24 +319,24 @@
 	})
 }
 
-func TestOtherMembersThatTriedInVainMakeAHolderPatient(t *testing.T) {
-	playDuty(t, true, func(t *testing.T, h *DutyHolder, g *fakeGroup) {
+func TestTransferDelayGrowsWithUnreachableMembers(t *testing.T) {
+	withDutyHolder(t, true, func(t *testing.T, h *DutyHolder, g *fakeGroup) {
 		g.set(func() { g.record.Unreachable = []string{"n2", "n3"} })
 		time.Sleep(time.Second)
-		p := &fakePlatform{outcomes: []duty.Outcome{duty.Unclear}, takes: callLimit}
+		p := &fakePlatform{outcomes: []duty.Outcome{duty.Unclear}, latency: callTimeout}
 		began := time.Now()
-		for time.Since(began) < 4*silentPatience-time.Second {
+		for time.Since(began) < 4*minTransferDelay-time.Second {
 			h.Do(t.Context(), p.call("s", "x"))
 			time.Sleep(50 * time.Millisecond)
 		}
-		for _, at := range g.handed { // the last call may end after that
-			t.Logf("handed over after %v, the calls ended after %v", at.Sub(began), time.Since(began))
-			require.Greater(t, at.Sub(began), 4*silentPatience)
+		for _, at := range g.transfers { // the last call may still end after that
+			t.Logf("leadership transferred after %v, calls ended after %v", at.Sub(began), time.Since(began))
+			require.Greater(t, at.Sub(began), 4*minTransferDelay)
 		}
 	})
 }
 
-func TestDutyOutlivesASnapshot(t *testing.T) {
+func TestDutySurvivesSnapshot(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := NewState()
 		holder := duty.Holder{Node: "n1", Life: 7}
@@ -349,8 +350,8 @@
 	})
 }
 
-func TestMetricsOfTheDuty(t *testing.T) {
-	playDuty(t, false, func(t *testing.T, h *DutyHolder, g *fakeGroup) {
+func TestDutyMetrics(t *testing.T) {
+	withDutyHolder(t, false, func(t *testing.T, h *DutyHolder, g *fakeGroup) {
 		p := &fakePlatform{outcomes: []duty.Outcome{duty.Done}}
 		h.Do(t.Context(), p.call("s", "x"))
 		var text strings.Builder
--- a/control/duty_release.go
+++ b/control/duty_release.go
@@ -10,44 +10,42 @@
 	"k8s.io/klog/v2"
 )
 
-// Times of giving the duty up.
 const (
-	// silentPatience is for how long the platform may be silent to the first
-	// holder before the duty moves: a restart of the platform moves nothing.
-	silentPatience = 4 * time.Second
-	// mostPatience bounds it where several have tried in vain: the platform is
-	// down for all, and each move costs a change of leader.
-	mostPatience = 64 * time.Second
-	drainEvery   = 10 * time.Millisecond            // between two looks for calls under way
-	drainLimit   = callLimit + 500*time.Millisecond // for calls under way, before the duty is released
+	// minTransferDelay is how long the platform may be unresponsive to the first
+	// holder before leadership is transferred; a platform restart takes less.
+	minTransferDelay = 4 * time.Second
+	// maxTransferDelay bounds the delay when several members could not reach the
+	// platform: it is probably down, and each transfer costs a leader change.
+	maxTransferDelay  = 64 * time.Second
+	drainPollInterval = 10 * time.Millisecond
+	drainTimeout      = callTimeout + 500*time.Millisecond // wait for calls in flight before a release
 )
 
-// Release gives the duty up for good, as before a planned stop, and makes
-// another member the leader where that can be done: the next holder need wait
-// neither for the lease to end nor for an election.
+// Release releases the duty permanently, before a planned stop, and transfers
+// leadership if possible: the next holder waits neither for the lease to expire
+// nor for an election.
 func (h *DutyHolder) Release(ctx context.Context) {
 	h.mu.Lock()
 	h.stopped = true
 	h.mu.Unlock()
 	select {
-	case h.steps <- struct{}{}:
+	case h.stepLock <- struct{}{}:
 	case <-ctx.Done():
 		return
 	}
-	defer func() { <-h.steps }()
+	defer func() { <-h.stepLock }()
 	if !h.group.Leads() {
 		return
 	}
 	h.release(ctx, false)
-	h.logChange()
+	h.logState()
 	if h.transfer != nil {
 		h.transfer.HandOver(ctx)
 	}
 }
 
-// release waits for the calls under way and has the group note that none comes
-// from this process any more. The caller holds steps and has ended the beginning
-// of calls.
+// release waits for calls in flight and commits that this process makes no more
+// calls. The caller holds stepLock and has stopped new calls.
 func (h *DutyHolder) release(ctx context.Context, unreachable bool) {
 	idle := h.drain(ctx)
 	h.mu.Lock()
@@ -58,59 +56,59 @@
 	if !granted {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, stepLimit)
+	ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
 	defer cancel()
-	ok := h.group.Agree(ctx, Command{Release: &duty.Release{Token: token, Pending: pending, Unreachable: unreachable}})
-	klog.InfoS("Duty released", "token", token, "pending", pending, "unreachable", unreachable, "agreed", ok)
+	ok := h.group.Commit(ctx, Command{Release: &duty.Release{Token: token, Pending: pending, Unreachable: unreachable}})
+	klog.InfoS("Duty released", "token", token, "pending", pending, "unreachable", unreachable, "committed", ok)
 }
 
-// drain waits until no call is under way. Half of the time that the caller has
-// is left for the word to the group.
+// drain waits until no call is in flight. It leaves half of the time until ctx's
+// deadline for committing the release.
 func (h *DutyHolder) drain(ctx context.Context) bool {
-	limit := drainLimit
+	limit := drainTimeout
 	if end, ok := ctx.Deadline(); ok {
 		limit = min(limit, time.Until(end)/2)
 	}
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
-	for h.underWay() > 0 {
-		if !pause.For(ctx, drainEvery) {
+	for h.callsInFlight() > 0 {
+		if !pause.For(ctx, drainPollInterval) {
 			return false
 		}
 	}
 	return true
 }
 
-func (h *DutyHolder) underWay() int {
+func (h *DutyHolder) callsInFlight() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return len(h.busy)
+	return len(h.inFlight)
 }
 
-// silence returns for how long the platform has not answered, and after how
-// long the duty moves. The patience doubles with each node that gave the
-// duty up in vain, so that leadership does not wander while the platform is
-// down for all.
-func (h *DutyHolder) silence() (patience, silent time.Duration) {
+// platformSilence returns how long the platform has not answered, and after how
+// long leadership is transferred. The delay doubles with each node that released
+// the duty because the platform was unreachable, so that leadership does not
+// keep moving during a platform outage.
+func (h *DutyHolder) platformSilence() (transferDelay, unresponsive time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	patience = silentPatience
+	transferDelay = minTransferDelay
 	for range h.lease.Record().Unreachable {
-		patience = min(2*patience, mostPatience)
+		transferDelay = min(2*transferDelay, maxTransferDelay)
 	}
-	return patience, h.gate.Silent(uptime.Now())
+	return transferDelay, h.gate.Silent(uptime.Now())
 }
 
-// handOver makes another member the leader, as this one can't reach the
-// platform while a majority of the group hears it.
-func (h *DutyHolder) handOver(ctx context.Context, silent time.Duration) {
+// transferLeadership releases the duty and transfers leadership, since this
+// member can't reach the platform while it reaches a majority of the group.
+func (h *DutyHolder) transferLeadership(ctx context.Context, unresponsive time.Duration) {
 	h.setDraining(true)
 	defer h.setDraining(false)
 	h.release(ctx, true)
-	ctx, cancel := context.WithTimeout(ctx, stepLimit)
+	ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
 	defer cancel()
 	ok := h.transfer.HandOver(ctx)
-	klog.InfoS("Platform is silent, leadership handed over", "silent_ms", silent.Milliseconds(), "handedOver", ok)
+	klog.InfoS("Platform unresponsive, transferring leadership", "unresponsive_ms", unresponsive.Milliseconds(), "transferred", ok)
 }
 
 func (h *DutyHolder) setDraining(on bool) {
--- a/control/feed.go
+++ b/control/feed.go
@@ -5,56 +5,55 @@
 	"k8s.io/klog/v2"
 )
 
-// FedFunc takes the leader's word on the list of targets. It reports false for a change
-// that does not fit what was taken: the whole is asked for then.
-type FedFunc func(discovery.Feed) bool
+// TargetsFunc receives the leader's target list or a change of it. It returns false
+// if a change does not apply; the full list is requested then.
+type TargetsFunc func(discovery.Feed) bool
 
-// FeedTargets has the leader's list of targets told to fed. It must be called
-// before Start.
-func (c *Client) FeedTargets(fed FedFunc) { c.fed = fed }
+// FeedTargets sets the receiver of the target list. It must be called before Start.
+func (c *Client) FeedTargets(onTargets TargetsFunc) { c.onTargets = onTargets }
 
-// takeRoster hands the leader's list of targets on.
-func (c *Client) takeRoster(r RosterReply) {
-	if c.fed == nil || r.Version == 0 {
+// applyTargets passes the target list of a reply to the receiver.
+func (c *Client) applyTargets(r TargetListReply) {
+	if c.onTargets == nil || r.Version == 0 {
 		return
 	}
-	f, err := r.feed(c.held)
+	f, err := r.decode(c.targetsVersion)
 	if err != nil {
-		klog.ErrorS(err, "List of targets not taken")
+		klog.ErrorS(err, "Failed to decode target list")
 	}
-	if err != nil || !c.fed(f) {
-		c.held = 0
+	if err != nil || !c.onTargets(f) {
+		c.targetsVersion = 0
 		return
 	}
-	c.held = r.Version
+	c.targetsVersion = r.Version
 }
 
-// SeenFunc takes the entries of the site; same says that they are those taken last, and
-// entries is nil then. It must not change them.
+// SeenFunc receives the entry nodes of the site. If same is true, they have not
+// changed and entries is nil. It must not modify entries.
 type SeenFunc func(entries []EntryPlace, same bool)
 
-// AsEntry makes the node known as an entry, and has all entries told to seen. It must be
-// called before Start.
-func (c *Client) AsEntry(as EntryPlace, seen SeenFunc) { c.entry, c.seen = as, seen }
+// AsEntry registers this node as an entry node and sets the receiver of the
+// directory. It must be called before Start.
+func (c *Client) AsEntry(self EntryPlace, f SeenFunc) { c.self, c.onEntryNodes = self, f }
 
-// takeEntries hands the entries on that an answer tells of.
-func (c *Client) takeEntries(r *NewestReply) {
-	told := &r.Directory
-	if told.Version == 0 && r.EntriesVersion != 0 { // an older build's
-		told = &DirectoryReply{Version: r.EntriesVersion, Joined: unplaced(r.Entries)}
+// applyEntryNodes passes the entry nodes of a reply to the receiver.
+func (c *Client) applyEntryNodes(r *NewestReply) {
+	reply := &r.Directory
+	if reply.Version == 0 && r.EntriesVersion != 0 { // from an older build
+		reply = &DirectoryReply{Version: r.EntriesVersion, Joined: withoutHall(r.Entries)}
 	}
-	if c.seen == nil || told.Version == 0 {
+	if c.onEntryNodes == nil || reply.Version == 0 {
 		return
 	}
-	if told.Version == c.entriesHeld {
-		c.seen(nil, true)
+	if reply.Version == c.entryNodesVersion {
+		c.onEntryNodes(nil, true)
 		return
 	}
-	entries, ok := told.apply(c.entriesHeld, c.entries)
+	nodes, ok := reply.apply(c.entryNodesVersion, c.entryNodes)
 	if !ok {
-		c.entriesHeld = 0 // all are asked for next
+		c.entryNodesVersion = 0 // request the full list
 		return
 	}
-	c.entriesHeld, c.entries = told.Version, entries
-	c.seen(entries, false)
+	c.entryNodesVersion, c.entryNodes = reply.Version, nodes
+	c.onEntryNodes(nodes, false)
 }
--- a/control/fetch.go
+++ b/control/fetch.go
@@ -12,21 +12,21 @@
 	"github.com/walnutramp/walnutramp/internal/pause"
 )
 
-// Bounds of reading a content in pieces.
+// Bounds of reading a payload in chunks.
 const (
-	pieceLimit = feedWait + 400*time.Millisecond // of one piece: its turn, and the way
-	piecePause = 50 * time.Millisecond           // after one that did not come
-	pieceTries = 4                               // in a row that failed: each node twice
-	pieceBusy  = 5 * time.Second                 // without a piece, while nodes say that it is not its turn
+	chunkTimeout     = chunkQueueTimeout + 400*time.Millisecond // of one chunk: queueing and transfer
+	chunkRetryDelay  = 50 * time.Millisecond                    // after a failed request
+	maxChunkFailures = 4                                        // consecutive failures: each node twice
+	maxBusyWait      = 5 * time.Second                          // without a chunk, while nodes are overloaded
 )
 
-// errBusy says that a node hands out too much already: the piece comes later.
-var errBusy = errors.New("other nodes' pieces come first")
+// errBusy reports that a node has reached its rate limit for chunks.
+var errBusy = errors.New("rate limit of chunks reached")
 
-// document returns the newest document that an answer of a node tells of, by
-// the one that this node held when it asked.
-func (c *Client) document(ctx context.Context, node walnutramp.NodeName, have uint64, doc []byte, r *NewestReply) ([]byte, error) {
-	text, err := readContent(ctx, c.peers, node, r.Source, r.Update, PieceArgs{From: have, To: r.Version})
+// document returns the newest document from a node's reply. base is the document at
+// baseVersion, which the client held when it asked.
+func (c *Client) document(ctx context.Context, node walnutramp.NodeName, baseVersion uint64, base []byte, r *NewestReply) ([]byte, error) {
+	text, err := readPayload(ctx, c.peers, node, r.Source, r.Update, PieceArgs{From: baseVersion, To: r.Version})
 	if err != nil {
 		return nil, err
 	}
@@ -34,58 +34,58 @@
 	if err != nil {
 		return nil, err
 	}
-	next, err := u.apply(doc)
+	next, err := u.apply(base)
 	if err != nil {
 		return nil, err
 	}
 	if bundle.Digest(next) != r.Digest {
-		return nil, errors.Newf("version %d has another digest", r.Version)
+		return nil, errors.Newf("digest mismatch in version %d", r.Version)
 	}
 	return next, nil
 }
 
-// readContent returns the text of a content that an answer of a node tells of.
-// A long one is read in pieces at the source that the answer names, or at the
-// node itself. What has come is kept when the other is asked.
-func readContent(ctx context.Context, peers Peers, node, source walnutramp.NodeName, c Content, args PieceArgs) ([]byte, error) {
+// readPayload returns the text of a payload that a node's reply announces. A long
+// one is read in chunks from source, or from node itself. If one fails, reading
+// resumes at the other.
+func readPayload(ctx context.Context, peers Peers, node, source walnutramp.NodeName, c Payload, args PieceArgs) ([]byte, error) {
 	if c.Inline != nil {
 		return pack.Expand(c.Inline, maxDocument)
 	}
-	from := []walnutramp.NodeName{node}
+	sources := []walnutramp.NodeName{node}
 	if source != "" && source != node {
-		from = []walnutramp.NodeName{source, node}
+		sources = []walnutramp.NodeName{source, node}
 	}
 	args.Hash = c.Hash
 	read := make([]byte, 0, min(c.Bytes, maxDocument))
-	failed, turn, came := 0, 0, time.Now()
+	failures, current, lastProgress := 0, 0, time.Now()
 	for len(read) < c.Bytes {
 		args.Offset = len(read)
-		piece, err := readPiece(ctx, peers, from[turn], args)
+		chunk, err := readChunk(ctx, peers, sources[current], args)
 		if err == nil {
-			read = append(read, piece...)
-			failed, came = 0, time.Now()
+			read = append(read, chunk...)
+			failures, lastProgress = 0, time.Now()
 			continue
 		}
 		if !errors.Is(err, errBusy) {
-			failed++
-			turn = (turn + 1) % len(from)
+			failures++
+			current = (current + 1) % len(sources)
 		}
-		if failed >= pieceTries || time.Since(came) > pieceBusy {
-			return nil, errors.Wrapf(err, "%d of %d bytes read", len(read), c.Bytes)
+		if failures >= maxChunkFailures || time.Since(lastProgress) > maxBusyWait {
+			return nil, errors.Wrapf(err, "payload incomplete: got %d of %d bytes", len(read), c.Bytes)
 		}
-		if !pause.For(ctx, piecePause) {
+		if !pause.For(ctx, chunkRetryDelay) {
 			return nil, ctx.Err()
 		}
 	}
 	if xxhash.Sum64(read) != c.Hash {
-		return nil, errors.New("the pieces do not fit")
+		return nil, errors.New("payload hash mismatch")
 	}
 	return pack.Expand(read, maxDocument)
 }
 
-// readPiece asks a node for one piece.
-func readPiece(ctx context.Context, peers Peers, node walnutramp.NodeName, args PieceArgs) ([]byte, error) {
-	ctx, cancel := context.WithTimeout(ctx, pieceLimit)
+// readChunk requests one chunk from a node.
+func readChunk(ctx context.Context, peers Peers, node walnutramp.NodeName, args PieceArgs) ([]byte, error) {
+	ctx, cancel := context.WithTimeout(ctx, chunkTimeout)
 	defer cancel()
 	var reply PieceReply
 	if err := peers.Call(ctx, node, Service+".Piece", args, &reply); err != nil {
--- a/control/fetch_test.go
+++ b/control/fetch_test.go
@@ -12,12 +12,11 @@
 	"github.com/walnutramp/walnutramp"
 )
 
-// pieceNodes answers questions for pieces by node; one that is not there is
-// silent.
-type pieceNodes map[walnutramp.NodeName]func(args PieceArgs, reply *PieceReply)
+// chunkServers answers Piece calls by node; a missing node does not answer.
+type chunkServers map[walnutramp.NodeName]func(args PieceArgs, reply *PieceReply)
 
 // Call implements Peers.
-func (n pieceNodes) Call(ctx context.Context, node walnutramp.NodeName, method string, args, reply any) error {
+func (n chunkServers) Call(ctx context.Context, node walnutramp.NodeName, method string, args, reply any) error {
 	answer := n[node]
 	if answer == nil {
 		<-ctx.Done()
@@ -30,157 +29,156 @@
 	return nil
 }
 
-// holder hands out pieces of a content and counts the questions.
-func holder(p packed, asked *int) func(PieceArgs, *PieceReply) {
+// serveChunks serves chunks of a compressed text and counts the requests.
+func serveChunks(p compressed, requests *int) func(PieceArgs, *PieceReply) {
 	return func(args PieceArgs, reply *PieceReply) {
-		*asked++
+		*requests++
 		if args.Hash != p.hash {
 			reply.Code = walnutramp.CodeNotHeld
 			return
 		}
 		reply.Code = walnutramp.CodeOK
-		reply.Data = p.bytes[args.Offset:min(args.Offset+pieceBytes, len(p.bytes))]
+		reply.Data = p.bytes[args.Offset:min(args.Offset+chunkBytes, len(p.bytes))]
 	}
 }
 
-// longText is a text of several pieces that does not compress.
-func longText(pieces int) []byte {
-	text := make([]byte, pieces*pieceBytes)
+// longText returns incompressible text of several chunks.
+func longText(chunks int) []byte {
+	text := make([]byte, chunks*chunkBytes)
 	rand.NewChaCha8([32]byte{1}).Read(text)
 	return text
 }
 
-func TestLongContentIsReadAtItsSource(t *testing.T) {
+func TestLongPayloadIsReadFromSource(t *testing.T) {
 	text := longText(5)
-	p := newPacked(text)
+	p := compress(text)
 	var near, far int
-	nodes := pieceNodes{"near": holder(p, &near), "far": holder(p, &far)}
-	got, err := readContent(t.Context(), nodes, "far", "near", p.content(), PieceArgs{})
+	nodes := chunkServers{"near": serveChunks(p, &near), "far": serveChunks(p, &far)}
+	got, err := readPayload(t.Context(), nodes, "far", "near", p.payload(), PieceArgs{})
 	require.NoError(t, err)
 	require.Equal(t, text, got)
 	require.Zero(t, far)
 	require.Greater(t, near, 4)
 }
 
-func TestShortContentIsPartOfTheAnswer(t *testing.T) {
-	got, err := readContent(t.Context(), nil, "far", "near", newPacked([]byte("short")).content(), PieceArgs{})
+func TestShortPayloadIsInline(t *testing.T) {
+	got, err := readPayload(t.Context(), nil, "far", "near", compress([]byte("short")).payload(), PieceArgs{})
 	require.NoError(t, err)
 	require.Equal(t, "short", string(got))
 }
 
-// A source that is silent, or that falls behind, costs one wait; what has come
-// is not read again.
-func TestReadingGoesOnAtTheOtherNode(t *testing.T) {
+// Guards against re-reading chunks after a switch to the other node, and against
+// repeated timeouts on a source that does not answer.
+func TestReadResumesAtOtherNode(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := newPacked(longText(6))
+		p := compress(longText(6))
 		far, near := 0, 0
-		stops := holder(p, &near)
-		nodes := pieceNodes{"far": holder(p, &far), "near": func(args PieceArgs, reply *PieceReply) {
+		serve := serveChunks(p, &near)
+		nodes := chunkServers{"far": serveChunks(p, &far), "near": func(args PieceArgs, reply *PieceReply) {
 			if args.Offset > 0 {
 				reply.Code = walnutramp.CodeNotHeld
 				return
 			}
-			stops(args, reply)
+			serve(args, reply)
 		}}
-		_, err := readContent(t.Context(), nodes, "far", "near", p.content(), PieceArgs{})
+		_, err := readPayload(t.Context(), nodes, "far", "near", p.payload(), PieceArgs{})
 		require.NoError(t, err)
 		require.Equal(t, 1, near)
-		require.Equal(t, 6, far, "pieces that the source had given are not read again")
+		require.Equal(t, 6, far, "chunks read from the source are not read again")
 
 		delete(nodes, "near")
-		began := time.Now()
-		_, err = readContent(t.Context(), nodes, "far", "near", p.content(), PieceArgs{})
+		start := time.Now()
+		_, err = readPayload(t.Context(), nodes, "far", "near", p.payload(), PieceArgs{})
 		require.NoError(t, err)
-		require.Less(t, time.Since(began), pieceLimit+time.Second)
+		require.Less(t, time.Since(start), chunkTimeout+time.Second)
 	})
 }
 
-func TestReadingEndsWhereNobodyAnswers(t *testing.T) {
+func TestReadFailsIfNoNodeAnswers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		began := time.Now()
-		_, err := readContent(t.Context(), pieceNodes{}, "far", "near", newPacked(longText(2)).content(), PieceArgs{})
+		start := time.Now()
+		_, err := readPayload(t.Context(), chunkServers{}, "far", "near", compress(longText(2)).payload(), PieceArgs{})
 		require.Error(t, err)
-		require.Less(t, time.Since(began), 5*time.Second)
+		require.Less(t, time.Since(start), 5*time.Second)
 	})
 }
 
-// A node that is told to come again does so for a while, and the other node is
-// not burdened with it.
-func TestBusySourceIsWaitedFor(t *testing.T) {
+// An overloaded source is retried for a while without a switch to the other node.
+func TestOverloadedSourceIsRetried(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := newPacked(longText(2))
-		asked, far := 0, 0
-		ready := time.Now().Add(pieceBusy / 2)
-		serve := holder(p, &asked)
-		nodes := pieceNodes{"far": holder(p, &far), "near": func(args PieceArgs, reply *PieceReply) {
+		p := compress(longText(2))
+		requests, far := 0, 0
+		ready := time.Now().Add(maxBusyWait / 2)
+		serve := serveChunks(p, &requests)
+		nodes := chunkServers{"far": serveChunks(p, &far), "near": func(args PieceArgs, reply *PieceReply) {
 			if time.Now().Before(ready) {
 				reply.Code = walnutramp.CodeOverloaded
 				return
 			}
 			serve(args, reply)
 		}}
-		_, err := readContent(t.Context(), nodes, "far", "near", p.content(), PieceArgs{})
+		_, err := readPayload(t.Context(), nodes, "far", "near", p.payload(), PieceArgs{})
 		require.NoError(t, err)
 		require.Zero(t, far)
 
 		ready = time.Now().Add(time.Hour)
-		_, err = readContent(t.Context(), nodes, "far", "near", p.content(), PieceArgs{})
+		_, err = readPayload(t.Context(), nodes, "far", "near", p.payload(), PieceArgs{})
 		require.ErrorIs(t, err, errBusy)
 	})
 }
 
-func TestPiecesThatDoNotFitAreNotTaken(t *testing.T) {
-	p := newPacked(longText(2))
-	asked := 0
-	garbled := packed{hash: p.hash, bytes: append([]byte{}, p.bytes...)}
-	garbled.bytes[100] ^= 1
-	_, err := readContent(t.Context(), pieceNodes{"far": holder(garbled, &asked)}, "far", "", p.content(), PieceArgs{})
+func TestCorruptPayloadIsRejected(t *testing.T) {
+	p := compress(longText(2))
+	requests := 0
+	corrupted := compressed{hash: p.hash, bytes: append([]byte{}, p.bytes...)}
+	corrupted.bytes[100] ^= 1
+	_, err := readPayload(t.Context(), chunkServers{"far": serveChunks(corrupted, &requests)}, "far", "", p.payload(), PieceArgs{})
 	require.Error(t, err)
 }
 
-// A node that reads an update finishes it though newer versions have come.
-func TestUpdateIsKeptWhileItIsRead(t *testing.T) {
+// An update can be read to its end after newer versions were accepted.
+func TestUpdateRemainsReadableAfterNewerVersions(t *testing.T) {
 	s := NewOpenServer(nil, NewState(WithRule(AcceptHighest)), nil, NewRoster())
 	accept(s.state, 1)
 	submitRandom(s.state, 2)
 	var first NewestReply
 	s.fill(NewestArgs{Have: 1}, &first)
-	require.Positive(t, first.Update.Bytes, "too large for the answer")
+	require.Positive(t, first.Update.Bytes, "too large to be sent inline")
 	for version := uint64(3); version < 8; version++ {
 		submitRandom(s.state, version)
 	}
-	var piece PieceReply
-	require.NoError(t, s.Piece(PieceArgs{From: 1, To: 2, Hash: first.Update.Hash}, &piece))
-	require.Equal(t, walnutramp.CodeOK, piece.Code)
-	require.NoError(t, s.Piece(PieceArgs{From: 1, To: 2, Hash: 77}, &piece))
-	require.Equal(t, walnutramp.CodeNotHeld, piece.Code)
-	require.NoError(t, s.Piece(PieceArgs{From: 1, To: 2, Hash: first.Update.Hash, Offset: 1 << 30}, &piece))
-	require.Equal(t, walnutramp.CodeNotHeld, piece.Code)
+	var chunk PieceReply
+	require.NoError(t, s.Piece(PieceArgs{From: 1, To: 2, Hash: first.Update.Hash}, &chunk))
+	require.Equal(t, walnutramp.CodeOK, chunk.Code)
+	require.NoError(t, s.Piece(PieceArgs{From: 1, To: 2, Hash: 77}, &chunk))
+	require.Equal(t, walnutramp.CodeNotHeld, chunk.Code)
+	require.NoError(t, s.Piece(PieceArgs{From: 1, To: 2, Hash: first.Update.Hash, Offset: 1 << 30}, &chunk))
+	require.Equal(t, walnutramp.CodeNotHeld, chunk.Code)
 }
 
-// submitRandom puts a document in force that does not compress.
+// submitRandom puts an incompressible document in force.
 func submitRandom(s *State, version uint64) {
-	doc := make([]byte, 4*pieceBytes)
+	doc := make([]byte, 4*chunkBytes)
 	rand.NewChaCha8([32]byte{byte(version)}).Read(doc)
 	sub := newSubmit(version, "operator", doc)
 	s.submit(&sub, 0)
 }
 
-// Pieces leave room on the link: a member hands them out at a bounded rate.
-func TestPiecesArePaced(t *testing.T) {
+// Chunks must not use more than their share of the link.
+func TestChunksAreRateLimited(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		const link = 12.5e6 // bytes a second
+		const link = 12.5e6 // bytes per second
 		s := NewOpenServer(nil, NewState(WithRule(AcceptHighest)), nil, NewRoster(), WithLink(link))
 		submitRandom(s.state, 1)
 		var first NewestReply
 		s.fill(NewestArgs{}, &first)
-		began, bytes := time.Now(), 0
+		start, bytes := time.Now(), 0
 		for range 200 {
-			var piece PieceReply
-			require.NoError(t, s.Piece(PieceArgs{To: 1, Hash: first.Update.Hash}, &piece))
-			require.Equal(t, walnutramp.CodeOK, piece.Code)
-			bytes += len(piece.Data)
+			var chunk PieceReply
+			require.NoError(t, s.Piece(PieceArgs{To: 1, Hash: first.Update.Hash}, &chunk))
+			require.Equal(t, walnutramp.CodeOK, chunk.Code)
+			bytes += len(chunk.Data)
 		}
-		require.InDelta(t, link*feedShare, float64(bytes)/time.Since(began).Seconds(), link/20)
+		require.InDelta(t, link*chunkLinkShare, float64(bytes)/time.Since(start).Seconds(), link/20)
 	})
 }
--- a/control/fleet_base.go
+++ b/control/fleet_base.go
@@ -9,15 +9,15 @@
 	"k8s.io/klog/v2"
 )
 
-// note has the group agree on the targets that a service has before any is
-// ordered, and on more as they appear. It reports whether any are known; the
-// record is what was agreed on.
-func (c *FleetController) note(ctx context.Context, service string, record *fleet.Record, serving fleet.Counts) bool {
+// recordBase commits the number of targets that a service has before any is
+// ordered, and raises it as more appear. It reports whether a base is known, and
+// updates record to what was committed.
+func (c *FleetController) recordBase(ctx context.Context, service string, record *fleet.Record, serving fleet.Counts) bool {
 	orders := FleetOrders{Service: service, Base: record.Base}
 	if len(record.Orders) == 0 {
-		orders.Orders = listedOrders(service, serving)
+		orders.Orders = ordersFromList(service, serving)
 	}
-	more := false
+	raised := false
 	for _, p := range serving.Places() {
 		count := serving[p]
 		if p.Kind == fleet.Spot {
@@ -26,21 +26,21 @@
 			}
 			count = serving.Hall(p.DataHall)
 		}
-		more = orders.raise(p.DataHall, count) || more
+		raised = orders.raiseBase(p.DataHall, count) || raised
 	}
-	if !more && len(orders.Orders) == 0 {
+	if !raised && len(orders.Orders) == 0 {
 		return len(record.Base) > 0
 	}
-	c.settling[service] = time.Now()
-	agreed := c.agree(ctx, orders)
-	klog.InfoS("Targets noted that were not ordered", "service", service, "base", orders.Base, "agreed", agreed)
+	c.baseRaisedAt[service] = time.Now()
+	committed := c.commit(ctx, orders)
+	klog.InfoS("Recorded base targets", "service", service, "base", orders.Base, "committed", committed)
 	*record, _ = c.state.fleetRecord(service)
-	return agreed
+	return committed
 }
 
-// raise notes that a data hall has as many targets at least; false if that is
-// known.
-func (c *FleetOrders) raise(hall string, count int) bool {
+// raiseBase raises a data hall's base count to at least count; false if it is
+// that high already.
+func (c *FleetOrders) raiseBase(hall string, count int) bool {
 	i := slices.IndexFunc(c.Base, func(b fleet.HallCount) bool { return b.DataHall == hall })
 	if i >= 0 && c.Base[i].Count >= count {
 		return false
@@ -54,9 +54,9 @@
 	return true
 }
 
-// listedOrders returns what a list shows of data halls with spot targets as
-// orders: they were ordered before what was agreed on was lost.
-func listedOrders(service string, serving fleet.Counts) []fleet.Order {
+// ordersFromList reconstructs orders for data halls that have spot targets: those
+// were ordered before the committed state was lost.
+func ordersFromList(service string, serving fleet.Counts) []fleet.Order {
 	var orders []fleet.Order
 	for _, p := range serving.Places() {
 		if p.Kind == fleet.Spot {
--- a/control/fleet_controller_test.go
+++ b/control/fleet_controller_test.go
@@ -13,62 +13,63 @@
 	"github.com/walnutramp/walnutramp/control"
 	"github.com/walnutramp/walnutramp/discovery"
 	"github.com/walnutramp/walnutramp/duty"
-	size "github.com/walnutramp/walnutramp/fleet"
+	fleetpkg "github.com/walnutramp/walnutramp/fleet"
 )
 
 const (
 	scaledBoot  = 4 * time.Second
 	scaledDrain = 4 * time.Second
 	scaledHalls = 3
-	scaledBase  = 20 // targets of a hall at the start
+	scaledBase  = 20 // targets per hall at the start
 )
 
-// scaledPlatform is a platform of which targets are ordered.
+// scaledPlatform is a fake platform that can be scaled.
 type scaledPlatform struct {
-	mu      sync.Mutex
-	targets []*scaledTarget
-	orders  []size.Order
-	numbers int
-	down    bool
-	dry     map[size.Place]bool
+	mu         sync.Mutex
+	targets    []*scaledTarget
+	orders     []fleetpkg.Order
+	lastID     int
+	down       bool
+	noCapacity map[fleetpkg.Place]bool
 }
 
 type scaledTarget struct {
 	discovery.Target
 	serves time.Time
-	ends   time.Time // zero for one that does not leave
+	ends   time.Time // zero unless it is draining
 }
 
 func newScaledPlatform() *scaledPlatform {
-	p := &scaledPlatform{dry: map[size.Place]bool{}}
+	p := &scaledPlatform{noCapacity: map[fleetpkg.Place]bool{}}
 	for i := range scaledHalls {
-		p.set(size.Order{DataHall: hallOf(i), Count: scaledBase}, 0)
+		p.set(fleetpkg.Order{DataHall: hallOf(i), Count: scaledBase}, 0)
 	}
 	return p
 }
 
 // Scale implements fleet.Scaler.
-func (p *scaledPlatform) Scale(_ context.Context, _ duty.Permission, o size.Order) duty.Outcome {
+func (p *scaledPlatform) Scale(_ context.Context, _ duty.Permission, o fleetpkg.Order) duty.Outcome {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.down {
 		return duty.Unclear
 	}
 	p.orders = append(p.orders, o)
-	if p.dry[o.Place()] && o.Count > p.count(o.Place()) {
+	if p.noCapacity[o.Place()] && o.Count > p.count(o.Place()) {
 		return duty.Rejected
 	}
 	p.set(o, scaledBoot)
 	return duty.Done
 }
 
-// set carries an order out. The caller holds the mutex, if there is any other.
-func (p *scaledPlatform) set(o size.Order, boot time.Duration) {
+// set applies an order. The caller holds the mutex, except in
+// newScaledPlatform.
+func (p *scaledPlatform) set(o fleetpkg.Order, boot time.Duration) {
 	for n := p.count(o.Place()); n < o.Count; n++ {
-		p.numbers++
+		p.lastID++
 		p.targets = append(p.targets, &scaledTarget{
 			Target: discovery.Target{
-				ID: fmt.Sprintf("i-%d", p.numbers), Service: "engines", DataHall: o.DataHall, Spot: o.Kind == size.Spot, Slots: 48,
+				ID: fmt.Sprintf("i-%d", p.lastID), Service: "engines", DataHall: o.DataHall, Spot: o.Kind == fleetpkg.Spot, Slots: 48,
 			},
 			serves: time.Now().Add(boot),
 		})
@@ -81,15 +82,15 @@
 	}
 }
 
-func (t *scaledTarget) place() size.Place {
+func (t *scaledTarget) place() fleetpkg.Place {
 	if t.Spot {
-		return size.Place{DataHall: t.DataHall, Kind: size.Spot}
+		return fleetpkg.Place{DataHall: t.DataHall, Kind: fleetpkg.Spot}
 	}
-	return size.Place{DataHall: t.DataHall}
+	return fleetpkg.Place{DataHall: t.DataHall}
 }
 
-// count returns the targets of a place that do not leave.
-func (p *scaledPlatform) count(place size.Place) int {
+// count returns the number of targets of a place that are not draining.
+func (p *scaledPlatform) count(place fleetpkg.Place) int {
 	n := 0
 	for _, t := range p.targets {
 		if t.place() == place && t.ends.IsZero() {
@@ -99,7 +100,7 @@
 	return n
 }
 
-// list returns the platform's list.
+// list returns the targets that serve or drain.
 func (p *scaledPlatform) list() []discovery.Target {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -114,21 +115,20 @@
 	return list
 }
 
-// reclaim takes the spot targets of a hall away.
+// reclaim removes the spot targets of a hall and leaves no spot capacity there.
 func (p *scaledPlatform) reclaim(hall string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	place := size.Place{DataHall: hall, Kind: size.Spot}
-	p.dry[place] = true
-	p.set(size.Order{DataHall: hall, Kind: size.Spot}, 0)
+	place := fleetpkg.Place{DataHall: hall, Kind: fleetpkg.Spot}
+	p.noCapacity[place] = true
+	p.set(fleetpkg.Order{DataHall: hall, Kind: fleetpkg.Spot}, 0)
 }
 
-// given returns how many orders the platform took, and how many targets it has
-// by place.
-func (p *scaledPlatform) given() (orders int, counts size.Counts) {
+// ordersAndCounts returns the number of orders received, and the targets by place.
+func (p *scaledPlatform) ordersAndCounts() (orders int, counts fleetpkg.Counts) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	counts = size.Counts{}
+	counts = fleetpkg.Counts{}
 	for _, t := range p.targets {
 		if t.ends.IsZero() {
 			counts[t.place()]++
@@ -143,7 +143,7 @@
 	p.down = down
 }
 
-// leaderCaller makes calls while its member leads.
+// leaderCaller is a duty.Caller that makes calls while its member leads.
 type leaderCaller struct{ member *consensus.Member }
 
 // Held implements duty.Caller.
@@ -157,21 +157,21 @@
 	return call.Send(ctx, duty.Permission{})
 }
 
-// scalable says that the targets of every document's engines can be ordered.
-func scalable([]byte) (map[string]size.Service, error) {
-	return map[string]size.Service{"engines": {
-		Scaling: size.Scaling{Min: 1, Max: 2 * scaledBase, Boot: scaledBoot, SpotPrice: 0.15},
-		Engine:  size.Engine{Slots: 48, Memory: 88000, Copies: true},
+// scalable implements control.FleetServices with one fixed service.
+func scalable([]byte) (map[string]fleetpkg.Service, error) {
+	return map[string]fleetpkg.Service{"engines": {
+		Scaling: fleetpkg.Scaling{Min: 1, Max: 2 * scaledBase, Boot: scaledBoot, SpotPrice: 0.15},
+		Engine:  fleetpkg.Engine{Slots: 48, Memory: 88000, Copies: true},
 	}}, nil
 }
 
-// inScaledFleet runs f in a fleet that orders targets from a platform.
-func inScaledFleet(t *testing.T, f func(*testing.T, *fleet, *scaledPlatform)) {
+// withScaledFleet runs f in a fleet that is scaled on a scaledPlatform.
+func withScaledFleet(t *testing.T, f func(*testing.T, *fleet, *scaledPlatform)) {
 	inFleet(t, 3, 0, func(t *testing.T, fl *fleet) {
 		platform := newScaledPlatform()
 		for _, m := range fl.members {
-			fl.spawn(control.NewFleetController(m.raft, m.answers, leaderCaller{m.raft}, platform, scalable).Run)
-			fl.spawn(discovery.NewPoller(platform, discovery.TakerFunc(m.roster.Set), discovery.WithOnly(m.raft.Leads)).Run)
+			fl.spawn(control.NewFleetController(m.raft, m.rpcServer, leaderCaller{m.raft}, platform, scalable).Run)
+			fl.spawn(discovery.NewPoller(platform, discovery.TakerFunc(m.targets.Set), discovery.WithOnly(m.raft.Leads)).Run)
 		}
 		fl.offer(1, routesDocument(1, 1))
 		f(t, fl, platform)
@@ -181,74 +181,74 @@
 // Targets implements discovery.Source.
 func (p *scaledPlatform) Targets(context.Context) ([]discovery.Target, error) { return p.list(), nil }
 
-// requireSwapped checks that each hall has as many targets as it had, most of
-// them spot ones.
-func requireSwapped(t *testing.T, counts size.Counts) {
+// requireMostlySpot checks that each hall has its initial number of targets and
+// that most of all are spot targets.
+func requireMostlySpot(t *testing.T, counts fleetpkg.Counts) {
 	t.Helper()
 	spot := 0
 	for i := range scaledHalls {
 		require.Equal(t, scaledBase, counts.Hall(hallOf(i)), hallOf(i))
-		spot += counts[size.Place{DataHall: hallOf(i), Kind: size.Spot}]
+		spot += counts[fleetpkg.Place{DataHall: hallOf(i), Kind: fleetpkg.Spot}]
 	}
 	require.GreaterOrEqual(t, 2*spot, scaledHalls*scaledBase, "%v", counts)
 }
 
-func TestLeaderSwapsKinds(t *testing.T) {
-	inScaledFleet(t, func(t *testing.T, fl *fleet, platform *scaledPlatform) {
+func TestLeaderReplacesOnDemandWithSpot(t *testing.T) {
+	withScaledFleet(t, func(t *testing.T, fl *fleet, platform *scaledPlatform) {
 		time.Sleep(9 * time.Second)
-		orders, counts := platform.given()
-		requireSwapped(t, counts)
+		orders, counts := platform.ordersAndCounts()
+		requireMostlySpot(t, counts)
 		require.Equal(t, 2*scaledHalls, orders)
 		time.Sleep(time.Minute)
-		orders, _ = platform.given()
-		require.Equal(t, 2*scaledHalls, orders, "nothing is ordered twice")
+		orders, _ = platform.ordersAndCounts()
+		require.Equal(t, 2*scaledHalls, orders, "no order is repeated")
 	})
 }
 
-func TestNewLeaderGoesOnFromWhatWasOrdered(t *testing.T) {
-	inScaledFleet(t, func(t *testing.T, fl *fleet, platform *scaledPlatform) {
+func TestNewLeaderResumesFromCommittedOrders(t *testing.T) {
+	withScaledFleet(t, func(t *testing.T, fl *fleet, platform *scaledPlatform) {
 		time.Sleep(3 * time.Second) // spot targets boot
-		gone := fl.leader()
-		gone.stop()
-		fl.members = slices.DeleteFunc(fl.members, func(m *fleetMember) bool { return m == gone })
+		oldLeader := fl.leader()
+		oldLeader.stop()
+		fl.members = slices.DeleteFunc(fl.members, func(m *fleetMember) bool { return m == oldLeader })
 		fl.awaitLeader()
 		time.Sleep(10 * time.Second)
-		_, counts := platform.given()
-		requireSwapped(t, counts)
+		_, counts := platform.ordersAndCounts()
+		requireMostlySpot(t, counts)
 		time.Sleep(time.Minute)
-		before, _ := platform.given()
+		before, _ := platform.ordersAndCounts()
 		time.Sleep(time.Minute)
-		after, _ := platform.given()
+		after, _ := platform.ordersAndCounts()
 		require.Equal(t, before, after)
 	})
 }
 
-func TestFleetIsBoughtElsewhereWhenAHallIsTakenAway(t *testing.T) {
-	inScaledFleet(t, func(t *testing.T, fl *fleet, platform *scaledPlatform) {
+func TestReclaimedSpotTargetsAreReplacedElsewhere(t *testing.T) {
+	withScaledFleet(t, func(t *testing.T, fl *fleet, platform *scaledPlatform) {
 		time.Sleep(15 * time.Second)
 		platform.reclaim(hallOf(1))
 		time.Sleep(10 * time.Second)
-		_, counts := platform.given()
+		_, counts := platform.ordersAndCounts()
 		require.GreaterOrEqual(t, counts.Total(), scaledHalls*scaledBase)
-		require.GreaterOrEqual(t, counts.Hall(hallOf(1)), 1, "every hall has its least")
+		require.GreaterOrEqual(t, counts.Hall(hallOf(1)), 1, "the minimum of each hall")
 		platform.mu.Lock()
-		platform.dry = map[size.Place]bool{}
+		platform.noCapacity = map[fleetpkg.Place]bool{}
 		platform.mu.Unlock()
 		time.Sleep(time.Minute)
-		_, counts = platform.given()
-		requireSwapped(t, counts)
+		_, counts = platform.ordersAndCounts()
+		requireMostlySpot(t, counts)
 	})
 }
 
-func TestFleetStaysWhileThePlatformIsDown(t *testing.T) {
-	inScaledFleet(t, func(t *testing.T, fl *fleet, platform *scaledPlatform) {
+func TestFleetIsUnchangedWhilePlatformIsDown(t *testing.T) {
+	withScaledFleet(t, func(t *testing.T, fl *fleet, platform *scaledPlatform) {
 		platform.setDown(true)
 		time.Sleep(5 * time.Second)
-		_, counts := platform.given()
+		_, counts := platform.ordersAndCounts()
 		require.Equal(t, scaledHalls*scaledBase, counts.Total())
 		platform.setDown(false)
 		time.Sleep(15 * time.Second)
-		_, counts = platform.given()
-		requireSwapped(t, counts)
+		_, counts = platform.ordersAndCounts()
+		requireMostlySpot(t, counts)
 	})
 }
--- a/control/fleet_metrics.go
+++ b/control/fleet_metrics.go
@@ -8,41 +8,41 @@
 	"github.com/walnutramp/walnutramp/fleet"
 )
 
-// fleetFigures are what the newest look at a service's targets showed.
-type fleetFigures struct {
+// fleetStats are the metrics of a service's latest reconciliation.
+type fleetStats struct {
 	view     fleet.View
 	method   fleet.Method
-	load     *fleet.Load // to be ready for
-	recent   fleet.Load  // as it came over the last seconds
-	refused  uint64      // orders, for want of targets
-	unclear  uint64      // orders, without a clear answer
+	load     *fleet.Load // forecast
+	recent   fleet.Load  // observed over the last seconds
+	rejected uint64      // orders the platform could not fulfill
+	unclear  uint64      // orders with an unknown outcome
 	requests fleet.Demand
 }
 
-// WriteMetrics writes what the leader knows of the fleet in the Prometheus text
-// form; nothing on other members.
+// WriteMetrics writes the fleet metrics in the Prometheus text format. It writes
+// nothing on members that do not lead.
 func (c *FleetController) WriteMetrics(w io.Writer) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for service, f := range c.figures {
+	for service, f := range c.stats {
 		f.write(w, service)
 	}
 }
 
-func (f *fleetFigures) write(w io.Writer, service string) {
+func (f *fleetStats) write(w io.Writer, service string) {
 	label := fmt.Sprintf("service=%q", service)
 	writeCounts(w, "walnutramp_fleet_wanted", service, f.view.Wanted)
 	writeCounts(w, "walnutramp_fleet_ordered", service, f.view.Ordered)
 	writeCounts(w, "walnutramp_fleet_serving", service, f.view.Serving)
 	writeCounts(w, "walnutramp_fleet_leaving", service, f.view.Leaving)
 	for _, p := range f.view.Ordered.Places() {
-		booting := max(0, f.view.Ordered[p]-f.view.Serving[p])
-		fmt.Fprintf(w, "walnutramp_fleet_missing{%s,data_hall=%q,kind=%q} %d\n", label, p.DataHall, p.Kind, booting)
+		missing := max(0, f.view.Ordered[p]-f.view.Serving[p])
+		fmt.Fprintf(w, "walnutramp_fleet_missing{%s,data_hall=%q,kind=%q} %d\n", label, p.DataHall, p.Kind, missing)
 		cost := f.view.Scaling.Cost(fleet.Counts{p: f.view.Serving[p] + f.view.Leaving[p]})
 		fmt.Fprintf(w, "walnutramp_fleet_cost_per_second{%s,data_hall=%q,kind=%q} %g\n", label, p.DataHall, p.Kind, cost)
 	}
 	fmt.Fprintf(w, "walnutramp_fleet_method{%s,method=%q} 1\n", label, f.method)
-	fmt.Fprintf(w, "walnutramp_fleet_orders_refused_total{%s} %d\n", label, f.refused)
+	fmt.Fprintf(w, "walnutramp_fleet_orders_refused_total{%s} %d\n", label, f.rejected)
 	fmt.Fprintf(w, "walnutramp_fleet_orders_unclear_total{%s} %d\n", label, f.unclear)
 	fmt.Fprintf(w, "walnutramp_fleet_requests_total{%s} %d\n", label, f.requests.Requests)
 	fmt.Fprintf(w, "walnutramp_fleet_requests_without_room_total{%s} %d\n", label, f.requests.Refused)
@@ -58,29 +58,27 @@
 	}
 }
 
-// figuresOf returns the figures of a service. The caller holds the mutex.
-func (c *FleetController) figuresOf(service string) *fleetFigures {
-	if c.figures[service] == nil {
-		c.figures[service] = &fleetFigures{}
+// statsOf returns the stats of a service. The caller holds the mutex.
+func (c *FleetController) statsOf(service string) *fleetStats {
+	if c.stats[service] == nil {
+		c.stats[service] = &fleetStats{}
 	}
-	return c.figures[service]
+	return c.stats[service]
 }
 
-// count counts what came of an order.
-func (f *fleetFigures) count(outcome duty.Outcome) {
+func (f *fleetStats) countOutcome(outcome duty.Outcome) {
 	switch outcome {
 	case duty.Rejected:
-		f.refused++
+		f.rejected++
 	case duty.Unclear:
 		f.unclear++
 	}
 }
 
-// keepFigures keeps what a look showed.
-func (c *FleetController) keepFigures(service string, view *fleet.View, method fleet.Method, load *fleet.Load) {
+func (c *FleetController) recordStats(service string, view *fleet.View, method fleet.Method, load *fleet.Load) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	f := c.figuresOf(service)
+	f := c.statsOf(service)
 	f.view, f.method, f.load = *view, method, load
 	f.recent = c.forecasts[service].Recent()
 	f.requests, _ = c.tally.Of(service)
--- a/control/fleet_orders.go
+++ b/control/fleet_orders.go
@@ -7,17 +7,17 @@
 	"github.com/walnutramp/walnutramp/fleet"
 )
 
-// FleetOrders notes how many targets of a service are ordered, before the
-// platform is told: a new leader goes on from it.
+// FleetOrders records the ordered number of targets of a service. It is committed
+// before the platform is called, so that a new leader resumes from it.
 type FleetOrders struct {
 	Service string
-	Base    []fleet.HallCount // nil to leave it as it is
+	Base    []fleet.HallCount // nil for no change
 	Orders  []fleet.Order
-	Load    *fleet.Load // what they are to be ready for; nil to leave it as it is
+	Load    *fleet.Load // provisioned for; nil for no change
 }
 
-// orderFleet applies orders. The caller holds the mutex.
-func (s *State) orderFleet(c *FleetOrders) Result {
+// applyFleetOrders applies committed orders. The caller holds the mutex.
+func (s *State) applyFleetOrders(c *FleetOrders) Result {
 	i := slices.IndexFunc(s.fleet, func(r fleet.Record) bool { return r.Service == c.Service })
 	s.fleet = slices.Clone(s.fleet)
 	if i < 0 {
@@ -34,8 +34,7 @@
 	return Result{Code: walnutramp.CodeOK}
 }
 
-// fleetRecord returns what is agreed on about a service's targets; false if
-// there is nothing yet.
+// fleetRecord returns the committed record of a service; false if there is none.
 func (s *State) fleetRecord(service string) (fleet.Record, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/control/fleet_orders_test.go
+++ b/control/fleet_orders_test.go
@@ -7,7 +7,7 @@
 	"github.com/walnutramp/walnutramp/fleet"
 )
 
-func TestOrdersOfTargetsSurviveASnapshot(t *testing.T) {
+func TestFleetOrdersSurviveSnapshot(t *testing.T) {
 	s := NewState()
 	apply := func(c FleetOrders) { s.Apply(1, encode(Command{Fleet: &c})) }
 	apply(FleetOrders{Service: "engines", Base: []fleet.HallCount{{DataHall: "north", Count: 4}, {DataHall: "south", Count: 6}}})
@@ -16,9 +16,9 @@
 	spot.Count = 5
 	apply(FleetOrders{Service: "engines", Orders: []fleet.Order{spot}})
 
-	other := NewState()
-	require.NoError(t, other.Restore(s.Snapshot()))
-	r, known := other.fleetRecord("engines")
+	restored := NewState()
+	require.NoError(t, restored.Restore(s.Snapshot()))
+	r, known := restored.fleetRecord("engines")
 	require.True(t, known)
 	require.Equal(t, fleet.Counts{{DataHall: "north"}: 4, {DataHall: "south"}: 6, {DataHall: "north", Kind: fleet.Spot}: 5}, r.Ordered())
 	require.Equal(t, fleet.Counts{{DataHall: "north", Kind: fleet.Spot}: 5}, r.Given())
--- a/control/fleet_test.go
+++ b/control/fleet_test.go
@@ -23,9 +23,8 @@
 	"github.com/walnutramp/walnutramp/rollout"
 )
 
-// fleet is a control group and the entries that follow it, each on a host with
-// a link of its own, in virtual time. Their calls are the real ones, over
-// connections that share the links.
+// fleet is a control group and its entry nodes in virtual time. Each host has its
+// own link, and RPCs share the links.
 type fleet struct {
 	t       *testing.T
 	net     *memnet.Network
@@ -36,21 +35,21 @@
 	cancel  context.CancelFunc
 	tasks   sync.WaitGroup
 
-	platform *usagePlatform // takes the counts of metered requests; nil for none
+	platform *usagePlatform // receives usage counts; nil if requests are not metered
 }
 
 type fleetMember struct {
-	name   walnutramp.NodeName
-	disk   *memfs.FS
-	peers  *peer.Client
-	raft   *consensus.Member
-	roster *control.Roster
-	server *peer.Server
-	client *control.Client // of operators' calls
-	bytes  *peer.Traffic
-	cancel context.CancelFunc
+	name    walnutramp.NodeName
+	disk    *memfs.FS
+	peers   *peer.Client
+	raft    *consensus.Member
+	targets *control.Roster
+	server  *peer.Server
+	client  *control.Client // for operator calls
+	traffic *peer.Traffic
+	cancel  context.CancelFunc
 
-	answers    *control.Server
+	rpcServer  *control.Server
 	timekeeper *control.Timekeeper
 }
 
@@ -62,13 +61,12 @@
 	clock   *groupclock.Follower
 	traffic *peer.Traffic
 
-	mu      sync.Mutex
-	since   map[uint64]time.Time // when each version came into force
-	targets int                  // how many the list names
+	mu           sync.Mutex
+	inForceSince map[uint64]time.Time // when each version came into force, by version
+	targets      int                  // length of the target list
 }
 
-// Links of the hosts, bytes a second, and the way between them: those of a
-// site on which a large document kept most nodes from every later one.
+// Link rates in bytes per second, delays and timeouts of the fleet.
 const (
 	memberLink  = 100e6 / 8
 	entryLink   = 10e6 / 8
@@ -76,21 +74,20 @@
 	fleetHalls  = 4
 	heartbeat   = 100 * time.Millisecond
 	election    = 400 * time.Millisecond
-	compactFrom = 8 << 20                 // bytes of the log
-	inForceTime = 2500 * time.Millisecond // from acknowledged to in force everywhere
+	compactFrom = 8 << 20                 // log size in bytes
+	inForceTime = 2500 * time.Millisecond // from acknowledgement until in force on all entry nodes
 )
 
-// fleetBounds are those of the users' site with roll-outs.
+// fleetBounds are the roll-out bounds of the fleet.
 var fleetBounds = rollout.Bounds{Share: 0.1, Slack: 50, StopWithin: 5 * time.Second}
 
-// inFleet runs f in a bubble of virtual time on a fleet that has a leader.
+// inFleet runs f in a synctest bubble on a fleet that has a leader.
 func inFleet(t *testing.T, members, entries int, f func(*testing.T, *fleet)) {
-	inFleetOf(t, members, entries, nil, f)
+	inFleetWithPlatform(t, members, entries, nil, f)
 }
 
-// inFleetOf is inFleet on a site whose platform wants to know of usage, unless
-// it is nil.
-func inFleetOf(t *testing.T, members, entries int, platform *usagePlatform, f func(*testing.T, *fleet)) {
+// inFleetWithPlatform is inFleet with metering of usage for a platform, unless that is nil.
+func inFleetWithPlatform(t *testing.T, members, entries int, platform *usagePlatform, f func(*testing.T, *fleet)) {
 	synctest.Test(t, func(t *testing.T) {
 		fl := &fleet{t: t, net: memnet.New(), platform: platform}
 		fl.ctx, fl.cancel = context.WithCancel(context.Background())
@@ -126,7 +123,7 @@
 
 func hallOf(i int) string { return fmt.Sprintf("hall-%d", i%fleetHalls+1) }
 
-// addresses finds nodes by their names.
+// addresses resolves a node to its own name.
 type addresses struct{}
 
 // Address implements peer.Addresses.
@@ -138,7 +135,7 @@
 	return self, peer.NewClient(self, fl.net.Dialer(host), addresses{}, traffic), traffic
 }
 
-// startMember starts a member as the program does, on a disk that may be used.
+// startMember starts a member as the program does, on an empty or existing disk.
 func (fl *fleet) startMember(name walnutramp.NodeName, disk *memfs.FS) *fleetMember {
 	self, peers, traffic := fl.peersOf(string(name))
 	identity, err := control.ReadIdentity(disk)
@@ -152,9 +149,9 @@
 		consensus.WithTiming(heartbeat, election), consensus.WithSeed(uint64(len(fl.members)+1)), consensus.WithCompaction(compactFrom))
 	require.NoError(fl.t, err)
 	keeper := control.NewKeeper(name, raft)
-	m := &fleetMember{name: name, disk: disk, peers: peers, raft: raft, roster: control.NewRoster(), server: peer.NewServer(self, traffic), bytes: traffic}
-	answers := control.NewOpenServer(raft, state, keeper, m.roster, control.WithLink(memberLink))
-	m.answers = answers
+	m := &fleetMember{name: name, disk: disk, peers: peers, raft: raft, targets: control.NewRoster(), server: peer.NewServer(self, traffic), traffic: traffic}
+	answers := control.NewOpenServer(raft, state, keeper, m.targets, control.WithLink(memberLink))
+	m.rpcServer = answers
 	hall := hallOf(len(fl.members))
 	relay := control.NewRelay(peers, name, hall, raft, answers)
 	require.NoError(fl.t, m.server.Register(consensus.Service, raft.Handler()))
@@ -190,11 +187,11 @@
 func (fl *fleet) startEntry(i int) *fleetEntry {
 	host := fmt.Sprintf("e%d", i+1)
 	_, peers, traffic := fl.peersOf(host)
-	e := &fleetEntry{peers: peers, traffic: traffic, since: map[uint64]time.Time{}}
+	e := &fleetEntry{peers: peers, traffic: traffic, inForceSince: map[uint64]time.Time{}}
 	e.client = control.NewDocumentClient(peers, fl.seeds, func(version uint64, _ []byte) error {
 		e.mu.Lock()
 		defer e.mu.Unlock()
-		e.since[version] = time.Now()
+		e.inForceSince[version] = time.Now()
 		return nil
 	})
 	e.agent = rollout.NewAgent(uint64(i))
@@ -220,7 +217,7 @@
 	return e
 }
 
-// stop ends a member as a planned stop does.
+// stop shuts a member down.
 func (m *fleetMember) stop() {
 	m.cancel()
 	m.raft.Close()
@@ -241,7 +238,7 @@
 	}
 }
 
-// awaitLeader waits until one member leads.
+// awaitLeader waits until a member leads.
 func (fl *fleet) awaitLeader() {
 	for fl.leader() == nil {
 		time.Sleep(heartbeat)
@@ -257,17 +254,17 @@
 	return nil
 }
 
-// offer hands a document to the first member, as an operator does, and returns
-// when it was acknowledged.
+// offer submits a document through the first member's client and returns the time
+// of the acknowledgement.
 func (fl *fleet) offer(version uint64, doc []byte) time.Time {
 	_, err := fl.members[0].client.Offer(fl.ctx, version, doc)
 	require.NoError(fl.t, err)
 	return time.Now()
 }
 
-// late returns how many entries did not have a version, or a newer one, in
-// force in time.
-func (fl *fleet) late(version uint64, acknowledged time.Time) int {
+// countLate returns the number of entry nodes on which neither a version nor a newer one
+// came into force in time.
+func (fl *fleet) countLate(version uint64, acknowledged time.Time) int {
 	n := 0
 	for _, e := range fl.entries {
 		if !e.inForce(version, acknowledged.Add(inForceTime)) {
@@ -280,7 +277,7 @@
 func (e *fleetEntry) inForce(version uint64, by time.Time) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	for v, at := range e.since {
+	for v, at := range e.inForceSince {
 		if v >= version && !at.After(by) {
 			return true
 		}
@@ -288,8 +285,8 @@
 	return false
 }
 
-// holding returns how many entries hold a list of so many targets.
-func (fl *fleet) holding(targets int) int {
+// countHolding returns the number of entry nodes whose target list has so many targets.
+func (fl *fleet) countHolding(targets int) int {
 	n := 0
 	for _, e := range fl.entries {
 		e.mu.Lock()
@@ -301,8 +298,8 @@
 	return n
 }
 
-// routesDocument returns a document with so many routes; one with more routes
-// begins with those of the shorter one.
+// routesDocument returns a document with so many routes. The routes of a shorter
+// document are a prefix of those of a longer one.
 func routesDocument(version uint64, routes int) []byte {
 	rng := rand.New(rand.NewPCG(7, 7))
 	word := func() string { return fmt.Sprintf("%08x", rng.Uint32()) }
--- a/control/group_site_test.go
+++ b/control/group_site_test.go
@@ -27,8 +27,8 @@
 	os.Exit(m.Run())
 }
 
-// group is a control group whose members call each other in one process, with
-// delays, losses and cuts drawn from a seed.
+// group is an in-process control group whose calls are delayed, lost and
+// partitioned by a seeded random generator.
 type group struct {
 	t       *testing.T
 	names   []walnutramp.NodeName
@@ -84,7 +84,7 @@
 	}
 	state := control.NewState()
 	raft, err := consensus.New(name, identity, m.disk, founding, peers{g, name}, state,
-		consensus.WithSeed(g.draw(1<<30)), consensus.WithCompaction(20_000))
+		consensus.WithSeed(g.random(1<<30)), consensus.WithCompaction(20_000))
 	if err != nil {
 		return err
 	}
@@ -96,14 +96,14 @@
 	return nil
 }
 
-func (g *group) draw(n int) uint64 {
+func (g *group) random(n int) uint64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return uint64(g.rng.IntN(n))
 }
 
-// kill ends a member as a crash does; some unsynced bytes may survive.
-func (g *group) kill(name walnutramp.NodeName) {
+// crash crashes a member; some unsynced bytes may survive.
+func (g *group) crash(name walnutramp.NodeName) {
 	m := g.members[name]
 	g.mu.Lock()
 	up := m.up
@@ -113,17 +113,18 @@
 		return
 	}
 	m.raft.Close()
-	m.disk.Crash(int(g.draw(40)))
+	m.disk.Crash(int(g.random(40)))
 }
 
 func (g *group) close() {
 	for _, name := range g.names {
-		g.kill(name)
+		g.crash(name)
 	}
 }
 
-// reach returns the member if it can be called from a node now.
-func (g *group) reach(from, to walnutramp.NodeName) (*member, time.Duration, bool) {
+// reachable returns the member, if a call from a node can reach it now, and the
+// delay.
+func (g *group) reachable(from, to walnutramp.NodeName) (*member, time.Duration, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	m := g.members[to]
@@ -131,18 +132,18 @@
 	if !m.up || g.cut[[2]walnutramp.NodeName{from, to}] || g.rng.Float64() < g.loss {
 		return nil, delay, false
 	}
-	now := *m // it may be restarted while the call is on its way
-	return &now, delay, true
+	current := *m // copy: the member may be restarted during the call
+	return &current, delay, true
 }
 
-// peers is how one node calls others; one-way cuts lose only one direction.
+// peers are the connections of one node. Each direction can be cut separately.
 type peers struct {
 	g    *group
 	from walnutramp.NodeName
 }
 
 func (p peers) Call(ctx context.Context, to walnutramp.NodeName, method string, args, reply any) error {
-	m, delay, ok := p.g.reach(p.from, to)
+	m, delay, ok := p.g.reachable(p.from, to)
 	if !wait(ctx, delay) {
 		return ctx.Err()
 	}
@@ -161,7 +162,7 @@
 		return ctx.Err()
 	}
 	if p.from != "client" {
-		if _, _, ok := p.g.reach(to, p.from); !ok {
+		if _, _, ok := p.g.reachable(to, p.from); !ok {
 			<-ctx.Done()
 			return ctx.Err()
 		}
@@ -199,7 +200,7 @@
 
 func (p peers) String() string { return string(p.from) }
 
-// inGroup runs f in virtual time on a new group that had time to elect.
+// inGroup runs f in virtual time on a new group after its first election.
 func inGroup(t *testing.T, n int, seed uint64, f func(t *testing.T, g *group)) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newGroup(t, n, seed)
--- a/control/group_test.go
+++ b/control/group_test.go
@@ -18,12 +18,12 @@
 	"github.com/walnutramp/walnutramp/control"
 )
 
-// document is a small valid bundle that its author makes unlike any other.
+// document returns a small valid bundle that is unique to its author.
 func document(version uint64, author string) []byte {
 	return []byte(fmt.Sprintf("version: %d\nsite: %s\n", version, author))
 }
 
-// submit offers a bundle to a member once.
+// submit submits a bundle to a member once.
 func (g *group) submit(to walnutramp.NodeName, doc []byte) control.DoReply {
 	sig, err := bundle.Sign(doc, "harbour", g.private)
 	require.NoError(g.t, err)
@@ -44,7 +44,7 @@
 	return reply, err == nil && reply.Code == walnutramp.CodeOK
 }
 
-// The model: the digests of the accepted versions, in order.
+// The model's state is the concatenated digests of the accepted versions.
 type bundleInput struct {
 	read    bool
 	version uint64
@@ -89,9 +89,9 @@
 	neverReturns = int64(1) << 60
 )
 
-// history runs clients that read and submit while members fail, and returns
-// what they saw.
-func history(t *testing.T, seed uint64, fault func(g *group, n int)) []porcupine.Operation {
+// runHistory runs clients that read and submit during faults and returns their
+// operations.
+func runHistory(t *testing.T, seed uint64, fault func(g *group, n int)) []porcupine.Operation {
 	g := newGroup(t, 3+2*int(seed%2), seed)
 	defer g.close()
 	g.mu.Lock()
@@ -104,7 +104,7 @@
 	for id := range 3 {
 		clients.Go(func() {
 			for i := range historyOps {
-				op, ok := g.operation(id, i)
+				op, ok := g.randomOperation(id, i)
 				if ok {
 					mu.Lock()
 					ops = append(ops, op)
@@ -118,7 +118,7 @@
 	faults.Go(func() {
 		for n := 0; ; n++ {
 			select {
-			case <-time.After(time.Duration(100+g.draw(900)) * time.Millisecond):
+			case <-time.After(time.Duration(100+g.random(900)) * time.Millisecond):
 				fault(g, n)
 			case <-stop:
 				return
@@ -131,9 +131,8 @@
 	return ops
 }
 
-// anyone returns a member, mostly one that takes itself for the leader: there
-// may be none, or two.
-func (g *group) anyone() walnutramp.NodeName {
+// pickMember returns a random member, most often one that believes to be the leader.
+func (g *group) pickMember() walnutramp.NodeName {
 	var leaders []walnutramp.NodeName
 	for _, n := range g.names {
 		g.mu.Lock()
@@ -144,26 +143,26 @@
 			leaders = append(leaders, n)
 		}
 	}
-	if len(leaders) == 0 || g.draw(10) == 0 {
-		return g.names[g.draw(len(g.names))]
+	if len(leaders) == 0 || g.random(10) == 0 {
+		return g.names[g.random(len(g.names))]
 	}
-	return leaders[g.draw(len(leaders))]
+	return leaders[g.random(len(leaders))]
 }
 
-// operation makes one random call: a read, a submission of the next version,
-// or one of an old version again.
-func (g *group) operation(id, i int) (porcupine.Operation, bool) {
-	time.Sleep(time.Duration(g.draw(400)) * time.Millisecond)
-	to := g.anyone()
+// randomOperation makes one random call: a read, or a submission of the next version or
+// an older one.
+func (g *group) randomOperation(id, i int) (porcupine.Operation, bool) {
+	time.Sleep(time.Duration(g.random(400)) * time.Millisecond)
+	to := g.pickMember()
 	call := time.Now().UnixNano()
 	r, ok := g.newest(to)
-	if g.draw(3) == 0 {
+	if g.random(3) == 0 {
 		return porcupine.Operation{
 			ClientId: id, Input: bundleInput{read: true}, Call: call,
 			Output: bundleOutput{version: r.Version, digest: r.Digest}, Return: time.Now().UnixNano(),
 		}, ok
 	}
-	version := r.Version + 1 - min(g.draw(3)/2, r.Version)
+	version := r.Version + 1 - min(g.random(3)/2, r.Version)
 	doc := document(version, fmt.Sprintf("author-%d-%d", id, i))
 	in := bundleInput{version: version, digest: bundle.Digest(doc)}
 	call = time.Now().UnixNano()
@@ -175,7 +174,7 @@
 	case reply.Code != walnutramp.CodeOK:
 		op.Output = bundleOutput{unknown: true}
 		op.Return = neverReturns
-		op.ClientId = 100 + 10*id + i // the client goes on
+		op.ClientId = 100 + 10*id + i // the client continues under another ID
 	default:
 		res := reply.Result
 		op.Output = bundleOutput{conflict: res.Code == walnutramp.CodeBundleConflict, version: res.Version, digest: res.Digest}
@@ -183,14 +182,14 @@
 	return op, true
 }
 
-// commonFaults kills and restarts members, cuts links one way or both, and
-// heals.
-func commonFaults(g *group, _ int) {
-	a, b := g.names[g.draw(len(g.names))], g.names[g.draw(len(g.names))]
-	switch g.draw(6) {
+// randomFault crashes and restarts members, cuts links in one or both directions,
+// and heals them.
+func randomFault(g *group, _ int) {
+	a, b := g.names[g.random(len(g.names))], g.names[g.random(len(g.names))]
+	switch g.random(6) {
 	case 0, 1:
-		g.kill(a)
-		time.Sleep(time.Duration(g.draw(1500)) * time.Millisecond)
+		g.crash(a)
+		time.Sleep(time.Duration(g.random(1500)) * time.Millisecond)
 		require.NoError(g.t, g.start(a))
 	case 2:
 		g.setCut(a, b, true)
@@ -204,61 +203,61 @@
 	}
 }
 
-// linearizable checks a seed's history and counts its operations.
-func linearizable(t *testing.T, seed uint64, fault func(*group, int)) (bool, int) {
+// checkSeed checks the history of a seed and returns its number of operations.
+func checkSeed(t *testing.T, seed uint64, fault func(*group, int)) (bool, int) {
 	var ops []porcupine.Operation
-	synctest.Test(t, func(t *testing.T) { ops = history(t, seed, fault) })
+	synctest.Test(t, func(t *testing.T) { ops = runHistory(t, seed, fault) })
 	return porcupine.CheckOperations(bundleModel, ops), len(ops)
 }
 
-// TestBundlesAreLinearizable checks, over seeded schedules of crashes, cuts
-// and losses, that bundles are accepted one after another, that equal
-// versions have one winner, and that no read goes back.
+// TestBundlesAreLinearizable checks over seeded schedules of crashes, partitions
+// and losses that bundles are accepted in order, that each version has one winner,
+// and that reads never go back.
 func TestBundlesAreLinearizable(t *testing.T) {
 	var total atomic.Int64
 	t.Run("seeds", func(t *testing.T) {
 		for seed := range uint64(historySeeds) {
 			t.Run(fmt.Sprint(seed), func(t *testing.T) {
 				t.Parallel()
-				ok, ops := linearizable(t, seed, commonFaults)
+				ok, ops := checkSeed(t, seed, randomFault)
 				require.True(t, ok, "seed %d: %d operations", seed, ops)
 				total.Add(int64(ops))
 			})
 		}
 	})
 	t.Logf("%d operations in %d histories", total.Load(), historySeeds)
-	require.Greater(t, total.Load(), int64(historySeeds*historyOps), "too few operations to mean anything")
+	require.Greater(t, total.Load(), int64(historySeeds*historyOps), "too few operations for a meaningful check")
 }
 
-// TestCheckerCatchesForgottenDisks empties disks and lets them pass for the
-// founders' own: the history check must see it.
-func TestCheckerCatchesForgottenDisks(t *testing.T) {
-	forget := func(g *group, n int) {
-		a := g.names[g.draw(len(g.names))]
-		g.kill(a)
+// TestCheckerDetectsVotesWithEmptiedDisks checks that the linearizability check detects
+// members that vote with an emptied disk.
+func TestCheckerDetectsVotesWithEmptiedDisks(t *testing.T) {
+	wipeAndRejoin := func(g *group, n int) {
+		a := g.names[g.random(len(g.names))]
+		g.crash(a)
 		g.members[a].disk.Wipe()
 		require.NoError(g.t, control.FoundIdentity(g.members[a].disk))
 		require.NoError(g.t, g.start(a))
 	}
-	caught := 0
+	detected := 0
 	for seed := range uint64(20) {
-		if ok, _ := linearizable(t, seed, forget); !ok {
-			caught++
+		if ok, _ := checkSeed(t, seed, wipeAndRejoin); !ok {
+			detected++
 		}
 	}
-	require.NotZero(t, caught)
-	t.Logf("caught in %d of 20 histories", caught)
+	require.NotZero(t, detected)
+	t.Logf("caught in %d of 20 histories", detected)
 }
 
-// TestEmptiedDiskNeverVotes wipes one member of three and stops another: the
-// wiped one is a stranger, so no bundle may be accepted.
+// TestEmptiedDiskNeverVotes checks that a member with an emptied disk does not
+// count towards a majority.
 func TestEmptiedDiskNeverVotes(t *testing.T) {
 	inGroup(t, 3, 1, func(t *testing.T, g *group) {
 		require.Equal(t, walnutramp.CodeOK, g.submitAnywhere(document(1, "a")).Code)
-		g.kill("c1")
+		g.crash("c1")
 		g.members["c1"].disk.Wipe()
 		require.NoError(t, g.start("c1"))
-		g.kill("c2")
+		g.crash("c2")
 		time.Sleep(10 * time.Second)
 		require.NotEqual(t, walnutramp.CodeOK, g.submitAnywhere(document(2, "a")).Code)
 		require.NoError(t, g.start("c2"))
@@ -275,20 +274,20 @@
 				return r
 			}
 		}
-		time.Sleep(300 * time.Millisecond) // an election may be on
+		time.Sleep(300 * time.Millisecond) // an election may be in progress
 	}
 	return r
 }
 
-// TestRestartAfterThousandChanges restarts every member at once after 1,000
-// accepted bundles, through snapshots and cut-off logs.
+// TestRestartAfterThousandChanges restarts all members from snapshots and compacted
+// logs.
 func TestRestartAfterThousandChanges(t *testing.T) {
 	inGroup(t, 3, 2, func(t *testing.T, g *group) {
 		for v := uint64(1); v <= 1000; v++ {
 			require.Equal(t, walnutramp.CodeOK, g.submitAnywhere(document(v, "a")).Code, "version %d", v)
 		}
 		for _, n := range g.names {
-			g.kill(n)
+			g.crash(n)
 		}
 		for _, n := range g.names {
 			require.NoError(t, g.start(n))
@@ -299,7 +298,7 @@
 				require.EqualValues(t, 1000, r.Version)
 			}
 		}
-		// The first answer again, a hundred versions on and later.
+		// Resubmitting an older version returns its original result.
 		r := g.submitAnywhere(document(900, "a"))
 		require.Equal(t, walnutramp.CodeOK, r.Result.Code)
 		require.EqualValues(t, 900, r.Result.Version)
@@ -310,36 +309,36 @@
 	})
 }
 
-// TestCutOffLeaderConfirmsNothing cuts a leader off for hours: it must not
-// vouch for its bundle, and must take the group's when it returns.
-func TestCutOffLeaderConfirmsNothing(t *testing.T) {
+// TestPartitionedLeaderConfirmsNothing checks that a partitioned leader does not confirm
+// its bundle and catches up when it returns.
+func TestPartitionedLeaderConfirmsNothing(t *testing.T) {
 	inGroup(t, 3, 3, func(t *testing.T, g *group) {
 		require.Equal(t, walnutramp.CodeOK, g.submitAnywhere(document(1, "a")).Code)
-		var old walnutramp.NodeName
+		var oldLeader walnutramp.NodeName
 		for _, n := range g.names {
 			if g.members[n].raft.Leads() {
-				old = n
+				oldLeader = n
 			}
 		}
 		for _, n := range g.names {
-			g.setCut(old, n, true)
-			g.setCut(n, old, true)
+			g.setCut(oldLeader, n, true)
+			g.setCut(n, oldLeader, true)
 		}
-		_, ok := g.newest(old)
-		require.False(t, ok, "a leader that hears nobody vouched for its bundle")
+		_, ok := g.newest(oldLeader)
+		require.False(t, ok, "a partitioned leader confirmed its bundle")
 		time.Sleep(3 * time.Hour)
-		require.False(t, g.members[old].raft.Leads())
+		require.False(t, g.members[oldLeader].raft.Leads())
 		require.Equal(t, walnutramp.CodeOK, g.submitAnywhere(document(2, "b")).Code)
 		g.mu.Lock()
 		clear(g.cut)
 		g.mu.Unlock()
 		time.Sleep(3 * time.Second)
-		require.Equal(t, uint64(2), g.members[old].state.History()[2].Version)
+		require.Equal(t, uint64(2), g.members[oldLeader].state.History()[2].Version)
 	})
 }
 
-// TestUnsignedBundleIsRefused alters a signed bundle by one byte.
-func TestUnsignedBundleIsRefused(t *testing.T) {
+// TestInvalidSignatureIsRejected checks missing and invalid signatures.
+func TestInvalidSignatureIsRejected(t *testing.T) {
 	inGroup(t, 3, 4, func(t *testing.T, g *group) {
 		doc := document(1, "a")
 		sig, err := bundle.Sign(doc, "harbour", g.private)
@@ -359,7 +358,7 @@
 	})
 }
 
-// leader returns the member that leads, waiting for one.
+// leader returns the confirmed leader, waiting for one.
 func (g *group) leader() walnutramp.NodeName {
 	for {
 		for _, n := range g.names {
@@ -377,7 +376,7 @@
 	}
 }
 
-// change proposes a group to the leader until it is accepted.
+// change proposes a membership change to the leader until it is accepted.
 func (g *group) change(edit func([]consensus.Voter) []consensus.Voter) {
 	for range 20 {
 		raft := g.members[g.leader()].raft
@@ -391,24 +390,23 @@
 	g.t.Fatal("the change was never accepted")
 }
 
-// TestSecondLossRightAfterARepair empties a disk, replaces it as a learner
-// that is counted once it has caught up, and then loses another member: what
-// was accepted is there and the group goes on.
-func TestSecondLossRightAfterARepair(t *testing.T) {
+// TestMemberFailureAfterReplacement replaces a member that lost its disk, then stops
+// another one. Accepted bundles must survive and the group must stay available.
+func TestMemberFailureAfterReplacement(t *testing.T) {
 	inGroup(t, 3, 5, func(t *testing.T, g *group) {
 		for v := uint64(1); v <= 50; v++ {
 			require.Equal(t, walnutramp.CodeOK, g.submitAnywhere(document(v, "a")).Code)
 		}
-		g.kill("c1")
+		g.crash("c1")
 		g.members["c1"].disk.Wipe()
 		require.NoError(t, g.start("c1"))
 		identity, err := control.ReadIdentity(g.members["c1"].disk)
 		require.NoError(t, err)
-		newcomer := consensus.Voter{Node: "c1", Identity: identity, Learner: true}
+		learner := consensus.Voter{Node: "c1", Identity: identity, Learner: true}
 		g.change(func(vs []consensus.Voter) []consensus.Voter {
 			return slices.DeleteFunc(vs, func(v consensus.Voter) bool { return v.Node == "c1" })
 		})
-		g.change(func(vs []consensus.Voter) []consensus.Voter { return append(vs, newcomer) })
+		g.change(func(vs []consensus.Voter) []consensus.Voter { return append(vs, learner) })
 		for g.members["c1"].raft.Status().Applied < g.members[g.leader()].raft.Status().Commit {
 			time.Sleep(100 * time.Millisecond)
 		}
@@ -418,7 +416,7 @@
 			}
 			return vs
 		})
-		g.kill("c2")
+		g.crash("c2")
 		time.Sleep(3 * time.Second)
 		require.Equal(t, walnutramp.CodeOK, g.submitAnywhere(document(51, "a")).Code)
 		r, ok := g.newest(g.leader())
@@ -427,9 +425,8 @@
 	})
 }
 
-// TestLearnerDoesNotCount adds an empty learner: it must not make up a
-// majority.
-func TestLearnerDoesNotCount(t *testing.T) {
+// TestLearnerDoesNotCountTowardsMajority checks that learners do not count towards a majority.
+func TestLearnerDoesNotCountTowardsMajority(t *testing.T) {
 	inGroup(t, 4, 6, func(t *testing.T, g *group) {
 		g.change(func(vs []consensus.Voter) []consensus.Voter {
 			for i := range vs {
@@ -438,24 +435,24 @@
 			return vs
 		})
 		require.Equal(t, walnutramp.CodeOK, g.submitAnywhere(document(1, "a")).Code)
-		g.kill("c1")
-		g.kill("c2")
+		g.crash("c1")
+		g.crash("c2")
 		time.Sleep(5 * time.Second)
 		require.NotEqual(t, walnutramp.CodeOK, g.submitAnywhere(document(2, "a")).Code)
 	})
 }
 
-// TestFullDiskEndsTheMember fills one member's disk: it stops, the others go
-// on, and with room again it returns.
-func TestFullDiskEndsTheMember(t *testing.T) {
+// TestMemberStopsOnFullDisk checks that a member with a full disk stops, that the
+// group stays available, and that the member recovers.
+func TestMemberStopsOnFullDisk(t *testing.T) {
 	inGroup(t, 3, 7, func(t *testing.T, g *group) {
-		old := g.leader()
-		g.members[old].disk.FailAfter(0)
+		oldLeader := g.leader()
+		g.members[oldLeader].disk.FailAfter(0)
 		require.Equal(t, walnutramp.CodeOK, g.submitAnywhere(document(1, "a")).Code)
-		require.False(t, g.members[old].raft.Leads())
-		g.kill(old)
-		require.NoError(t, g.start(old))
+		require.False(t, g.members[oldLeader].raft.Leads())
+		g.crash(oldLeader)
+		require.NoError(t, g.start(oldLeader))
 		time.Sleep(3 * time.Second)
-		require.EqualValues(t, 1, g.members[old].state.History()[1].Version)
+		require.EqualValues(t, 1, g.members[oldLeader].state.History()[1].Version)
 	})
 }
--- a/control/introducer.go
+++ b/control/introducer.go
@@ -11,27 +11,27 @@
 	"k8s.io/klog/v2"
 )
 
-// Times of introductions.
+// Interval and timeout of introductions.
 const (
-	introduceEvery = 500 * time.Millisecond // well within what nodes have to serve again after a start of all
-	introduceLimit = 300 * time.Millisecond
+	introduceInterval = 500 * time.Millisecond // well below the time in which nodes must serve again after a full restart
+	introduceTimeout  = 300 * time.Millisecond
 )
 
-// Introducer tells the seeds that are no members who the members are. Nodes
-// that start know the seeds alone, and after a start of all processes a proxy
-// among them knows of nobody.
+// Introducer sends the list of members to the seeds that are not members. Starting
+// nodes know only the seeds, and after a full restart such a seed could not
+// redirect them.
 type Introducer struct {
 	peers  Peers
 	member *consensus.Member
 	client *Client
 }
 
-// NewIntroducer returns an introducer for a member; the client knows the seeds.
+// NewIntroducer returns an introducer for a member. The client provides the seeds.
 func NewIntroducer(peers Peers, m *consensus.Member, c *Client) *Introducer {
 	return &Introducer{peers: peers, member: m, client: c}
 }
 
-// IntroduceArgs names the members.
+// IntroduceArgs lists the members.
 type IntroduceArgs struct {
 	Group []walnutramp.NodeName
 }
@@ -39,9 +39,9 @@
 // IntroduceReply is empty.
 type IntroduceReply struct{}
 
-// Run introduces the members until ctx ends.
+// Run sends the list of members until ctx ends.
 func (i *Introducer) Run(ctx context.Context) {
-	for pause.For(ctx, introduceEvery) {
+	for pause.For(ctx, introduceInterval) {
 		group := i.member.Status().Group.Nodes()
 		if len(group) == 0 {
 			continue
@@ -55,26 +55,26 @@
 }
 
 func (i *Introducer) introduce(ctx context.Context, seed walnutramp.NodeName, group []walnutramp.NodeName) {
-	ctx, cancel := context.WithTimeout(ctx, introduceLimit)
+	ctx, cancel := context.WithTimeout(ctx, introduceTimeout)
 	defer cancel()
 	if err := i.peers.Call(ctx, seed, Service+".Introduce", IntroduceArgs{Group: group}, &IntroduceReply{}); err != nil {
-		klog.V(1).InfoS("Members not introduced", "seed", seed, "err", err)
+		klog.V(1).InfoS("Failed to introduce members", "seed", seed, "err", err)
 	}
 }
 
-// seedList returns the nodes that are always asked.
+// seedList returns a copy of the seeds.
 func (c *Client) seedList() []walnutramp.NodeName {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return slices.Clone(c.seeds)
 }
 
-// Introduce implements the RPC by which a member names the members.
+// Introduce implements the RPC by which a member sends the list of members.
 func (g *Guide) Introduce(args IntroduceArgs, _ *IntroduceReply) error {
 	g.client.LearnGroup(args.Group)
 	return nil
 }
 
-// Introduce implements the RPC by which a member names the members; another
-// member asks the group itself.
+// Introduce implements the RPC by which a member sends the list of members. Members
+// ignore it: they know the group from the log.
 func (s *Server) Introduce(IntroduceArgs, *IntroduceReply) error { return nil }
--- a/control/keeper.go
+++ b/control/keeper.go
@@ -12,125 +12,126 @@
 	"k8s.io/klog/v2"
 )
 
-// Times of the keeping of members.
+// Intervals, timeouts and bounds of membership changes.
 const (
-	keepEvery    = 100 * time.Millisecond
-	joinEvery    = 250 * time.Millisecond
-	joinLimit    = 500 * time.Millisecond
-	newcomerLife = 2 * time.Second         // since a newcomer last asked
-	silentLimit  = 1500 * time.Millisecond // after which a voter gives way to a newcomer
-	changeLimit  = 2 * time.Second
-	doubtLimit   = 500 * time.Millisecond  // after which a voter may be lost
-	deadLimit    = 2500 * time.Millisecond // after which a voter goes though nobody is new
-	fewestVoters = 2                       // that are left when a newcomer is ready
-	enoughVoters = 3                       // of more than these a dead one is of no use
+	membershipInterval = 100 * time.Millisecond
+	joinInterval       = 250 * time.Millisecond
+	joinTimeout        = 500 * time.Millisecond
+	joinRequestTTL     = 2 * time.Second         // since the last join request
+	replaceAfter       = 1500 * time.Millisecond // a voter silent for longer is replaced by a learner that has caught up
+	changeTimeout      = 2 * time.Second
+	suspectAfter       = 500 * time.Millisecond  // a voter silent for longer may have failed
+	removeAfter        = 2500 * time.Millisecond // a voter silent for longer is removed without a replacement
+	minVoters          = 2                       // no voter is replaced at or below this number
+	sufficientVoters   = 3                       // no voter is removed without a replacement at or below this number
 )
 
-// Keeper changes the group's members on the leader, one step at a time, none
-// of which needs the word of a member that is lost. A newcomer comes in as a
-// learner and counts once it has caught up. Where a voter is silent by then,
-// that one is removed first, so that the group does not grow by dead members;
-// where more than three are left, a dead one is removed without a newcomer. A
-// member that was only cut off comes in again as a newcomer.
+// Keeper manages the group's membership on the leader, one change at a time. No
+// change needs the vote of a failed member. A joining node is added as a learner
+// and becomes a voter once it has caught up. If a voter is silent by then, it is
+// removed first, so that the group does not accumulate failed members. A failed
+// voter above sufficientVoters is removed without a replacement. A member that was
+// only partitioned joins again as a learner.
 type Keeper struct {
 	member *consensus.Member
 	node   walnutramp.NodeName
 
-	mu        sync.Mutex
-	newcomers map[walnutramp.NodeName]newcomer
+	mu           sync.Mutex
+	joinRequests map[walnutramp.NodeName]joinRequest
 }
 
-type newcomer struct {
-	identity consensus.Identity
-	asked    time.Time
+type joinRequest struct {
+	identity    consensus.Identity
+	requestedAt time.Time
 }
 
 // NewKeeper returns a keeper for a member.
 func NewKeeper(node walnutramp.NodeName, m *consensus.Member) *Keeper {
-	return &Keeper{member: m, node: node, newcomers: map[walnutramp.NodeName]newcomer{}}
+	return &Keeper{member: m, node: node, joinRequests: map[walnutramp.NodeName]joinRequest{}}
 }
 
-// asked notes that a node wants to come in.
-func (k *Keeper) asked(args JoinArgs) {
+// requestJoin records a node's request to join.
+func (k *Keeper) requestJoin(args JoinArgs) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.newcomers[args.Node] = newcomer{identity: args.Identity, asked: time.Now()}
+	k.joinRequests[args.Node] = joinRequest{identity: args.Identity, requestedAt: time.Now()}
 }
 
-// Run keeps the members until ctx ends.
+// Run changes the membership while this member leads, until ctx ends.
 func (k *Keeper) Run(ctx context.Context) {
-	for pause.For(ctx, keepEvery) {
+	for pause.For(ctx, membershipInterval) {
 		if !k.member.Leads() {
 			continue
 		}
 		status := k.member.Status()
-		next, why := k.step(status.Group, k.member.Followers())
-		if why == "" {
+		next, reason := k.step(status.Group, k.member.Followers())
+		if reason == "" {
 			continue
 		}
-		changeCtx, cancel := context.WithTimeout(ctx, changeLimit)
+		changeCtx, cancel := context.WithTimeout(ctx, changeTimeout)
 		reply := k.member.Change(changeCtx, next)
 		cancel()
-		klog.InfoS("Group changed", "why", why, "term", status.Term, "members", next.Nodes(), "counted", next.Counted(), "code", int(reply.Code))
+		klog.InfoS("Group changed", "why", reason, "term", status.Term, "members", next.Nodes(), "counted", next.Counted(), "code", int(reply.Code))
 	}
 }
 
-// step returns the next group and why, or nothing to do.
+// step returns the next membership and the reason for the change, which is empty if
+// none is needed.
 func (k *Keeper) step(g consensus.Group, followers []consensus.FollowerStatus) (consensus.Group, string) {
-	for node, n := range k.waiting() {
+	for node, request := range k.pendingJoins() {
 		known, ok := g.Find(node)
 		switch {
-		case ok && known.Identity == n.identity:
+		case ok && known.Identity == request.identity:
 			continue
 		case ok:
-			return g.Without(node), "its disk was lost"
+			return g.Without(node), "disk lost"
 		}
-		return g.With(consensus.Voter{Node: node, Identity: n.identity, Learner: true}), "newcomer"
+		return g.With(consensus.Voter{Node: node, Identity: request.identity, Learner: true}), "node joins"
 	}
-	silent, since := silentVoter(followers)
-	if since > deadLimit && g.Counted() > enoughVoters {
-		return g.Without(silent.Node), "silent"
+	silent, silence := silentVoter(followers)
+	if silence > removeAfter && g.Counted() > sufficientVoters {
+		return g.Without(silent.Node), "voter silent"
 	}
 	learner, ok := caughtUp(followers)
 	if !ok {
 		return g, ""
 	}
-	if since > silentLimit && g.Counted() > fewestVoters {
-		return g.Without(silent.Node), "silent, and a newcomer is ready"
+	if silence > replaceAfter && g.Counted() > minVoters {
+		return g.Without(silent.Node), "voter silent, replacement caught up"
 	}
-	if since > doubtLimit && since <= silentLimit {
-		return g, "" // it may be lost: wait, so that the group does not grow by it
+	if silence > suspectAfter && silence <= replaceAfter {
+		return g, "" // that voter may have failed: wait, so that the group does not grow
 	}
 	learner.Learner = false
-	return g.With(learner), "caught up"
+	return g.With(learner), "learner caught up"
 }
 
-// waiting returns the newcomers that asked lately.
-func (k *Keeper) waiting() map[walnutramp.NodeName]newcomer {
+// pendingJoins returns the join requests that have not expired.
+func (k *Keeper) pendingJoins() map[walnutramp.NodeName]joinRequest {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	live := map[walnutramp.NodeName]newcomer{}
-	for node, n := range k.newcomers {
-		if time.Since(n.asked) > newcomerLife {
-			delete(k.newcomers, node)
+	pending := map[walnutramp.NodeName]joinRequest{}
+	for node, request := range k.joinRequests {
+		if time.Since(request.requestedAt) > joinRequestTTL {
+			delete(k.joinRequests, node)
 			continue
 		}
-		live[node] = n
+		pending[node] = request
 	}
-	return live
+	return pending
 }
 
-// caughtUp returns a learner that holds the whole log and answers.
+// caughtUp returns a responsive learner that holds the whole log.
 func caughtUp(followers []consensus.FollowerStatus) (consensus.Voter, bool) {
 	for _, f := range followers {
-		if f.Voter.Learner && f.Behind == 0 && f.Silent < silentLimit/2 {
+		if f.Voter.Learner && f.Behind == 0 && f.Silent < replaceAfter/2 {
 			return f.Voter, true
 		}
 	}
 	return consensus.Voter{}, false
 }
 
-// silentVoter returns the voter that has been silent longest, and how long.
+// silentVoter returns the voter that has been silent longest, and for how long.
 func silentVoter(followers []consensus.FollowerStatus) (consensus.Voter, time.Duration) {
 	var longest consensus.FollowerStatus
 	for _, f := range followers {
@@ -141,7 +142,7 @@
 	return longest.Voter, longest.Silent
 }
 
-// Joiner asks to be let into the group for as long as this node is no voter.
+// Joiner asks to join the group while this node is not a voter.
 type Joiner struct {
 	peers    Peers
 	node     walnutramp.NodeName
@@ -150,35 +151,35 @@
 	client   *Client
 }
 
-// NewJoiner returns a joiner that finds the group through a client.
+// NewJoiner returns a joiner that discovers the group through a client.
 func NewJoiner(peers Peers, node walnutramp.NodeName, identity consensus.Identity, m *consensus.Member, c *Client) *Joiner {
 	return &Joiner{peers: peers, node: node, identity: identity, member: m, client: c}
 }
 
-// Run asks until ctx ends. A member that was removed while it was cut off
-// hears of no leader, so it asks too.
+// Run sends join requests until ctx ends. A member that was removed while it was
+// partitioned hears no leader, so it asks too.
 func (j *Joiner) Run(ctx context.Context) {
-	for pause.For(ctx, joinEvery) {
-		if j.settled() {
+	for pause.For(ctx, joinInterval) {
+		if j.joined() {
 			continue
 		}
-		for _, node := range j.client.ask(j.node) {
-			if j.ask(ctx, node) {
+		for _, node := range j.client.joinCandidates(j.node) {
+			if j.requestJoin(ctx, node) {
 				break
 			}
 		}
 	}
 }
 
-// settled reports whether this node counts in the group and hears its leader.
-func (j *Joiner) settled() bool {
+// joined reports whether this node is a voter and knows the leader.
+func (j *Joiner) joined() bool {
 	s := j.member.Status()
 	v, ok := s.Group.Find(j.node)
 	return ok && !v.Learner && v.Identity == j.identity && s.Leader != ""
 }
 
-func (j *Joiner) ask(ctx context.Context, node walnutramp.NodeName) bool {
-	ctx, cancel := context.WithTimeout(ctx, joinLimit)
+func (j *Joiner) requestJoin(ctx context.Context, node walnutramp.NodeName) bool {
+	ctx, cancel := context.WithTimeout(ctx, joinTimeout)
 	defer cancel()
 	var reply JoinReply
 	if j.peers.Call(ctx, node, Service+".Join", JoinArgs{Node: j.node, Identity: j.identity}, &reply) != nil {
@@ -188,13 +189,13 @@
 	return reply.Code == walnutramp.CodeOK
 }
 
-// ask returns whom to ask, the leader first, without the node itself.
-func (c *Client) ask(self walnutramp.NodeName) []walnutramp.NodeName {
+// joinCandidates returns the nodes to ask, the leader first, without self.
+func (c *Client) joinCandidates(self walnutramp.NodeName) []walnutramp.NodeName {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	list := c.known()
+	candidates := c.candidates()
 	if c.leader != "" {
-		list = slices.Insert(list, 0, c.leader)
+		candidates = slices.Insert(candidates, 0, c.leader)
 	}
-	return slices.DeleteFunc(list, func(n walnutramp.NodeName) bool { return n == self })
+	return slices.DeleteFunc(candidates, func(n walnutramp.NodeName) bool { return n == self })
 }
--- a/control/kept_test.go
+++ b/control/kept_test.go
@@ -19,15 +19,15 @@
 	"github.com/walnutramp/walnutramp/rollout"
 )
 
-// What is stored and sent: all that leads to a member's state, and all calls.
+// TestFormats checks the encodings of all stored and transmitted types.
 func TestFormats(t *testing.T) {
 	schema.Check(t, Command{}, Result{}, stateImage{}, update{}, []discovery.Target{},
 		NewestArgs{}, NewestReply{}, TimeArgs{}, TimeReply{}, TellArgs{}, PassArgs{}, TellReply{}, DoArgs{}, DoReply{}, OfferArgs{},
 		JoinArgs{}, JoinReply{}, RolloutArgs{}, RolloutReply{}, OrderArgs{}, ReportArgs{}, ReportReply{}, HistoryArgs{}, HistoryReply{},
-		SubmitArgs{}, PieceArgs{}, PieceReply{}, IntroduceArgs{}, IntroduceReply{}, RosterReply{})
+		SubmitArgs{}, PieceArgs{}, PieceReply{}, IntroduceArgs{}, IntroduceReply{}, TargetListReply{})
 }
 
-// noPeers reaches nobody.
+// noPeers answers no call.
 type noPeers struct{}
 
 // Call implements consensus.Peers.
@@ -36,28 +36,28 @@
 	return ctx.Err()
 }
 
-// keptState is what a kept disk must say.
-type keptState struct {
+// storedState is the expected content of a stored disk.
+type storedState struct {
 	Versions int    // accepted
-	Newest   uint64 // version of the newest document
-	Document int    // its bytes
+	Newest   uint64 // of the newest document
+	Document int    // size of the newest document in bytes
 	Rollouts []rollout.Record
 	Duty     duty.Record
 }
 
-// The folders in testdata/kept are those of a member of the control group after seven
-// seconds of the soak's seed 4 (changes of the configuration, a roll-out, planned stops)
-// under the build that names them; "this" is the build that began to keep them. A member
-// of this build takes each for its own.
-func TestKeptDisksAreRead(t *testing.T) {
-	folders, err := filepath.Glob("testdata/kept/*")
+// TestStoredDisksAreReadable checks that this build reads the disks of older builds. Each
+// folder in testdata/kept holds the disk of a member after seven seconds of the
+// soak with seed 4, and is named after the build that wrote it; "this" is the first
+// one that was stored.
+func TestStoredDisksAreReadable(t *testing.T) {
+	dirs, err := filepath.Glob("testdata/kept/*")
 	require.NoError(t, err)
-	require.Len(t, folders, 3)
-	for _, folder := range folders {
-		t.Run(filepath.Base(folder), func(t *testing.T) {
+	require.Len(t, dirs, 3)
+	for _, dir := range dirs {
+		t.Run(filepath.Base(dir), func(t *testing.T) {
 			disk := memfs.New()
 			for _, name := range []string{"consensus.log", "consensus.commit", "identity"} {
-				text, err := os.ReadFile(filepath.Join(folder, name))
+				text, err := os.ReadFile(filepath.Join(dir, name))
 				require.NoError(t, err)
 				f, err := disk.Create(name)
 				require.NoError(t, err)
@@ -74,8 +74,8 @@
 			m.Start()
 			defer m.Close()
 			require.Eventually(t, func() bool { return m.Status().Applied > 0 && m.Status().Applied == m.Status().Commit }, 5*time.Second, time.Millisecond)
-			got := keptStateOf(t, state)
-			golden := filepath.Join(folder, "state.json")
+			got := decodeState(t, state)
+			golden := filepath.Join(dir, "state.json")
 			text, err := json.MarshalIndent(got, "", " ")
 			require.NoError(t, err)
 			if os.Getenv("UPDATE_GOLDEN") != "" {
@@ -88,14 +88,14 @@
 	}
 }
 
-// keptStateOf reads what a state holds, by way of its snapshot.
-func keptStateOf(t *testing.T, s *State) keptState {
+// decodeState decodes the content of a state from its snapshot.
+func decodeState(t *testing.T, s *State) storedState {
 	var img stateImage
 	require.NoError(t, msgpack.Unmarshal(s.Snapshot(), &img))
 	require.NoError(t, NewState().Restore(s.Snapshot()))
 	for i := range img.Versions.Records {
-		img.Versions.Records[i].Elapsed = 0 // goes on
+		img.Versions.Records[i].Elapsed = 0 // depends on the clock
 	}
-	return keptState{Versions: len(img.History), Newest: img.History[len(img.History)-1].Version, Document: len(img.Doc),
+	return storedState{Versions: len(img.History), Newest: img.History[len(img.History)-1].Version, Document: len(img.Doc),
 		Rollouts: img.Versions.Records, Duty: img.Duty}
 }
--- a/control/ledger.go
+++ b/control/ledger.go
@@ -5,18 +5,18 @@
 	"github.com/walnutramp/walnutramp/target"
 )
 
-// The ledger is the part of the state that says who may run a request which may
-// not be repeated, and what came of it.
+// The ledger records, by idempotency key, which node runs a request that must not
+// run twice, and its outcome.
 
-// Claim asks to be the one who runs a request.
+// Claim asks for the right to run a request.
 type Claim struct {
 	Account walnutramp.ClientAccount
 	Key     string
 	Digest  string
-	Token   uint64 // names the claimer; a claim sent again has the same
+	Token   uint64 // identifies the claimant; the same when a claim is retried
 }
 
-// Settle records what came of a claim.
+// Settle records the outcome of a claimed request.
 type Settle struct {
 	Account walnutramp.ClientAccount
 	Key     string
@@ -32,7 +32,7 @@
 	Settled bool
 	Outcome walnutramp.Outcome
 	Answer  target.Answer
-	At      int64 // last change, unix milliseconds
+	At      int64 // last change, Unix milliseconds
 }
 
 type ledgerKey struct {
@@ -40,8 +40,8 @@
 	Key     string
 }
 
-// claim gives a request to the first who asks for it. A claim that is known
-// not to have run may be had again.
+// claim grants a request to the first claimant. A request that is known not to
+// have run can be claimed again.
 func (s *State) claim(c *Claim, now int64) Result {
 	k := ledgerKey{c.Account, c.Key}
 	e, ok := s.ledger[k]
@@ -59,7 +59,7 @@
 	return Result{Code: walnutramp.CodeOK, Entry: e, Mine: true}
 }
 
-// settle records an outcome, once, and only by the claim's holder.
+// settle records an outcome once, and only for the holder of the claim.
 func (s *State) settle(c *Settle, now int64) Result {
 	k := ledgerKey{c.Account, c.Key}
 	e, ok := s.ledger[k]
@@ -73,8 +73,9 @@
 	return Result{Code: walnutramp.CodeOK, Entry: e}
 }
 
-// sweep forgets settled entries that are old. What has no outcome is kept.
-func (s *State) sweep(now int64) {
+// purgeLedger deletes settled entries older than RetainMillis. Unsettled entries
+// are kept.
+func (s *State) purgeLedger(now int64) {
 	for k, e := range s.ledger {
 		if e.Settled && now-e.At > RetainMillis {
 			delete(s.ledger, k)
--- a/control/messages.go
+++ b/control/messages.go
@@ -14,109 +14,108 @@
 	"github.com/walnutramp/walnutramp/rollout"
 )
 
-// What nodes and members say to each other, beside pieces (see Piece).
+// Messages between nodes and members, except those of Piece.
 
-// Service is the name under which the control group answers nodes.
+// Service is the name of the control group's RPC service.
 const Service = "Control"
 
-// NewestArgs asks for the newest bundle and a word that it is the newest.
+// NewestArgs requests the newest bundle and the confirmation that it is the newest.
 type NewestArgs struct {
-	Have uint64        // version the asker holds
+	Have uint64        // version that the requester holds
 	Wait time.Duration // how long to wait for a newer one
-	// Unconfirmed asks any member for what it holds.
+	// Unconfirmed accepts an unconfirmed reply from any member.
 	Unconfirmed bool
-	// Roster is the version of the list of targets that the asker holds.
+	// Roster is the version of the target list that the requester holds.
 	Roster uint64
-	// Entry is the address at which the asker hears other entries; empty if it
-	// is none.
+	// Entry is the address for calls by other entry nodes; empty if the requester is
+	// not an entry node.
 	Entry string
-	// Life names the asker's process, where it is an entry.
+	// Life identifies the process of an entry node.
 	Life uint64
-	// Entries is the version of the directory of entries that the asker holds.
+	// Entries is the version of the directory of entry nodes that the requester holds.
 	Entries uint64
-	// Directory says that the asker takes changes of the directory, and places.
+	// Directory is set if the requester understands DirectoryReply.
 	Directory bool
-	// Disk says that the entry keeps files over a loss of power; RelayedDisks names
-	// those of the relayed entries that do.
+	// Disk is set if the entry node's files survive a power loss. RelayedDisks lists
+	// those of Relayed to which this applies.
 	Disk         bool
 	RelayedDisks []string
-	// Versions is the revision of the view of versions that the asker holds;
-	// anyVersions where it needs none.
+	// Versions is the revision of the view of service versions that the requester
+	// holds; anyVersions if it needs none.
 	Versions uint64
-	// DataHall is the asker's.
+	// DataHall is the requester's data hall.
 	DataHall string
-	// Relay is the asker's own address, if it answers entries of its data hall
-	// with the leader's word; Relayed are those that asked it lately.
+	// Relay is the requester's address if it relays the leader's replies to the entry
+	// nodes of its data hall. Relayed are the entry nodes that asked it recently.
 	Relay   string
 	Relayed []string
 }
 
-// anyVersions is held to be the newest revision of a view.
+// anyVersions is at least as high as any revision, so that no view is sent.
 const anyVersions = math.MaxUint64
 
-// NewestReply is the leader's word, confirmed by a majority after it was
-// asked.
+// NewestReply is the leader's reply, confirmed by a majority after the request
+// arrived.
 type NewestReply struct {
 	Code    walnutramp.Code
-	Leader  walnutramp.NodeName // where to ask instead, if known
+	Leader  walnutramp.NodeName // node to ask instead, if known
 	Version uint64
 	Digest  string
-	// Update leads from the asker's document to this one.
-	Update Content
-	// Source is where to read long contents; who answers, where it is empty.
+	// Update turns the requester's document into the newest.
+	Update Payload
+	// Source is the node to read long payloads from; empty for the one that replies.
 	Source walnutramp.NodeName
-	// Group names the members, as far as the one who answers knows.
+	// Group lists the members as known to the node that replies.
 	Group []walnutramp.NodeName
-	// Unconfirmed says that a newer one may be in force.
+	// Unconfirmed is set if a newer version may be in force.
 	Unconfirmed bool
-	// Entries are the addresses of entries that asked lately, for an asker of an
-	// older build that holds another version of them; 0 where none are told.
+	// Entries are the addresses of the live entry nodes, for a requester of an older
+	// build that holds another EntriesVersion. EntriesVersion is 0 if none are sent.
 	Entries        []string
 	EntriesVersion uint64
-	// Directory tells of the entries in their place, where the asker takes that.
+	// Directory lists the entry nodes by data hall, if the requester understands it.
 	Directory DirectoryReply
-	// Roster is the leader's list of targets, where the asker holds another.
-	Roster RosterReply
-	// Versions is the view of the services' versions, where the asker holds an
-	// older one.
+	// Roster is the leader's target list, if the requester holds another version.
+	Roster TargetListReply
+	// Versions is the view of service versions, if the requester holds an older
+	// revision.
 	Versions *rollout.View
-	// Age is how long ago the leader was asked; 0 from the leader itself.
+	// Age is the time since the leader was asked; 0 in the leader's own replies.
 	Age time.Duration
-	// Relay is whom an entry should ask from now on: a member of its data
-	// hall that relays the leader's word. Empty for the leader itself.
+	// Relay is the node that an entry node should ask from now on: a member of its data
+	// hall that relays the leader's replies. Empty for the leader itself.
 	Relay walnutramp.NodeName
-	// Time is the group's, read as the answer was given; nil where it is not
-	// known.
+	// Time is the group's time when the reply was sent; nil if unknown.
 	Time *groupclock.Stamp
-	// Near is a member of the asker's data hall that takes its reports; empty
-	// for the leader itself.
+	// Near is the member of the requester's data hall that takes its reports; empty for
+	// the leader itself.
 	Near walnutramp.NodeName
-	// Share is the word on the asker's part of the site's bound on repeats.
+	// Share is the requester's share of the site's retry budget.
 	Share quota.Word
 }
 
-// TimeArgs asks a member for its time of day.
+// TimeArgs requests a member's wall clock.
 type TimeArgs struct{}
 
-// TimeReply holds it, since the start of 1970.
+// TimeReply holds the wall clock as time since the Unix epoch.
 type TimeReply struct {
 	Unix time.Duration
 }
 
-// TellArgs tells a member what a node has counted since its process started.
+// TellArgs reports what a node has counted since its process started.
 type TellArgs struct {
 	Node   string
-	Life   uint64 // names the node's process
+	Life   uint64 // identifies the node's process
 	Usage  []metering.Row
 	Demand []fleet.Demand
 }
 
-// PassArgs hands the leader what a member heard from nodes.
+// PassArgs forwards reports from nodes to the leader.
 type PassArgs struct {
 	Reports []NodeReport
 }
 
-// NodeReport is what a node told a member.
+// NodeReport is a report that a member received from a node.
 type NodeReport struct {
 	Node   string
 	Life   uint64
@@ -124,100 +123,101 @@
 	Demand []fleet.Demand
 }
 
-// TellReply answers a report.
+// TellReply acknowledges a report.
 type TellReply struct {
 	Code   walnutramp.Code
 	Leader walnutramp.NodeName
-	To     uint64 // who has the reports now, as its process names itself
-	// Closed is the newest window of which the counts are settled.
+	To     uint64 // identifies the process that holds the reports
+	// Closed is the newest window whose counts are final.
 	Closed metering.Window
 }
 
-// DoArgs hands over a command.
+// DoArgs proposes a command.
 type DoArgs struct {
 	Command Command
 }
 
-// DoReply answers a command.
+// DoReply returns the result of a command.
 type DoReply struct {
-	Code   walnutramp.Code // CodeOK where Result holds; else why not
+	Code   walnutramp.Code // CodeOK if Result is valid, else the reason
 	Leader walnutramp.NodeName
 	Result Result
 }
 
-// wantsRoster reports whether the asker uses the list of targets.
-func (a *NewestArgs) wantsRoster() bool { return a.Entry != "" || a.Relay != "" }
+// wantsTargets reports whether the requester uses the target list.
+func (a *NewestArgs) wantsTargets() bool { return a.Entry != "" || a.Relay != "" }
 
-// OfferArgs is a document of a site that asks for no signature.
+// OfferArgs submits a document on a site without signatures.
 type OfferArgs struct {
 	Submit Submit
 }
 
-// JoinArgs asks to become a member.
+// JoinArgs requests membership.
 type JoinArgs struct {
 	Node     walnutramp.NodeName
 	Identity consensus.Identity
 }
 
-// JoinReply says where to ask instead, if this member does not lead.
+// JoinReply names the leader if this member does not lead.
 type JoinReply struct {
 	Code   walnutramp.Code
 	Leader walnutramp.NodeName
 	Group  []walnutramp.NodeName
 }
 
-// RolloutArgs asks for the newest roll-out of a service.
+// RolloutArgs requests the newest roll-out of a service.
 type RolloutArgs struct {
 	Service string
 }
 
-// RolloutReply is the leader's word on it, confirmed by a majority after it was
-// asked.
+// RolloutReply is the leader's reply, confirmed by a majority after the request
+// arrived.
 type RolloutReply struct {
-	Code    walnutramp.Code // CodeRolloutUnknown where there was none
+	Code    walnutramp.Code // CodeRolloutUnknown if there was none
 	Leader  walnutramp.NodeName
 	Record  rollout.Record
 	Elapsed time.Duration // since the order
-	// Sums are what nodes saw since then, as far as they told this leader, and
-	// Verdict is what that says.
+	// Sums are the nodes' observations since the order, as far as this leader received
+	// them. Verdict is their evaluation.
 	Sums    []rollout.Cell
 	Verdict rollout.Verdict
 }
 
-// OrderArgs is an operator's order of a roll-out.
+// OrderArgs orders a roll-out.
 type OrderArgs struct {
 	Service  string
 	Version  string
 	Duration time.Duration
 }
 
-// ReportArgs tells the leader what a node saw of the targets of services that
-// have a roll-out under way.
+// ReportArgs reports a node's observations of the targets of services with a
+// roll-out in progress.
 type ReportArgs struct {
 	Node  string
-	Life  uint64 // names the node's process
-	Judge uint64 // who had the reports before; 0 for nobody
+	Life  uint64 // identifies the node's process
+	Judge uint64 // process that received the previous reports; 0 for none
 	Cells []rollout.Cell
 }
 
-// ReportReply answers with permits for the new versions.
+// ReportReply returns permits for the new versions.
 type ReportReply struct {
 	Code    walnutramp.Code
 	Leader  walnutramp.NodeName
-	Judge   uint64 // who has the reports now
+	Judge   uint64 // process that received this report
 	Permits []rollout.Permit
 }
 
-// HistoryArgs asks for the accepted bundles.
+// HistoryArgs requests the accepted bundles.
 type HistoryArgs struct{}
 
-// HistoryReply holds them, oldest first, as this member has applied them.
+// HistoryReply lists the accepted bundles that this member has applied, oldest
+// first.
 type HistoryReply struct {
 	Accepted []Accepted
 	Group    consensus.Status
 }
 
-// SubmitArgs is an operator's signed bundle.
+// SubmitArgs submits a signed bundle.
 type SubmitArgs struct {
 	Doc       []byte
 	Signature bundle.Signature
