--- a/control/model_duty_test.go
+++ b/control/model_duty_test.go
@@ -15,53 +15,53 @@
 	"github.com/walnutramp/walnutramp/internal/pause"
 )
 
-// The model check has every node call the platform under the duty, under the
-// same schedules of crashes, lost disks, cuts and replacements, and under
-// freezes, planned stops and a platform that answers late, twice or not at all.
-// A checker on the platform's side holds the calls to the rules.
+// The duty model check makes every node call the platform under the duty, under the
+// schedules of the model check and under process freezes, planned stops and platform
+// faults: late, duplicate and missing execution. A checker in the fake platform verifies
+// the calls.
 
-// dutyDefect is a mistake that is put in on purpose.
+// dutyDefect is a bug that is injected to test the check.
 type dutyDefect int
 
 const (
-	dutySound       dutyDefect = iota
-	leaseFromAnswer            // the lease counts from the answer, not the question
-	keepsItsToken              // a call that ended unclear costs no token
-	waitsForNobody             // a grant after another's is used at once
+	noDutyDefect    dutyDefect = iota
+	leaseFromAnswer            // the lease counts from the reply, not the request
+	keepsToken                 // an unclear call needs no new token
+	skipsLeaseWait             // a grant after another holder's is used at once
 )
 
 const (
-	modelCallers   = 3
-	modelSubjects  = 24
-	modelCallEvery = 120 * time.Millisecond
-	modelLate      = 5 * time.Second // by which a call may be carried out late
-	staleFor       = 50 * time.Millisecond
+	modelCallers      = 3
+	modelSubjects     = 24
+	modelCallInterval = 120 * time.Millisecond
+	maxModelDelay     = 5 * time.Second // until a delayed call is executed
+	staleReadTime     = 50 * time.Millisecond
 )
 
-// dutySite is the platform, what nodes call it for, and what stands still.
+// dutySite is the fake platform with the faults of the nodes that call it.
 type dutySite struct {
 	m        *model
 	defect   dutyDefect
 	platform *dutycheck.Platform
-	late     sync.WaitGroup // calls that are carried out late
+	delayed  sync.WaitGroup // delayed calls
 
-	mu     sync.Mutex
-	thaw   map[walnutramp.NodeName]time.Time
-	led    map[walnutramp.NodeName]bool          // as a frozen node last saw
-	silent map[walnutramp.NodeName]bool          // the platform does not answer it
-	armed  map[walnutramp.NodeName]time.Duration // stands still for so long when its next renewal is answered
-	serial int
-	calm   bool // the platform does no harm any more
+	mu              sync.Mutex
+	frozenUntil     map[walnutramp.NodeName]time.Time
+	ledBeforeFreeze map[walnutramp.NodeName]bool          // whether a frozen node led
+	unreachable     map[walnutramp.NodeName]bool          // the platform does not answer the node
+	freezeOnRenewal map[walnutramp.NodeName]time.Duration // for how long, once the next renewal is confirmed
+	serial          int
+	faultFree       bool // no more platform faults
 }
 
 func newDutySite(d dutyDefect) *dutySite {
 	return &dutySite{
-		defect: d, platform: dutycheck.NewPlatform(), thaw: map[walnutramp.NodeName]time.Time{}, led: map[walnutramp.NodeName]bool{},
-		silent: map[walnutramp.NodeName]bool{}, armed: map[walnutramp.NodeName]time.Duration{},
+		defect: d, platform: dutycheck.NewPlatform(), frozenUntil: map[walnutramp.NodeName]time.Time{}, ledBeforeFreeze: map[walnutramp.NodeName]bool{},
+		unreachable: map[walnutramp.NodeName]bool{}, freezeOnRenewal: map[walnutramp.NodeName]time.Duration{},
 	}
 }
 
-// modelGroup is a member as a process sees it that stands still at times.
+// modelGroup is the dutyGroup of a process that freezes at times.
 type modelGroup struct {
 	memberGroup
 	site *dutySite
@@ -69,11 +69,11 @@
 	h    *DutyHolder
 }
 
-// Leads is what the process saw before it stood still, until it has noticed.
+// Leads returns the state before the freeze for staleReadTime after it.
 func (g *modelGroup) Leads() bool {
 	g.site.mu.Lock()
-	stale := time.Now().Before(g.site.thaw[g.name].Add(staleFor))
-	led := g.site.led[g.name]
+	stale := time.Now().Before(g.site.frozenUntil[g.name].Add(staleReadTime))
+	led := g.site.ledBeforeFreeze[g.name]
 	g.site.mu.Unlock()
 	if stale {
 		return led
@@ -81,13 +81,13 @@
 	return g.memberGroup.Leads()
 }
 
-// Confirm stands still, too, while the answer is on its way.
+// Confirm may freeze while the reply is in flight.
 func (g *modelGroup) Confirm(ctx context.Context) bool {
 	ok := g.memberGroup.Confirm(ctx)
 	if ok {
-		g.site.freezeNow(g.name)
+		g.site.triggerFreeze(g.name)
 	}
-	g.site.stand(context.WithoutCancel(ctx), g.name)
+	g.site.waitWhileFrozen(context.WithoutCancel(ctx), g.name)
 	if ok && g.site.defect == leaseFromAnswer {
 		g.h.mu.Lock()
 		g.h.lease.Confirm(time.Now())
@@ -96,21 +96,21 @@
 	return ok
 }
 
-func (g *modelGroup) Agree(ctx context.Context, c Command) bool {
-	ok := g.memberGroup.Agree(ctx, c)
-	g.site.stand(context.WithoutCancel(ctx), g.name)
+func (g *modelGroup) Commit(ctx context.Context, c Command) bool {
+	ok := g.memberGroup.Commit(ctx, c)
+	g.site.waitWhileFrozen(context.WithoutCancel(ctx), g.name)
 	return ok
 }
 
 func (g *modelGroup) Record() duty.Record {
 	r := g.memberGroup.Record()
-	if g.site.defect == waitsForNobody {
+	if g.site.defect == skipsLeaseWait {
 		r.Waits = false
 	}
 	return r
 }
 
-// start has a node hold the duty while it leads, and call the platform.
+// start runs a node's DutyHolder and the callers of the platform.
 func (s *dutySite) start(ctx context.Context, n *modelNode) {
 	g := &modelGroup{memberGroup: memberGroup{n.member, n.server}, site: s, name: n.name}
 	o := dutyOptions{name: string(n.name)}
@@ -123,11 +123,11 @@
 	}
 }
 
-// callAll makes calls while the node runs, on one subject or on any. One that
-// was not taken is repeated as it is, or gives way to another.
+// callAll makes calls while the node runs, on one subject or on random ones. A call that
+// failed is repeated or replaced by another.
 func (s *dutySite) callAll(ctx context.Context, name walnutramp.NodeName, h *DutyHolder, one bool) {
 	subject, content := duty.Subject("s0"), ""
-	for pause.For(ctx, modelCallEvery) {
+	for pause.For(ctx, modelCallInterval) {
 		if content == "" && !one {
 			subject = duty.Subject(fmt.Sprint("s", 1+s.m.intn(modelSubjects)))
 		}
@@ -142,7 +142,7 @@
 		if h.Do(ctx, duty.Call{Subject: subject, Content: content, Send: send}) == duty.Done {
 			content = ""
 		}
-		if s.defect == keepsItsToken {
+		if s.defect == keepsToken {
 			h.mu.Lock()
 			h.gate = duty.NewGate()
 			h.mu.Unlock()
@@ -150,11 +150,11 @@
 	}
 }
 
-// send carries one call to the platform. The look at the permission is here, as
-// it is where the platform's client writes; the process may stand still before
-// it, and for the slack behind it.
+// send sends one call to the platform. It checks the permission where a real client
+// writes the request; the process may freeze before that, and for up to the slack
+// after it.
 func (s *dutySite) send(ctx context.Context, name walnutramp.NodeName, c *dutycheck.Call, p duty.Permission) duty.Outcome {
-	s.stand(ctx, name)
+	s.waitWhileFrozen(ctx, name)
 	if ctx.Err() != nil || !time.Now().Before(p.Until) {
 		return duty.NotSent
 	}
@@ -163,63 +163,62 @@
 	}
 	c.Token, c.Written = p.Token, time.Now()
 	s.platform.Write(c)
-	silent, calm := s.mood(name)
-	fate := s.m.intn(20)
-	if calm {
-		fate = 19
+	unreachable, faultFree := s.faultsFor(name)
+	fault := s.m.intn(20)
+	if faultFree {
+		fault = 19
 	}
 	switch {
-	case fate == 0:
+	case fault == 0:
 		return duty.Busy
-	case fate == 1 || silent && fate < 10: // it does not arrive
+	case fault == 1 || unreachable && fault < 10: // the call is lost
 		<-ctx.Done()
 		return duty.Unclear
-	case fate < 4: // carried out late
-		s.late.Go(func() {
-			time.Sleep(s.m.between(0, modelLate))
+	case fault < 4: // executed late
+		s.delayed.Go(func() {
+			time.Sleep(s.m.between(0, maxModelDelay))
 			s.platform.CarryOut(c)
 		})
 		<-ctx.Done()
 		return duty.Unclear
-	case fate == 4: // carried out at once and again, and not answered
-		s.late.Go(func() {
-			time.Sleep(s.m.between(0, modelLate))
+	case fault == 4: // executed at once and again later; the reply is lost
+		s.delayed.Go(func() {
+			time.Sleep(s.m.between(0, maxModelDelay))
 			s.platform.CarryOut(c)
 		})
 	}
 	time.Sleep(s.m.between(200*time.Microsecond, 5*time.Millisecond))
-	took := s.platform.CarryOut(c)
-	if fate == 4 || fate == 5 || silent { // the answer is lost
+	executed := s.platform.CarryOut(c)
+	if fault == 4 || fault == 5 || unreachable { // the reply is lost
 		<-ctx.Done()
 		return duty.Unclear
 	}
 	time.Sleep(s.m.between(200*time.Microsecond, 5*time.Millisecond))
-	if !took {
+	if !executed {
 		s.platform.Told(c)
 		return duty.Fenced
 	}
 	return duty.Done
 }
 
-// mood says what the platform does to a node's calls.
-func (s *dutySite) mood(name walnutramp.NodeName) (silent, calm bool) {
+// faultsFor returns the platform faults for a node.
+func (s *dutySite) faultsFor(name walnutramp.NodeName) (unreachable, faultFree bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.silent[name], s.calm
+	return s.unreachable[name], s.faultFree
 }
 
-// calmDown ends the platform's harm.
-func (s *dutySite) calmDown() {
+// stopFaults ends all platform faults.
+func (s *dutySite) stopFaults() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.calm = true
+	s.faultFree = true
 }
 
-// stand waits while a node stands still.
-func (s *dutySite) stand(ctx context.Context, name walnutramp.NodeName) {
+func (s *dutySite) waitWhileFrozen(ctx context.Context, name walnutramp.NodeName) {
 	for {
 		s.mu.Lock()
-		left := time.Until(s.thaw[name])
+		left := time.Until(s.frozenUntil[name])
 		s.mu.Unlock()
 		if left <= 0 || !pause.For(ctx, left) {
 			return
@@ -227,49 +226,49 @@
 	}
 }
 
-// freeze has a node stand still for a while: it hears and says nothing, and
-// when it wakes it believes for a moment what it knew.
+// freeze freezes a node for a while: it sends and receives nothing, and then acts on its
+// old state for staleReadTime.
 func (s *dutySite) freeze(name walnutramp.NodeName, d time.Duration) {
 	s.m.mu.Lock()
-	led := s.m.nodes[name].member.Leads()
+	leads := s.m.nodes[name].member.Leads()
 	s.m.mu.Unlock()
 	s.mu.Lock()
-	s.thaw[name], s.led[name] = time.Now().Add(d), led
+	s.frozenUntil[name], s.ledBeforeFreeze[name] = time.Now().Add(d), leads
 	s.mu.Unlock()
 	s.m.partition([]walnutramp.NodeName{name}, true, false)
 	time.Sleep(d)
 	s.m.heal()
 }
 
-// arm has a node stand still when the answer to its next renewal is on its way.
-func (s *dutySite) arm(name walnutramp.NodeName, d time.Duration) {
+// armFreeze freezes a node when the reply to its next renewal is in flight.
+func (s *dutySite) armFreeze(name walnutramp.NodeName, d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.armed[name] = d
+	s.freezeOnRenewal[name] = d
 }
 
-// freezeNow begins what a node was armed for.
-func (s *dutySite) freezeNow(name walnutramp.NodeName) {
+// triggerFreeze starts a freeze that armFreeze has prepared.
+func (s *dutySite) triggerFreeze(name walnutramp.NodeName) {
 	s.mu.Lock()
-	d := s.armed[name]
-	delete(s.armed, name)
+	d := s.freezeOnRenewal[name]
+	delete(s.freezeOnRenewal, name)
 	s.mu.Unlock()
 	if d == 0 {
 		return
 	}
-	s.late.Go(func() { s.freeze(name, d) })
-	time.Sleep(time.Microsecond) // until it stands still
+	s.delayed.Go(func() { s.freeze(name, d) })
+	time.Sleep(time.Microsecond) // until it is frozen
 }
 
-func (s *dutySite) setSilent(name walnutramp.NodeName, on bool) {
+func (s *dutySite) setUnreachable(name walnutramp.NodeName, on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.silent[name] = on
+	s.unreachable[name] = on
 }
 
-// leader returns a node that takes itself for the leader, or any.
+// leader returns a node that considers itself the leader, or a random one.
 func (m *model) leader() walnutramp.NodeName {
-	for _, name := range m.live() {
+	for _, name := range m.running() {
 		m.mu.Lock()
 		member := m.nodes[name].member
 		m.mu.Unlock()
@@ -277,10 +276,10 @@
 			return name
 		}
 	}
-	return m.any()
+	return m.randomNode()
 }
 
-// stop ends a node as planned.
+// stop stops a node gracefully.
 func (m *model) stop(name walnutramp.NodeName) {
 	m.mu.Lock()
 	h := m.nodes[name].duty
@@ -291,7 +290,7 @@
 	m.kill(name, false)
 }
 
-// dutyEpisode is one trouble of the holder's, or of any node.
+// dutyEpisode injects one random fault, mostly at the holder, and ends it.
 func (m *model) dutyEpisode() {
 	holder := m.leader()
 	switch m.intn(9) {
@@ -299,9 +298,9 @@
 		m.duty.freeze(holder, m.between(200*time.Millisecond, 6*time.Second))
 	case 1:
 		d := m.between(3*time.Second, 7*time.Second)
-		m.duty.arm(holder, d)
+		m.duty.armFreeze(holder, d)
 		time.Sleep(d + time.Second)
-	case 2: // one after the other, as at a roll-out of the software
+	case 2: // rolling restart
 		for range 3 {
 			name := m.leader()
 			m.stop(name)
@@ -310,9 +309,9 @@
 			time.Sleep(m.between(300*time.Millisecond, 2*time.Second))
 		}
 	case 3:
-		m.duty.setSilent(holder, true)
+		m.duty.setUnreachable(holder, true)
 		time.Sleep(m.between(time.Second, 8*time.Second))
-		m.duty.setSilent(holder, false)
+		m.duty.setUnreachable(holder, false)
 	case 4:
 		m.kill(holder, true)
 		time.Sleep(m.between(100*time.Millisecond, time.Second))
@@ -324,58 +323,58 @@
 	time.Sleep(m.between(0, 6*time.Second))
 }
 
-// playDuties runs one schedule and returns the platform, and how many calls it
-// answered within the last seconds.
-func playDuties(t *testing.T, seed uint64, d dutyDefect, episodes int) (site *dutySite, served int) {
+// runDutySchedule runs one schedule. It returns the site and the number of calls that
+// the platform executed in the last seconds.
+func runDutySchedule(t *testing.T, seed uint64, d dutyDefect, episodes int) (site *dutySite, served int) {
 	synctest.Test(t, func(*testing.T) {
 		site = newDutySite(d)
-		m := newModel(seed, sound, func(m *model) { m.duty, site.m = site, m })
+		m := newModel(seed, noDefect, func(m *model) { m.duty, site.m = site, m })
 		time.Sleep(3 * time.Second)
 		for range episodes {
 			m.dutyEpisode()
 		}
 		time.Sleep(6 * time.Second)
-		site.calmDown()
+		site.stopFaults()
 		time.Sleep(6 * time.Second)
 		served = site.platform.TookSince(time.Now().Add(-5 * time.Second))
 		for name := range m.nodes {
 			m.kill(name, false)
 		}
-		site.late.Wait()
+		site.delayed.Wait()
 	})
 	return site, served
 }
 
 func TestModelOfDuties(t *testing.T) {
 	seeds := seedsFromEnvironment(160)
-	for lane := range modelLanes {
-		t.Run(fmt.Sprint("lane ", lane), func(t *testing.T) {
+	for shard := range modelShards {
+		t.Run(fmt.Sprint("shard ", shard), func(t *testing.T) {
 			t.Parallel()
-			for seed := lane; seed < seeds; seed += modelLanes {
-				site, served := playDuties(t, uint64(seed), dutySound, 4)
+			for seed := shard; seed < seeds; seed += modelShards {
+				site, served := runDutySchedule(t, uint64(seed), noDutyDefect, 4)
 				require.Empty(t, site.platform.Wrong(dutyConfig.Lease), "seed %d", seed)
-				require.Positive(t, served, "seed %d: nobody holds the duty again", seed)
+				require.Positive(t, served, "seed %d: no node acquired the duty after the faults", seed)
 			}
 		})
 	}
 }
 
-func TestModelOfDutiesSeesMistakes(t *testing.T) {
+func TestModelOfDutiesDetectsDefects(t *testing.T) {
 	for name, d := range map[string]dutyDefect{
-		"lease counted from the answer": leaseFromAnswer, "token kept after an unclear call": keepsItsToken,
-		"no wait after another's grant": waitsForNobody,
+		"lease counted from the reply": leaseFromAnswer, "token kept after an unclear call": keepsToken,
+		"no wait after another holder's grant": skipsLeaseWait,
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			const most = 400
 			for seed := range uint64(most) {
-				site, _ := playDuties(t, seed, d, 4)
-				if what := site.platform.Wrong(dutyConfig.Lease); what != "" {
-					t.Logf("seen with seed %d: %s", seed, what)
+				site, _ := runDutySchedule(t, seed, d, 4)
+				if violation := site.platform.Wrong(dutyConfig.Lease); violation != "" {
+					t.Logf("detected with seed %d: %s", seed, violation)
 					return
 				}
 			}
-			t.Fatalf("not seen in %d seeds", most)
+			t.Fatalf("not detected in %d seeds", most)
 		})
 	}
 }
--- a/control/model_rollout_test.go
+++ b/control/model_rollout_test.go
@@ -14,40 +14,38 @@
 	"github.com/walnutramp/walnutramp/rollout"
 )
 
-// The model check orders and reads roll-outs under the same schedules of
-// crashes, lost disks, cuts and replacements, and holds the history to what an
-// operator relies on.
+// The roll-out model check starts and reads roll-outs under the schedules of the model
+// check, and verifies the history of the operators' calls.
 
 const (
 	modelService  = "s"
 	modelDuration = 1500 * time.Millisecond
-	modelVersions = 5 // that are ordered in turn
+	modelVersions = 5 // started in turn
 )
 
-// rolloutOp is one call of an operator.
+// rolloutOp is a call of an operator with its result.
 type rolloutOp struct {
 	call, done time.Time
 	order      bool
 	record     rollout.Record
 }
 
-// rolloutHistory is what operators did and saw.
+// rolloutHistory is the history of the operators' calls.
 type rolloutHistory struct {
 	mu  sync.Mutex
 	ops []rolloutOp
 }
 
-func (h *rolloutHistory) note(op rolloutOp) {
+func (h *rolloutHistory) record(op rolloutOp) {
 	op.done = time.Now()
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.ops = append(h.ops, op)
 }
 
-// wrong returns what must not be: an order that was acknowledged and is
-// forgotten, a roll-out that is older than one that was read before, an end
-// that changed.
-func (h *rolloutHistory) wrong() string {
+// violation describes the first violation found: a roll-out that was acknowledged or
+// read and then lost, or an end state that changed. It is empty if there is none.
+func (h *rolloutHistory) violation() string {
 	for _, a := range h.ops {
 		for _, b := range h.ops {
 			if b.order || !a.done.Before(b.call) {
@@ -65,8 +63,8 @@
 	return ""
 }
 
-// modelList lists a target of the version in force. No other comes, so each
-// roll-out is taken back at its deadline.
+// modelList returns a target of the version in force. There are none of other versions,
+// so each roll-out is rolled back at its deadline.
 func modelList() []discovery.Target {
 	return []discovery.Target{{ID: "old", Service: modelService, Version: "v0", Slots: 1}}
 }
@@ -78,29 +76,29 @@
 	defer cancel()
 	rec, err := c.StartRollout(ctx, modelService, fmt.Sprint("v", n%modelVersions+1), modelDuration)
 	if err == nil {
-		h.note(rolloutOp{call: call, order: true, record: rec})
+		h.record(rolloutOp{call: call, order: true, record: rec})
 	}
 }
 
 func (m *model) readRollout(h *rolloutHistory) {
 	c, n := m.client()
 	call := time.Now()
-	if m.defect == readsAnywhere {
+	if m.defect == unconfirmedReads {
 		view := n.state.versions()
 		rec, _ := view.Of(modelService)
-		h.note(rolloutOp{call: call, record: rec})
+		h.record(rolloutOp{call: call, record: rec})
 		return
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 1500*time.Millisecond)
 	defer cancel()
 	reply, err := c.Rollout(ctx, modelService)
 	if err == nil || walnutramp.HasCode(err, walnutramp.CodeRolloutUnknown) {
-		h.note(rolloutOp{call: call, record: reply.Record})
+		h.record(rolloutOp{call: call, record: reply.Record})
 	}
 }
 
-// playRollouts runs one schedule.
-func playRollouts(t *testing.T, seed uint64, d defect, episodes int) *rolloutHistory {
+// runRolloutSchedule runs one schedule and returns its history.
+func runRolloutSchedule(t *testing.T, seed uint64, d defect, episodes int) *rolloutHistory {
 	h := &rolloutHistory{}
 	synctest.Test(t, func(*testing.T) {
 		m := newModel(seed, d, func(m *model) { m.rollouts = true })
@@ -133,12 +131,12 @@
 
 func TestModelOfRollouts(t *testing.T) {
 	seeds := seedsFromEnvironment(120)
-	for lane := range modelLanes {
-		t.Run(fmt.Sprint("lane ", lane), func(t *testing.T) {
+	for shard := range modelShards {
+		t.Run(fmt.Sprint("shard ", shard), func(t *testing.T) {
 			t.Parallel()
-			for seed := lane; seed < seeds; seed += modelLanes {
-				h := playRollouts(t, uint64(seed), sound, 4)
-				require.Empty(t, h.wrong(), "seed %d", seed)
+			for seed := shard; seed < seeds; seed += modelShards {
+				h := runRolloutSchedule(t, uint64(seed), noDefect, 4)
+				require.Empty(t, h.violation(), "seed %d", seed)
 				orders, ended := 0, 0
 				for _, op := range h.ops {
 					if op.order {
@@ -154,32 +152,30 @@
 	}
 }
 
-// What any member reads without a majority's word may be older than what was
-// read before, which the check sees.
-func TestModelOfRolloutsSeesAMistake(t *testing.T) {
+// Reads that are not confirmed by a majority may be stale, which the check must detect.
+func TestModelOfRolloutsDetectsStaleReads(t *testing.T) {
 	const most = 200
 	for seed := range uint64(most) {
-		if what := playRollouts(t, seed, readsAnywhere, 4).wrong(); what != "" {
-			t.Logf("seen with seed %d: %s", seed, what)
+		if violation := runRolloutSchedule(t, seed, unconfirmedReads, 4).violation(); violation != "" {
+			t.Logf("detected with seed %d: %s", seed, violation)
 			return
 		}
 	}
-	t.Fatalf("not seen in %d seeds", most)
+	t.Fatalf("not detected in %d seeds", most)
 }
 
-// A history with a mistake is seen.
-func TestHistoriesOfRolloutsAreJudged(t *testing.T) {
+func TestRolloutHistoryViolations(t *testing.T) {
 	at := func(s int) time.Time { return time.Unix(int64(s), 0) }
 	op := func(from int, order bool, number uint64, state rollout.State) rolloutOp {
 		return rolloutOp{call: at(from), done: at(from + 1), order: order, record: rollout.Record{Number: number, State: state}}
 	}
 	for name, ops := range map[string][]rolloutOp{
-		"forgotten":     {op(0, true, 7, rollout.Running), op(5, false, 0, "")},
-		"older":         {op(0, false, 9, rollout.Running), op(5, false, 7, rollout.RolledBack)},
-		"end that ends": {op(0, false, 7, rollout.RolledBack), op(5, false, 7, rollout.Running)},
+		"forgotten":   {op(0, true, 7, rollout.Running), op(5, false, 0, "")},
+		"older":       {op(0, false, 9, rollout.Running), op(5, false, 7, rollout.RolledBack)},
+		"end revoked": {op(0, false, 7, rollout.RolledBack), op(5, false, 7, rollout.Running)},
 	} {
-		require.NotEmpty(t, (&rolloutHistory{ops: ops}).wrong(), name)
+		require.NotEmpty(t, (&rolloutHistory{ops: ops}).violation(), name)
 	}
-	fine := []rolloutOp{op(0, true, 7, rollout.Running), op(0, false, 0, ""), op(5, false, 7, rollout.Completed), op(9, true, 11, rollout.Running)}
-	require.Empty(t, (&rolloutHistory{ops: fine}).wrong())
+	valid := []rolloutOp{op(0, true, 7, rollout.Running), op(0, false, 0, ""), op(5, false, 7, rollout.Completed), op(9, true, 11, rollout.Running)}
+	require.Empty(t, (&rolloutHistory{ops: valid}).violation())
 }
--- a/control/model_site_test.go
+++ b/control/model_site_test.go
@@ -23,7 +23,7 @@
 type model struct {
 	defect defect
 	seed   uint64
-	names  []walnutramp.NodeName // the seeds, by founding
+	names  []walnutramp.NodeName // the founding members
 
 	mu      sync.Mutex
 	rng     *rand.Rand
@@ -32,10 +32,10 @@
 	version uint64
 	history []porcupine.Operation
 	began   time.Time
-	next    int // number of the next new node
+	nextID  int // number of the next node
 
-	rollouts bool      // the site has roll-outs
-	duty     *dutySite // what the site's duty is called for; nil where it has none
+	rollouts bool      // run a RolloutController on each node
+	duty     *dutySite // nil for none
 }
 
 type modelNode struct {
@@ -46,34 +46,34 @@
 	state    *State
 	server   *Server
 	client   *Client
-	duty     *DutyHolder // nil where the site has none
+	duty     *DutyHolder // nil for none
 	cancel   context.CancelFunc
 	tasks    sync.WaitGroup
 	up       bool
-	gone     bool // for good
+	removed  bool
 }
 
-// lyingDisk returns from a sync that it has not done.
-type lyingDisk struct{ *memfs.FS }
+// noSyncDisk is a disk whose files ignore Sync.
+type noSyncDisk struct{ *memfs.FS }
 
-type lyingFile struct{ wal.File }
+type noSyncFile struct{ wal.File }
 
-func (lyingFile) Sync() error { return nil }
+func (noSyncFile) Sync() error { return nil }
 
-func (d lyingDisk) Create(name string) (wal.File, error) {
+func (d noSyncDisk) Create(name string) (wal.File, error) {
 	f, err := d.FS.Create(name)
-	return lyingFile{f}, err
+	return noSyncFile{f}, err
 }
 
-func (d lyingDisk) Append(name string, size int64) (wal.File, error) {
+func (d noSyncDisk) Append(name string, size int64) (wal.File, error) {
 	f, err := d.FS.Append(name, size)
-	return lyingFile{f}, err
+	return noSyncFile{f}, err
 }
 
 func newModel(seed uint64, d defect, opts ...func(*model)) *model {
 	m := &model{
 		defect: d, seed: seed, rng: rand.New(rand.NewPCG(seed, 99)), nodes: map[walnutramp.NodeName]*modelNode{},
-		cut: map[[2]walnutramp.NodeName]bool{}, began: time.Now(), names: []walnutramp.NodeName{"n1", "n2", "n3"}, next: 4,
+		cut: map[[2]walnutramp.NodeName]bool{}, began: time.Now(), names: []walnutramp.NodeName{"n1", "n2", "n3"}, nextID: 4,
 	}
 	for _, opt := range opts {
 		opt(m)
@@ -83,7 +83,7 @@
 		m.start(name, true)
 	}
 	if seed%2 == 0 { // four voters on every other seed
-		m.add()
+		m.addNode()
 	}
 	return m
 }
@@ -98,11 +98,11 @@
 	return low + time.Duration(m.intn(int(high-low)))
 }
 
-// add makes a new machine with an empty disk.
-func (m *model) add() walnutramp.NodeName {
+// addNode starts a new node with an empty disk.
+func (m *model) addNode() walnutramp.NodeName {
 	m.mu.Lock()
-	name := walnutramp.NodeName(fmt.Sprintf("n%d", m.next))
-	m.next++
+	name := walnutramp.NodeName(fmt.Sprintf("n%d", m.nextID))
+	m.nextID++
 	m.nodes[name] = &modelNode{name: name, disk: memfs.New()}
 	m.mu.Unlock()
 	m.start(name, false)
@@ -115,7 +115,7 @@
 	m.mu.Unlock()
 	var disk wal.FS = n.disk
 	if m.defect == acksBeforeSync {
-		disk = lyingDisk{n.disk}
+		disk = noSyncDisk{n.disk}
 	}
 	if founder {
 		FoundIdentity(disk)
@@ -137,7 +137,7 @@
 	if m.seed%3 == 0 {
 		opts = append(opts, consensus.WithCallBytes(m.callBytes()))
 	}
-	if m.defect == swapsTwoMembers {
+	if m.defect == twoMemberChanges {
 		opts = append(opts, consensus.WithUncheckedChanges())
 	}
 	n.member, err = consensus.New(name, identity, disk, founding, peers, n.state, opts...)
@@ -154,12 +154,12 @@
 	m.mu.Unlock()
 	n.member.Start()
 	run := keeper.Run
-	if m.defect == swapsTwoMembers {
-		run = func(ctx context.Context) { swapMembers(ctx, keeper) }
+	if m.defect == twoMemberChanges {
+		run = func(ctx context.Context) { runTwoMemberChanges(ctx, keeper) }
 	}
 	n.tasks.Go(func() { run(ctx) })
 	if m.rollouts {
-		n.server.roster.Set(modelList())
+		n.server.targets.Set(modelList())
 		controller := NewRolloutController(n.member, n.server, rollout.Bounds{Share: 0.1, Slack: 50})
 		n.tasks.Go(func() { controller.Run(ctx) })
 	}
@@ -169,18 +169,18 @@
 	n.tasks.Go(func() { NewJoiner(peers, name, identity, n.member, client).Run(ctx) })
 }
 
-// swapMembers is a keeper with the mistake: it puts a newcomer in the place
-// of a voter that is silent for a moment, in one change, counted at once.
-func swapMembers(ctx context.Context, k *Keeper) {
+// runTwoMemberChanges is a keeper with the twoMemberChanges defect: it replaces a silent
+// voter by a new one in one change.
+func runTwoMemberChanges(ctx context.Context, k *Keeper) {
 	for ctx.Err() == nil {
-		time.Sleep(keepEvery)
+		time.Sleep(membershipInterval)
 		if !k.member.Leads() {
 			continue
 		}
 		g := k.member.Status().Group
 		silent, since := silentVoter(k.member.Followers())
-		for node, n := range k.waiting() {
-			if _, there := g.Find(node); there {
+		for node, n := range k.pendingJoins() {
+			if _, isVoter := g.Find(node); isVoter {
 				continue
 			}
 			if since > 300*time.Millisecond {
@@ -191,30 +191,30 @@
 	}
 }
 
-// seeds are the nodes that a process is told of when it starts: up to three
-// of the machines that are there, whether they run or not.
+// seeds returns the nodes that a process is configured with: up to three of those that
+// were not removed.
 func (m *model) seeds() []walnutramp.NodeName {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	var there []walnutramp.NodeName
+	var present []walnutramp.NodeName
 	for name, n := range m.nodes {
-		if !n.gone {
-			there = append(there, name)
+		if !n.removed {
+			present = append(present, name)
 		}
 	}
-	slices.Sort(there)
-	return there[:min(3, len(there))]
+	slices.Sort(present)
+	return present[:min(3, len(present))]
 }
 
-// remove kills a machine for good.
-func (m *model) remove(name walnutramp.NodeName) {
+// removeNode kills a node permanently.
+func (m *model) removeNode(name walnutramp.NodeName) {
 	m.kill(name, false)
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.nodes[name].gone = true
+	m.nodes[name].removed = true
 }
 
-// kill ends a node as a crash does; power loses what was not synced.
+// kill crashes a node; with power it may lose data that was not synced.
 func (m *model) kill(name walnutramp.NodeName, power bool) {
 	m.mu.Lock()
 	n := m.nodes[name]
@@ -241,12 +241,12 @@
 func (m *model) wipe(name walnutramp.NodeName) {
 	n := m.nodes[name]
 	n.disk.Wipe()
-	if m.defect == votesAsOldSelf {
+	if m.defect == keepsIdentity {
 		writeIdentity(n.disk, n.identity)
 	}
 }
 
-func (m *model) live() []walnutramp.NodeName {
+func (m *model) running() []walnutramp.NodeName {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	var names []walnutramp.NodeName
@@ -259,25 +259,25 @@
 	return names
 }
 
-func (m *model) any() walnutramp.NodeName {
-	live := m.live()
+func (m *model) randomNode() walnutramp.NodeName {
+	live := m.running()
 	if len(live) == 0 {
 		return m.names[0]
 	}
 	return live[m.intn(len(live))]
 }
 
-// setCut cuts or joins one direction.
+// setCut cuts or restores one direction between two nodes.
 func (m *model) setCut(from, to walnutramp.NodeName, cut bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.cut[[2]walnutramp.NodeName{from, to}] = cut
 }
 
-// partition cuts one side from the other; oneWay leaves the way back.
+// partition cuts side from the other nodes; oneWay keeps calls to side.
 func (m *model) partition(side []walnutramp.NodeName, cut, oneWay bool) {
-	for _, a := range m.live() {
-		for _, b := range m.live() {
+	for _, a := range m.running() {
+		for _, b := range m.running() {
 			if slices.Contains(side, a) != slices.Contains(side, b) && (!oneWay || slices.Contains(side, a)) {
 				m.setCut(a, b, cut)
 			}
@@ -291,7 +291,7 @@
 	clear(m.cut)
 }
 
-// modelPeers carries a node's calls.
+// modelPeers implements Peers for one node.
 type modelPeers struct {
 	m    *model
 	from walnutramp.NodeName
@@ -300,12 +300,12 @@
 func (p modelPeers) Call(ctx context.Context, to walnutramp.NodeName, method string, args, reply any) error {
 	target, delay, reached := p.m.reach(p.from, to)
 	if !reached {
-		<-ctx.Done() // a cut says nothing
+		<-ctx.Done() // no reply through a partition
 		return ctx.Err()
 	}
 	if target == nil {
 		time.Sleep(delay)
-		return errSilent // a dead port refuses
+		return errConnectionRefused // the process is down
 	}
 	time.Sleep(delay)
 	if err := p.m.deliver(target, method, args, reply); err != nil {
@@ -319,12 +319,13 @@
 	return ctx.Err()
 }
 
-// reach returns a node as it is now; nil if its process is down.
+// reach returns the current state of a node, nil if its process is down, with the delay
+// of the call; false if the call is lost.
 func (m *model) reach(from, to walnutramp.NodeName) (*modelNode, time.Duration, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	delay := time.Duration(m.rng.IntN(4000)+200) * time.Microsecond
-	if m.regions() && regionOf(from) != regionOf(to) {
+	if m.multiRegion() && regionOf(from) != regionOf(to) {
 		delay += regionDelay
 	}
 	if m.cut[[2]walnutramp.NodeName{from, to}] || m.rng.IntN(400) == 0 {
@@ -338,18 +339,18 @@
 	return now, delay, true
 }
 
-// callBytes is as many times more between regions as a call takes longer.
+// callBytes returns the call size limit, which is larger with longer delays.
 func (m *model) callBytes() int {
-	if m.regions() {
-		return farCallBytes
+	if m.multiRegion() {
+		return crossRegionCallBytes
 	}
 	return modelCallBytes
 }
 
-// regions reports whether the machines are in several regions.
-func (m *model) regions() bool { return m.seed%5 == 0 }
+// multiRegion reports whether the nodes are in several regions.
+func (m *model) multiRegion() bool { return m.seed%5 == 0 }
 
-// regionOf spreads the machines over the regions.
+// regionOf returns the region of a node.
 func regionOf(name walnutramp.NodeName) int {
 	n, _ := strconv.Atoi(strings.TrimPrefix(string(name), "n"))
 	return n % modelRegions
@@ -359,16 +360,16 @@
 	switch method {
 	case consensus.Service + ".Vote":
 		a := args.(consensus.VoteArgs)
-		if m.defect == replacedCounts {
+		if m.defect == ignoresIdentity {
 			a.To = n.identity
 		}
-		if m.defect == handsToBehind && a.Transfer {
+		if m.defect == transfersToLagging && a.Transfer {
 			a.LastTerm, a.LastIndex = math.MaxUint64, math.MaxUint64
 		}
 		return n.member.Handler().Vote(a, reply.(*consensus.VoteReply))
 	case consensus.Service + ".Append":
 		a := args.(consensus.AppendArgs)
-		if m.defect == replacedCounts {
+		if m.defect == ignoresIdentity {
 			a.To = n.identity
 		}
 		return n.member.Handler().Append(a, reply.(*consensus.AppendReply))
--- a/control/model_test.go
+++ b/control/model_test.go
@@ -18,42 +18,41 @@
 	"github.com/walnutramp/walnutramp/consensus"
 )
 
-// The model check runs the group's own code, members, keeper, joiner and
-// clients, under a seeded schedule of crashes, lost disks, cuts, splits and
-// replacements in virtual time, and hands the history of offers and confirmed
-// reads to a linearizability checker. A defect puts a mistake in on purpose.
+// The model check runs the real members, keeper, joiner and clients of a control group
+// in virtual time under a seeded schedule of crashes, disk losses, partitions and
+// replacements. It checks the history of submitted documents and confirmed reads for
+// linearizability. A defect is a bug that is injected to test the check.
 
 type defect int
 
 const (
-	sound           defect = iota
-	votesAsOldSelf         // a wiped disk keeps its identity
-	acksBeforeSync         // a sync returns before it is done
-	readsAnywhere          // a read is answered without confirmation
-	swapsTwoMembers        // one change removes a voter and counts a newcomer
-	replacedCounts         // a newcomer answers in the name of whom it replaced
-	handsToBehind          // the leadership is handed to whom lacks what is committed
+	noDefect           defect = iota
+	keepsIdentity             // a node keeps its identity after a disk loss
+	acksBeforeSync            // Sync does nothing
+	unconfirmedReads          // reads are not confirmed by a majority
+	twoMemberChanges          // one change removes a voter and adds another
+	ignoresIdentity           // a node accepts messages for the node it replaced
+	transfersToLagging        // leadership is transferred to a member without all committed entries
 )
 
-// On every third seed a call between members carries so little that snapshots
-// and long documents go in parts. With less a newcomer, at 4 to 16 ms a call,
-// does not catch up before the schedule takes the next disk.
+// On every third seed the size of calls between members is limited, so that snapshots
+// and long documents are sent in chunks. With a lower limit a new member would not catch
+// up before the next disk loss.
 const (
-	modelCallBytes    = 512
-	farCallBytes      = 4 * modelCallBytes
-	modelLongDocument = 1500 // bytes, of one document in eight
+	modelCallBytes         = 512
+	crossRegionCallBytes   = 4 * modelCallBytes
+	modelLongDocumentBytes = 1500 // size of one document in eight
 )
 
-// On every fifth seed the machines are in three regions.
+// On every fifth seed the nodes are in three regions.
 const (
 	modelRegions = 3
-	regionDelay  = 12 * time.Millisecond // one way between two regions
+	regionDelay  = 12 * time.Millisecond // one way, between regions
 )
 
-// episode is one trouble with its end; machines have their time to come up to
-// date behind it.
+// episode injects one random fault, ends it, and leaves time to recover.
 func (m *model) episode() {
-	victim := m.any()
+	victim := m.randomNode()
 	switch m.intn(13) {
 	case 0:
 		m.kill(victim, true)
@@ -65,28 +64,28 @@
 		time.Sleep(m.between(300*time.Millisecond, 2*time.Second))
 		m.start(victim, false)
 	case 2:
-		m.remove(victim)
+		m.removeNode(victim)
 		time.Sleep(m.between(500*time.Millisecond, 3*time.Second))
-		m.add()
+		m.addNode()
 	case 3:
-		m.add()
+		m.addNode()
 		time.Sleep(m.between(time.Second, 3*time.Second))
-		m.remove(victim)
+		m.removeNode(victim)
 	case 4, 5:
 		m.partition([]walnutramp.NodeName{victim}, true, m.intn(3) == 0)
 		time.Sleep(m.between(500*time.Millisecond, 5*time.Second))
 		if m.intn(3) == 0 {
-			m.add() // while one is cut off
+			m.addNode() // during the partition
 			time.Sleep(m.between(500*time.Millisecond, 3*time.Second))
 		}
 		m.heal()
 	case 6:
-		live := m.live()
+		live := m.running()
 		m.partition(live[:len(live)/2], true, false)
 		time.Sleep(m.between(500*time.Millisecond, 4*time.Second))
 		m.heal()
 	case 7, 8:
-		all := m.live()
+		all := m.running()
 		for _, name := range all {
 			m.kill(name, true)
 		}
@@ -95,18 +94,17 @@
 			m.start(name, false)
 		}
 	case 9, 10:
-		m.behind(victim)
+		m.wipeWhileLagging(victim)
 	case 11, 12:
-		m.handOvers(victim)
+		m.repeatTransfers(victim)
 	}
 	time.Sleep(6 * time.Second)
 }
 
-// behind lets a minority miss changes; then one of the others loses its disk,
-// and the rest are dark for a while, so that only a node that is behind and
-// one that has forgotten are there.
-func (m *model) behind(victim walnutramp.NodeName) {
-	others := slices.DeleteFunc(m.live(), func(n walnutramp.NodeName) bool { return n == victim })
+// wipeWhileLagging partitions a node so that it falls behind, wipes the disk of another,
+// and lets only these two run for a while.
+func (m *model) wipeWhileLagging(victim walnutramp.NodeName) {
+	others := slices.DeleteFunc(m.running(), func(n walnutramp.NodeName) bool { return n == victim })
 	m.partition([]walnutramp.NodeName{victim}, true, false)
 	time.Sleep(m.between(500*time.Millisecond, 2*time.Second))
 	for _, name := range others {
@@ -121,41 +119,41 @@
 	}
 }
 
-// handOvers has whoever leads hand over again and again, while a member that
-// misses changes by a cut comes back.
-func (m *model) handOvers(victim walnutramp.NodeName) {
+// repeatTransfers transfers leadership repeatedly while a member that has fallen behind
+// rejoins.
+func (m *model) repeatTransfers(victim walnutramp.NodeName) {
 	m.partition([]walnutramp.NodeName{victim}, true, m.intn(3) == 0)
 	time.Sleep(m.between(500*time.Millisecond, 2*time.Second))
 	m.heal()
 	for range 2 + m.intn(4) {
-		if m.defect == handsToBehind {
-			m.orderToLead(victim)
+		if m.defect == transfersToLagging {
+			m.forceTransfer(victim)
 		} else {
-			m.handOver()
+			m.transferLeadership()
 		}
 		time.Sleep(m.between(10*time.Millisecond, 700*time.Millisecond))
 	}
 }
 
-// handOver has the members that lead hand over.
-func (m *model) handOver() {
-	for _, name := range m.live() {
+// transferLeadership makes all members that lead transfer leadership.
+func (m *model) transferLeadership() {
+	for _, name := range m.running() {
 		m.member(name).HandOver(context.Background())
 	}
 }
 
-// orderToLead is a hand-over with the mistake: it does not wait until the next
-// leader holds the log.
-func (m *model) orderToLead(name walnutramp.NodeName) {
-	for _, other := range m.live() {
-		leads := m.member(other)
-		if !leads.Leads() || other == name {
+// forceTransfer is the transferToLagging defect: it transfers leadership without waiting
+// until the next leader has the whole log.
+func (m *model) forceTransfer(name walnutramp.NodeName) {
+	for _, other := range m.running() {
+		leader := m.member(other)
+		if !leader.Leads() || other == name {
 			continue
 		}
 		m.mu.Lock()
 		to := m.nodes[name].identity
 		m.mu.Unlock()
-		args := consensus.TimeoutNowArgs{Term: leads.Status().Term, Leader: other, To: to}
+		args := consensus.TimeoutNowArgs{Term: leader.Status().Term, Leader: other, To: to}
 		m.member(name).Handler().TimeoutNow(args, &consensus.TimeoutNowReply{})
 	}
 }
@@ -166,15 +164,15 @@
 	return m.nodes[name].member
 }
 
-var errSilent = errors.New("silent")
+var errConnectionRefused = errors.New("connection refused")
 
 type modelInput struct {
 	offer   bool
 	version uint64
 }
 
-// highest is the group as its callers see it: a register that only rises.
-var highest = porcupine.Model{
+// maxRegister models the group as a register that only increases.
+var maxRegister = porcupine.Model{
 	Init: func() any { return uint64(0) },
 	Step: func(state, input, output any) (bool, any) {
 		held, in := state.(uint64), input.(modelInput)
@@ -186,19 +184,19 @@
 	DescribeOperation: func(input, output any) string { return fmt.Sprint(input, output) },
 }
 
-func (m *model) note(client int, in modelInput, out uint64, call time.Time, returned bool) {
+func (m *model) recordOperation(client int, in modelInput, out uint64, call time.Time, returned bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	op := porcupine.Operation{ClientId: client, Input: in, Output: out, Call: int64(call.Sub(m.began)), Return: int64(time.Since(m.began))}
 	if !returned {
-		op.Return = int64(time.Hour) // it may yet take effect
+		op.Return = int64(time.Hour) // may still take effect
 	}
 	m.history = append(m.history, op)
 }
 
-// client returns the way to the group of some node that is up.
+// client returns the client of a random running node.
 func (m *model) client() (*Client, *modelNode) {
-	name := m.any()
+	name := m.randomNode()
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	n := m.nodes[name]
@@ -213,7 +211,7 @@
 	version := m.version
 	doc := strconv.AppendUint(nil, version, 10)
 	if m.rng.IntN(8) == 0 {
-		for len(doc) < modelLongDocument {
+		for len(doc) < modelLongDocumentBytes {
 			doc = append(doc, byte(m.rng.IntN(256)))
 		}
 	}
@@ -222,7 +220,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 1500*time.Millisecond)
 	defer cancel()
 	_, err := c.Offer(ctx, version, doc)
-	m.note(client, modelInput{offer: true, version: version}, 0, call, err == nil)
+	m.recordOperation(client, modelInput{offer: true, version: version}, 0, call, err == nil)
 }
 
 func (m *model) read(client int) bool {
@@ -231,11 +229,11 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 1500*time.Millisecond)
 	defer cancel()
 	version, _, ok := c.Newest(ctx)
-	if m.defect == readsAnywhere {
+	if m.defect == unconfirmedReads {
 		version, ok = n.state.newestVersion(), true
 	}
 	if ok {
-		m.note(client, modelInput{}, version, call, true)
+		m.recordOperation(client, modelInput{}, version, call, true)
 	}
 	return ok
 }
@@ -246,9 +244,9 @@
 	return s.newest().Version
 }
 
-// play runs one schedule; it reports whether the history is linearizable and
-// whether the group served again at the end.
-func play(t *testing.T, seed uint64, d defect, episodes int) (linearizable, served bool) {
+// runSchedule runs one schedule. It reports whether the history is linearizable and
+// whether the group serves again at the end.
+func runSchedule(t *testing.T, seed uint64, d defect, episodes int) (linearizable, served bool) {
 	synctest.Test(t, func(t *testing.T) {
 		m := newModel(seed, d)
 		time.Sleep(3 * time.Second)
@@ -279,7 +277,7 @@
 		for name := range m.nodes {
 			m.kill(name, false)
 		}
-		linearizable = porcupine.CheckOperations(highest, m.history)
+		linearizable = porcupine.CheckOperations(maxRegister, m.history)
 	})
 	return linearizable, served
 }
@@ -291,16 +289,16 @@
 	return fallback
 }
 
-// modelLanes is how many schedules run at a time.
-const modelLanes = 8
+// modelShards is the number of schedules that run in parallel.
+const modelShards = 8
 
 func TestModel(t *testing.T) {
 	seeds := seedsFromEnvironment(1000)
-	for lane := range modelLanes {
-		t.Run(fmt.Sprint("lane ", lane), func(t *testing.T) {
+	for shard := range modelShards {
+		t.Run(fmt.Sprint("shard ", shard), func(t *testing.T) {
 			t.Parallel()
-			for seed := lane; seed < seeds; seed += modelLanes {
-				linearizable, served := play(t, uint64(seed), sound, 4)
+			for seed := shard; seed < seeds; seed += modelShards {
+				linearizable, served := runSchedule(t, uint64(seed), noDefect, 4)
 				require.True(t, linearizable, "seed %d", seed)
 				require.True(t, served, "seed %d: the group does not serve again", seed)
 			}
@@ -308,24 +306,24 @@
 	}
 }
 
-// Each mistake must be seen: either the history is not linearizable, or the
-// group does not serve again.
-func TestModelSeesMistakes(t *testing.T) {
+// Each injected defect must be detected: the history is not linearizable, or the group
+// does not serve again.
+func TestModelDetectsDefects(t *testing.T) {
 	for name, d := range map[string]defect{
-		"votes as its old self": votesAsOldSelf, "acknowledges before the sync": acksBeforeSync, "reads without confirmation": readsAnywhere,
-		"swaps two members at once": swapsTwoMembers, "counts a replaced voter": replacedCounts, "hands over to one that is behind": handsToBehind,
+		"keeps its identity after a disk loss": keepsIdentity, "acknowledges before the sync": acksBeforeSync, "reads without confirmation": unconfirmedReads,
+		"changes two members at once": twoMemberChanges, "ignores the identity of a replaced voter": ignoresIdentity, "transfers leadership to a lagging member": transfersToLagging,
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			const most = 400
 			for seed := range uint64(most) {
-				linearizable, served := play(t, seed, d, 4)
+				linearizable, served := runSchedule(t, seed, d, 4)
 				if !linearizable || !served {
-					t.Logf("seen with seed %d: linearizable %v, served again %v", seed, linearizable, served)
+					t.Logf("detected with seed %d: linearizable %v, serves again %v", seed, linearizable, served)
 					return
 				}
 			}
-			t.Fatalf("not seen in %d seeds", most)
+			t.Fatalf("not detected in %d seeds", most)
 		})
 	}
 }
--- a/control/pieces.go
+++ b/control/pieces.go
@@ -10,128 +10,124 @@
 	"golang.org/x/time/rate"
 )
 
-// A content that is larger than inlineBytes is not part of the answer that
-// tells of it. Nodes read it in pieces, mostly at a member of their own data
-// hall, and each member hands pieces out at a bounded rate. So a large change
-// that all nodes want at once leaves room on the members' links for votes,
-// heartbeats and answers, and no time limit has to cover a large answer.
-// Measured with 79 entries and a change of 290 kB over links of 100 and 10
-// Mbit/s, in virtual time: before, 71 to 73 entries did not have it within
-// 2.5 s and the leader was deposed; since, none and not.
+// Payloads larger than maxInlineBytes are not part of the reply that announces
+// them. Nodes read them in chunks, mostly from a member of their own data hall, and
+// each member limits the rate of chunks. This leaves room on the members' links for
+// votes, heartbeats and replies when all nodes read a large change at once.
 const (
-	// inlineBytes is up to where a content is part of the answer: 100 nodes
-	// times this pass a link of 100 Mbit/s in 65 ms, well within a heartbeat.
-	inlineBytes = 8 << 10
-	// pieceBytes is the size of a piece: it passes a link of 10 Mbit/s in 26 ms.
-	pieceBytes = 32 << 10
-	// feedShare is the part of a member's link that pieces may take up.
-	feedShare = 0.5
-	// feedUnknown is the rate, in bytes a second, where the link is not known:
-	// a third of 100 Mbit/s.
-	feedUnknown = 4 << 20
-	// feedWait bounds how long a piece waits for its turn before the asker is
-	// told to come again: 100 nodes' pieces at half of 100 Mbit/s take 0.5 s.
-	feedWait = 600 * time.Millisecond
+	// maxInlineBytes is the largest payload sent within a reply. For 100 nodes it takes
+	// 65 ms on a link of 100 Mbit/s, well within a heartbeat.
+	maxInlineBytes = 8 << 10
+	// chunkBytes is the size of a chunk, which takes 26 ms on a link of 10 Mbit/s.
+	chunkBytes = 32 << 10
+	// chunkLinkShare is the fraction of a member's link that chunks may use.
+	chunkLinkShare = 0.5
+	// defaultChunkRate is the rate in bytes per second if the link's rate is unknown: a
+	// third of 100 Mbit/s.
+	defaultChunkRate = 4 << 20
+	// chunkQueueTimeout bounds how long a request for a chunk is queued before it is
+	// rejected: 100 nodes' chunks at half of 100 Mbit/s take 0.5 s.
+	chunkQueueTimeout = 600 * time.Millisecond
 )
 
-// Content is compressed text that an answer tells of: an update of the
-// document, or a list of targets. A long one is not in it, but read in pieces.
-type Content struct {
-	Inline []byte // the whole, where it is short
-	Bytes  int    // where it is long: its size
-	Hash   uint64 // and its hash
+// Payload is compressed text that a reply announces: an update of the document, or
+// a target list. A long one is read in chunks.
+type Payload struct {
+	Inline []byte // the compressed text, if short
+	Bytes  int    // size of a long one
+	Hash   uint64 // hash of a long one
 }
 
-// none reports whether there is nothing to tell.
-func (c *Content) none() bool { return len(c.Inline) == 0 && c.Bytes == 0 }
+// empty reports whether there is no payload.
+func (c *Payload) empty() bool { return len(c.Inline) == 0 && c.Bytes == 0 }
 
-// packed is compressed text with its hash.
-type packed struct {
+// compressed is compressed text with its hash.
+type compressed struct {
 	bytes []byte
 	hash  uint64
 }
 
-func newPacked(text []byte) packed {
+func compress(text []byte) compressed {
 	b := pack.Compress(text)
-	return packed{bytes: b, hash: xxhash.Sum64(b)}
+	return compressed{bytes: b, hash: xxhash.Sum64(b)}
 }
 
-// content returns the text as an answer tells of it.
-func (p packed) content() Content {
-	if len(p.bytes) <= inlineBytes {
-		return Content{Inline: p.bytes}
+// payload returns the text as a reply announces it.
+func (p compressed) payload() Payload {
+	if len(p.bytes) <= maxInlineBytes {
+		return Payload{Inline: p.bytes}
 	}
-	return Content{Bytes: len(p.bytes), Hash: p.hash}
+	return Payload{Bytes: len(p.bytes), Hash: p.hash}
 }
 
-// PieceArgs asks for a piece of a content.
+// PieceArgs requests a chunk of a payload.
 type PieceArgs struct {
-	// From and To are versions of the document, where the content leads from
-	// one to the other. To is 0 for a list of targets.
+	// From and To are the versions of the document that an update leads from and to. To
+	// is 0 for a target list.
 	From, To uint64
-	Hash     uint64 // of the content
-	Offset   int    // of the piece in it
+	Hash     uint64 // of the payload
+	Offset   int    // of the chunk in the payload, in bytes
 }
 
-// PieceReply is the piece: CodeNotHeld where this member has no such content,
-// CodeOverloaded where it hands out too much already.
+// PieceReply holds a chunk. Code is CodeNotHeld if this member does not have the
+// payload, and CodeOverloaded if its rate limit is reached.
 type PieceReply struct {
 	Code walnutramp.Code
 	Data []byte
 }
 
-// newFeed returns what paces pieces on a link of so many bytes a second, 0 for
-// an unknown one.
-func newFeed(link float64) *rate.Limiter {
-	pace := rate.Limit(link * feedShare)
+// newChunkLimiter returns the rate limiter of chunks on a link of so many bytes per
+// second, 0 if unknown.
+func newChunkLimiter(link float64) *rate.Limiter {
+	limit := rate.Limit(link * chunkLinkShare)
 	if link <= 0 {
-		pace = feedUnknown
+		limit = defaultChunkRate
 	}
-	return rate.NewLimiter(pace, pieceBytes)
+	return rate.NewLimiter(limit, chunkBytes)
 }
 
-// Piece implements the RPC by which nodes read a long content.
+// Piece implements the RPC by which nodes read long payloads.
 func (s *Server) Piece(args PieceArgs, reply *PieceReply) error {
-	ctx, cancel := context.WithTimeout(context.Background(), feedWait)
+	ctx, cancel := context.WithTimeout(context.Background(), chunkQueueTimeout)
 	defer cancel()
-	held, ok := s.content(args)
-	if !ok || args.Offset < 0 || args.Offset >= len(held.bytes) {
+	text, ok := s.findCompressed(args)
+	if !ok || args.Offset < 0 || args.Offset >= len(text.bytes) {
 		reply.Code = walnutramp.CodeNotHeld
 		return nil
 	}
-	piece := held.bytes[args.Offset:min(args.Offset+pieceBytes, len(held.bytes))]
-	if err := s.feed.WaitN(ctx, len(piece)); err != nil {
+	chunk := text.bytes[args.Offset:min(args.Offset+chunkBytes, len(text.bytes))]
+	if err := s.chunkLimiter.WaitN(ctx, len(chunk)); err != nil {
 		reply.Code = walnutramp.CodeOverloaded
 		return nil
 	}
-	reply.Code, reply.Data = walnutramp.CodeOK, piece
+	reply.Code, reply.Data = walnutramp.CodeOK, chunk
 	return nil
 }
 
-// content returns what a piece is asked of.
-func (s *Server) content(args PieceArgs) (packed, bool) {
+// findCompressed returns the text of which a chunk is requested.
+func (s *Server) findCompressed(args PieceArgs) (compressed, bool) {
 	if args.To > 0 {
-		s.awaitVersion(args.To, relayLag)
+		s.awaitVersion(args.To, relayMaxLag)
 		return s.updates.find(args.From, args.Hash)
 	}
-	if s.roster == nil {
-		return packed{}, false
+	if s.targets == nil {
+		return compressed{}, false
 	}
-	return s.roster.await(args.Hash, relayLag)
+	return s.targets.awaitCompressed(args.Hash, relayMaxLag)
 }
 
-// awaitVersion waits a little until this member has applied a version.
-func (s *Server) awaitVersion(version uint64, limit time.Duration) {
-	late := time.NewTimer(limit)
-	defer late.Stop()
+// awaitVersion waits until this member has applied a version, or until timeout.
+func (s *Server) awaitVersion(version uint64, timeout time.Duration) {
+	timer := time.NewTimer(timeout)
+	defer timer.Stop()
 	for {
-		applied, _, _, changed := s.state.since(version)
+		applied, _, _, changed := s.state.updateSince(version)
 		if applied.Version >= version {
 			return
 		}
 		select {
 		case <-changed:
-		case <-late.C:
+		case <-timer.C:
 			return
 		}
 	}
--- a/control/regions_test.go
+++ b/control/regions_test.go
@@ -15,18 +15,18 @@
 	"github.com/walnutramp/walnutramp/internal/pause"
 )
 
-// A site of three regions, with two members in each.
+// A site of three regions with two members each.
 const (
-	siteRegions   = 3
-	siteMembers   = 6
-	regionDelay   = 12 * time.Millisecond // one way between regions
-	startSpread   = 300 * time.Millisecond
-	serveAgain    = 2 * time.Second         // after all processes are back
-	listReadAfter = 10 * time.Millisecond   // by a new leader, at the soonest
-	nextAck       = 1500 * time.Millisecond // after a member ended
+	siteRegions        = 3
+	siteMembers        = 6
+	regionDelay        = 12 * time.Millisecond // one way between regions
+	startSpread        = 300 * time.Millisecond
+	restartTimeout     = 2 * time.Second         // after all processes have started
+	targetReadDelay    = 10 * time.Millisecond   // earliest reading by a new leader
+	failoverAckTimeout = 1500 * time.Millisecond // after a member was stopped
 )
 
-// regionOfHost spreads the hosts over the regions by their numbers.
+// regionOfHost assigns hosts to regions by their numbers.
 func regionOfHost(host string) int {
 	n, _ := strconv.Atoi(host[1:])
 	return n % siteRegions
@@ -48,20 +48,19 @@
 	})
 }
 
-// keepList has whichever member leads hold the site's list of targets, as the
-// task does that reads it from the platform.
-func (fl *fleet) keepList(list []discovery.Target) {
+// keepTargetList sets the site's target list on the current leader, as the discovery task
+// does.
+func (fl *fleet) keepTargetList(list []discovery.Target) {
 	fl.spawn(func(ctx context.Context) {
-		for pause.For(ctx, listReadAfter) {
+		for pause.For(ctx, targetReadDelay) {
 			if leader := fl.leader(); leader != nil {
-				leader.roster.Set(list)
+				leader.targets.Set(list)
 			}
 		}
 	})
 }
 
-// siteList returns a list of targets.
-func siteList(n int) []discovery.Target {
+func siteTargets(n int) []discovery.Target {
 	list := make([]discovery.Target, 0, n)
 	for i := range n {
 		list = append(list, discovery.Target{
@@ -72,8 +71,8 @@
 	return list
 }
 
-// killAll ends all processes; the disks stay.
-func (fl *fleet) killAll() []*memfs.FS {
+// stopAll stops all processes and returns the members' disks.
+func (fl *fleet) stopAll() []*memfs.FS {
 	var disks []*memfs.FS
 	for _, m := range fl.members {
 		m.stop()
@@ -87,30 +86,30 @@
 	return disks
 }
 
-// After all processes were killed at one moment, each entry can serve again two
-// seconds after they are back: it holds the document, the list of targets and
-// the word that both are the newest.
-func TestAllServeAgainAfterAllWereKilled(t *testing.T) {
+// After a simultaneous restart of all processes, each entry node must hold a leased
+// document and the target list within
+// restartTimeout.
+func TestAllEntryNodesServeAfterFullRestart(t *testing.T) {
 	const version = 3
 	for _, size := range []struct{ entries, targets int }{{30, 300}, {101, 1002}, {300, 3000}} {
 		t.Run(fmt.Sprint(size.entries), func(t *testing.T) {
 			inRegions(t, size.entries, func(t *testing.T, fl *fleet) {
 				fl.offer(version, routesDocument(version, 100))
-				fl.restart(size.entries, siteList(size.targets))
-				back := time.Now()
-				for fl.serving(version, size.targets) < size.entries {
-					require.Less(t, time.Since(back), serveAgain, "entries that can serve: %d", fl.serving(version, size.targets))
+				fl.restart(size.entries, siteTargets(size.targets))
+				restarted := time.Now()
+				for fl.countServing(version, size.targets) < size.entries {
+					require.Less(t, time.Since(restarted), restartTimeout, "entry nodes that can serve: %d", fl.countServing(version, size.targets))
 					time.Sleep(10 * time.Millisecond)
 				}
-				t.Logf("%d entries and %d targets: all can serve %v after the last is back", size.entries, size.targets, time.Since(back))
+				t.Logf("%d entry nodes and %d targets: all can serve %v after the last start", size.entries, size.targets, time.Since(restarted))
 			})
 		})
 	}
 }
 
-// restart kills all processes and starts them anew, in any order.
+// restart stops all processes and starts them in random order.
 func (fl *fleet) restart(entries int, list []discovery.Target) {
-	disks := fl.killAll()
+	disks := fl.stopAll()
 	time.Sleep(time.Second)
 	starts := entries + len(disks)
 	for _, i := range rand.New(rand.NewPCG(1, 1)).Perm(starts) {
@@ -121,11 +120,12 @@
 		}
 		time.Sleep(startSpread / time.Duration(starts))
 	}
-	fl.keepList(list)
+	fl.keepTargetList(list)
 }
 
-// serving counts the entries that hold all they need.
-func (fl *fleet) serving(version uint64, targets int) int {
+// countServing returns the number of entry nodes that hold a leased document and the
+// target list.
+func (fl *fleet) countServing(version uint64, targets int) int {
 	n := 0
 	for _, e := range fl.entries {
 		e.mu.Lock()
@@ -137,44 +137,44 @@
 	return n
 }
 
-// An operator's next change is acknowledged soon after the leader was killed,
-// whichever member it is handed to.
-func TestNextChangeIsAcknowledgedAfterTheLeaderEnds(t *testing.T) {
+// A change is acknowledged soon after the leader was stopped, through any member.
+func TestChangeIsAcknowledgedAfterLeaderStops(t *testing.T) {
 	inRegions(t, 12, func(t *testing.T, fl *fleet) {
 		version := uint64(1)
 		fl.offer(version, routesDocument(version, 40))
 		for range 2 {
-			old := fl.leader()
-			old.stop()
-			fl.members = without(fl.members, old)
-			ended := time.Now()
+			leader := fl.leader()
+			leader.stop()
+			fl.members = without(fl.members, leader)
+			stoppedAt := time.Now()
 			version++
 			fl.offer(version, routesDocument(version, 40))
-			require.Less(t, time.Since(ended), nextAck)
-			t.Logf("acknowledged %v after the leader's end", time.Since(ended))
+			require.Less(t, time.Since(stoppedAt), failoverAckTimeout)
+			t.Logf("acknowledged %v after the leader's end", time.Since(stoppedAt))
 			time.Sleep(5 * time.Second)
 		}
 	})
 }
 
-// A planned stop of the leader keeps no change waiting for an election.
-func TestChangeDuringAHandOver(t *testing.T) {
-	const most = 300 * time.Millisecond
+// A planned stop of the leader must not delay changes by an election.
+func TestChangeDuringLeadershipTransfer(t *testing.T) {
+	const maxAckTime = 300 * time.Millisecond
 	inRegions(t, 12, func(t *testing.T, fl *fleet) {
 		fl.offer(1, routesDocument(1, 40))
 		for version := uint64(2); version < 8; version++ {
 			leader := fl.leader()
 			fl.spawn(func(ctx context.Context) { leader.raft.HandOver(ctx) })
-			asked := time.Now()
+			start := time.Now()
 			fl.offer(version, routesDocument(version, 40))
-			require.Less(t, time.Since(asked), most)
+			require.Less(t, time.Since(start), maxAckTime)
 			time.Sleep(time.Second)
 		}
 	})
 }
 
-// between cuts or joins every pair of hosts of which one is on the side.
-func (fl *fleet) between(side func(host string) bool, change func(a, b string)) {
+// eachPairAcross applies change to every pair of hosts of which only the first is on the
+// side.
+func (fl *fleet) eachPairAcross(side func(host string) bool, change func(a, b string)) {
 	var hosts []string
 	for _, m := range fl.members {
 		hosts = append(hosts, string(m.name))
@@ -191,93 +191,92 @@
 	}
 }
 
-// offerAt hands a document to a member, as an operator does.
+// offerAt submits a document through a member's client.
 func (fl *fleet) offerAt(m *fleetMember, version uint64) error {
-	ctx, cancel := context.WithTimeout(fl.ctx, nextAck)
+	ctx, cancel := context.WithTimeout(fl.ctx, failoverAckTimeout)
 	defer cancel()
 	_, err := m.client.Offer(ctx, version, routesDocument(version, 40))
 	return err
 }
 
-// Two members of different regions end at the same moment, the leader among
-// them.
-func TestTwoMembersOfDifferentRegionsEnd(t *testing.T) {
+// Two members of different regions stop at the same time, one of them the leader.
+func TestTwoMembersOfDifferentRegionsStop(t *testing.T) {
 	inRegions(t, 12, func(t *testing.T, fl *fleet) {
 		fl.offer(1, routesDocument(1, 40))
-		lost := []*fleetMember{fl.leader()}
+		stopped := []*fleetMember{fl.leader()}
 		for _, m := range fl.members {
-			if len(lost) == 1 && regionOfHost(string(m.name)) != regionOfHost(string(lost[0].name)) {
-				lost = append(lost, m)
+			if len(stopped) == 1 && regionOfHost(string(m.name)) != regionOfHost(string(stopped[0].name)) {
+				stopped = append(stopped, m)
 			}
 		}
-		for _, m := range lost {
+		for _, m := range stopped {
 			m.stop()
 			fl.members = without(fl.members, m)
 		}
-		ended := time.Now()
+		stoppedAt := time.Now()
 		fl.offer(2, routesDocument(2, 40))
-		require.Less(t, time.Since(ended), nextAck)
+		require.Less(t, time.Since(stoppedAt), failoverAckTimeout)
 		time.Sleep(inForceTime)
-		require.Zero(t, fl.late(2, ended.Add(nextAck)))
+		require.Zero(t, fl.countLate(2, stoppedAt.Add(failoverAckTimeout)))
 	})
 }
 
-// The leader is cut off with one other member: the four others elect, and the
-// entries, which reach both sides, follow them.
-func TestSplitWithTheLeaderInTheSmallerHalf(t *testing.T) {
+// The leader is partitioned together with one other member. The majority elects a
+// leader, and the entry nodes, which reach both sides, follow it.
+func TestPartitionWithLeaderInMinority(t *testing.T) {
 	inRegions(t, 12, func(t *testing.T, fl *fleet) {
 		fl.offer(1, routesDocument(1, 40))
-		old := fl.leader()
-		others := without(fl.members, old)
-		small := func(host string) bool { return host == string(old.name) || host == string(others[0].name) }
-		members := func(change func(a, b string)) {
-			fl.between(small, func(a, b string) {
+		oldLeader := fl.leader()
+		others := without(fl.members, oldLeader)
+		minority := func(host string) bool { return host == string(oldLeader.name) || host == string(others[0].name) }
+		betweenMembers := func(change func(a, b string)) {
+			fl.eachPairAcross(minority, func(a, b string) {
 				if b[0] == 'm' {
 					change(a, b)
 				}
 			})
 		}
-		members(fl.net.Cut)
-		cut := time.Now()
+		betweenMembers(fl.net.Cut)
+		partitioned := time.Now()
 		require.NoError(t, fl.offerAt(others[1], 2))
 		acknowledged := time.Now()
-		require.Less(t, acknowledged.Sub(cut), nextAck)
-		require.Error(t, fl.offerAt(old, 3), "the smaller half takes nothing")
+		require.Less(t, acknowledged.Sub(partitioned), failoverAckTimeout)
+		require.Error(t, fl.offerAt(oldLeader, 3), "the minority accepts nothing")
 		time.Sleep(inForceTime)
-		require.Zero(t, fl.late(2, acknowledged))
-		members(fl.net.Heal)
+		require.Zero(t, fl.countLate(2, acknowledged))
+		betweenMembers(fl.net.Heal)
 		healed := time.Now()
-		require.NoError(t, fl.offerAt(old, 4))
-		require.Less(t, time.Since(healed), nextAck)
+		require.NoError(t, fl.offerAt(oldLeader, 4))
+		require.Less(t, time.Since(healed), failoverAckTimeout)
 		time.Sleep(inForceTime)
-		require.Zero(t, fl.late(4, healed.Add(nextAck)))
+		require.Zero(t, fl.countLate(4, healed.Add(failoverAckTimeout)))
 	})
 }
 
-// A region that is cut off keeps what it has, says that it can't confirm it,
-// and is right again soon after the cut.
-func TestRegionThatIsCutOff(t *testing.T) {
+// A partitioned region keeps its document but loses the lease, and catches up soon
+// after the partition heals.
+func TestPartitionedRegion(t *testing.T) {
 	const region = 1
 	inRegions(t, 12, func(t *testing.T, fl *fleet) {
 		fl.offer(1, routesDocument(1, 40))
 		time.Sleep(inForceTime)
-		inside := func(host string) bool { return regionOfHost(host) == region }
-		fl.between(inside, fl.net.Cut)
+		inRegion := func(host string) bool { return regionOfHost(host) == region }
+		fl.eachPairAcross(inRegion, fl.net.Cut)
 		time.Sleep(control.LeaseTime + time.Second)
-		rest := fl.members[1]
-		require.NotEqual(t, region, regionOfHost(string(rest.name)))
-		require.NoError(t, fl.offerAt(rest, 2))
+		outside := fl.members[1]
+		require.NotEqual(t, region, regionOfHost(string(outside.name)))
+		require.NoError(t, fl.offerAt(outside, 2))
 		time.Sleep(inForceTime)
 		for i, e := range fl.entries {
 			if regionOfHost(entryName(i)) == region {
 				require.Equal(t, uint64(1), e.client.Version())
-				require.False(t, e.client.InForce(), "it can't know what is the newest")
+				require.False(t, e.client.InForce(), "the newest version cannot be confirmed")
 				continue
 			}
 			require.Equal(t, uint64(2), e.client.Version())
 			require.True(t, e.client.InForce())
 		}
-		fl.between(inside, fl.net.Heal)
+		fl.eachPairAcross(inRegion, fl.net.Heal)
 		time.Sleep(inForceTime)
 		for _, e := range fl.entries {
 			require.Equal(t, uint64(2), e.client.Version())
@@ -286,67 +285,67 @@
 	})
 }
 
-// What the busiest member sends and gets for documents, the list of targets and
-// the group, while the configuration changes every 3 s.
-func TestBytesAtTheBusiestMember(t *testing.T) {
+// Bounds the traffic of the busiest member while the configuration changes every 3
+// s.
+func TestTrafficAtBusiestMember(t *testing.T) {
 	const (
-		entries = 300
-		every   = 3 * time.Second
-		changes = 6
-		most    = 60e3 // bytes a second; a member's link of 100 Mbit/s carries 12.5 MB
+		entries  = 300
+		interval = 3 * time.Second
+		changes  = 6
+		maxRate  = 60e3 // bytes per second
 	)
 	inRegions(t, entries, func(t *testing.T, fl *fleet) {
 		fl.offer(1, routesDocument(1, 40))
-		fl.keepList(siteList(10 * entries))
+		fl.keepTargetList(siteTargets(10 * entries))
 		time.Sleep(10 * time.Second)
 		before := fl.memberBytes()
 		for version := range uint64(changes) {
 			fl.offer(version+2, routesDocument(version+2, 40))
-			time.Sleep(every)
+			time.Sleep(interval)
 		}
 		busiest := 0.0
 		for name, bytes := range fl.memberBytes() {
-			busiest = max(busiest, float64(bytes-before[name])/(changes*every.Seconds()))
+			busiest = max(busiest, float64(bytes-before[name])/(changes*interval.Seconds()))
 		}
-		t.Logf("%d entries, a change every %v: %.0f kB a second at the busiest member", entries, every, busiest/1e3)
-		require.Less(t, busiest, most)
+		t.Logf("%d entries, a change every %v: %.0f kB a second at the busiest member", entries, interval, busiest/1e3)
+		require.Less(t, busiest, maxRate)
 	})
 }
 
-// After a start of all, entries read the long list of targets at the members of
-// their data halls, not at the leader.
-func TestStartOfAllSparesTheLeader(t *testing.T) {
+// After a full restart, entry nodes must read the target list from the members of
+// their data halls, not from the leader.
+func TestFullRestartDoesNotLoadLeader(t *testing.T) {
 	const (
-		entries = 300
-		watched = 3 * time.Second
-		most    = 4 << 20 // bytes
+		entries  = 300
+		period   = 3 * time.Second
+		maxBytes = 4 << 20 // bytes
 	)
 	inRegions(t, entries, func(t *testing.T, fl *fleet) {
 		fl.offer(1, routesDocument(1, 40))
-		fl.restart(entries, siteList(10*entries))
-		time.Sleep(watched)
-		carried := fl.memberBytes()[string(fl.leader().name)]
-		t.Logf("%.1f MB at the leader within %v", float64(carried)/1e6, watched)
-		require.Less(t, carried, int64(most))
+		fl.restart(entries, siteTargets(10*entries))
+		time.Sleep(period)
+		transferred := fl.memberBytes()[string(fl.leader().name)]
+		t.Logf("%.1f MB at the leader within %v", float64(transferred)/1e6, period)
+		require.Less(t, transferred, int64(maxBytes))
 	})
 }
 
-// memberBytes returns what each member has sent and received.
+// memberBytes returns the bytes that each member has sent and received.
 func (fl *fleet) memberBytes() map[string]int64 {
 	all := map[string]int64{}
 	for _, m := range fl.members {
-		all[string(m.name)] = m.bytes.Sent.Load() + m.bytes.Received.Load()
+		all[string(m.name)] = m.traffic.Sent.Load() + m.traffic.Received.Load()
 	}
 	return all
 }
 
 func entryName(i int) string { return fmt.Sprintf("e%d", i+1) }
 
-// without returns a list without one of its elements.
-func without[T comparable](list []T, left T) []T {
+// without returns a copy of a list without one of its elements.
+func without[T comparable](list []T, excluded T) []T {
 	var kept []T
 	for _, e := range list {
-		if e != left {
+		if e != excluded {
 			kept = append(kept, e)
 		}
 	}
--- a/control/relay.go
+++ b/control/relay.go
@@ -14,66 +14,63 @@
 	"k8s.io/klog/v2"
 )
 
-// On a large site the leader would answer every entry itself: hundreds of
-// questions a second, and hundreds of copies of each change. So it names each
-// entry a member of its data hall that relays its word. A relay has the
-// documents anyway, as a member; it asks the leader for the word that they are
-// the newest and for the list of targets.
+// On a large site the leader does not answer every entry node itself. It refers
+// each one to a member of its data hall that relays the leader's replies. As a
+// member, a relay has the documents anyway; it asks the leader for the confirmation
+// that they are the newest and for the target list.
 
 // Bounds of relaying.
 const (
-	relayedFrom = 100                     // entries: up to so many the leader answers itself
-	relayFresh  = 1600 * time.Millisecond // how old the leader's word may be that is relayed
-	relayLife   = 5 * time.Second         // since a relay last asked the leader
-	relayPause  = 100 * time.Millisecond  // after a question in vain
-	relayRest   = 2 * time.Second         // between questions while nobody needs a relay
-	relayShow   = 250 * time.Millisecond  // in which a member finds a new leader: two pauses, and the way there
-	relayLag    = 300 * time.Millisecond  // by which a member may apply later than the leader, or hear its word
+	relayThreshold        = 100                     // entry nodes, up to which the leader answers all itself
+	relayMaxAge           = 1600 * time.Millisecond // maximum age of a confirmation that is relayed
+	relayTTL              = 5 * time.Second         // since a relay last asked the leader
+	relayRetryDelay       = 100 * time.Millisecond  // after a failed request
+	relayIdleDelay        = 2 * time.Second         // between requests while no relay is needed
+	relayDiscoveryTimeout = 250 * time.Millisecond  // for a member to find a new leader: two retries and the request
+	relayMaxLag           = 300 * time.Millisecond  // by which a relay may trail the leader
 )
 
-// relays are the members that relay the leader's word, by data hall.
+// relays tracks the members that relay the leader's replies, by data hall.
 type relays struct {
-	mu    sync.Mutex
-	heard map[string]map[string]time.Time // by data hall and address
-	came  chan struct{}                   // closed when another relay has asked
+	mu       sync.Mutex
+	lastSeen map[string]map[string]time.Time // by data hall and address
+	added    chan struct{}                   // closed when a relay is added
 }
 
-// note notes a relay that asks; an empty address is none.
-func (r *relays) note(hall, address string) {
+// register records a request by a relay; an empty address is ignored.
+func (r *relays) register(hall, address string) {
 	if address == "" {
 		return
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.heard == nil {
-		r.heard = map[string]map[string]time.Time{}
+	if r.lastSeen == nil {
+		r.lastSeen = map[string]map[string]time.Time{}
 	}
-	if r.heard[hall] == nil {
-		r.heard[hall] = map[string]time.Time{}
+	if r.lastSeen[hall] == nil {
+		r.lastSeen[hall] = map[string]time.Time{}
 	}
-	if _, known := r.heard[hall][address]; !known && r.came != nil {
-		close(r.came)
-		r.came = nil
+	if _, known := r.lastSeen[hall][address]; !known && r.added != nil {
+		close(r.added)
+		r.added = nil
 	}
-	r.heard[hall][address] = uptime.Now()
+	r.lastSeen[hall][address] = uptime.Now()
 }
 
-// await is of, and waits for a while where no relay of the hall has asked yet:
-// after a start of all, entries ask a new leader before its relays do, and
-// would all read the list of targets there. With 300 entries and 3,000 targets
-// the leader carried 12.8 MB within 3 s of a start of all without the wait, and
-// 2.6 MB, for its own hall, with it (TestStartOfAllSparesTheLeader).
-func (r *relays) await(ctx context.Context, hall, entry string) walnutramp.NodeName {
-	late := time.NewTimer(relayShow)
-	defer late.Stop()
+// awaitRelay is choose, but waits a while if the data hall has no relay yet. After
+// a full restart, entry nodes ask a new leader before its relays do, and would all
+// read the target list from the leader.
+func (r *relays) awaitRelay(ctx context.Context, hall, entry string) walnutramp.NodeName {
+	timer := time.NewTimer(relayDiscoveryTimeout)
+	defer timer.Stop()
 	for {
-		came := r.next()
-		if near := r.of(hall, entry); near != "" {
-			return near
+		added := r.nextAdded()
+		if relay := r.choose(hall, entry); relay != "" {
+			return relay
 		}
 		select {
-		case <-came:
-		case <-late.C:
+		case <-added:
+		case <-timer.C:
 			return ""
 		case <-ctx.Done():
 			return ""
@@ -81,36 +78,36 @@
 	}
 }
 
-// next returns what is closed when another relay has asked.
-func (r *relays) next() <-chan struct{} {
+// nextAdded returns a channel that is closed when another relay is added.
+func (r *relays) nextAdded() <-chan struct{} {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.came == nil {
-		r.came = make(chan struct{})
+	if r.added == nil {
+		r.added = make(chan struct{})
 	}
-	return r.came
+	return r.added
 }
 
-// of returns the relay of an entry: one of its data hall, always the same
-// while the same ones are there. Empty if there is none.
-func (r *relays) of(hall, entry string) walnutramp.NodeName {
+// choose returns the relay of an entry node, by rendezvous hashing among the relays
+// of its data hall; empty if there is none.
+func (r *relays) choose(hall, entry string) walnutramp.NodeName {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	var best string
+	var chosen string
 	var highest uint64
-	for address, at := range r.heard[hall] {
-		if uptime.Since(at) > relayLife {
-			delete(r.heard[hall], address)
+	for address, seen := range r.lastSeen[hall] {
+		if uptime.Since(seen) > relayTTL {
+			delete(r.lastSeen[hall], address)
 			continue
 		}
-		if h := rendezvous.Weight(entry, address); best == "" || h > highest {
-			best, highest = address, h
+		if weight := rendezvous.Weight(entry, address); chosen == "" || weight > highest {
+			chosen, highest = address, weight
 		}
 	}
-	return walnutramp.NodeName(best)
+	return walnutramp.NodeName(chosen)
 }
 
-// Relay keeps a member that does not lead up to date with the leader's word.
+// Relay answers entry nodes on the leader's behalf, on a member that does not lead.
 type Relay struct {
 	peers  Peers
 	node   walnutramp.NodeName
@@ -118,200 +115,198 @@
 	member *consensus.Member
 	server *Server
 
-	mu       sync.Mutex
-	asked    time.Time     // when the newest word was asked for
-	version  uint64        // that it confirmed as the newest
-	whole    bool          // the whole list of targets is needed
-	everyone directory     // the entries, as it named them
-	share    passedWord    // on the entries that this member answers
-	told     chan struct{} // closed when a newer word is there
+	mu        sync.Mutex
+	askedAt   time.Time     // when the newest confirmation was requested
+	version   uint64        // that was confirmed as the newest
+	needFull  bool          // request the full target list
+	directory directory     // entry nodes, as named by the leader
+	share     relayedShare  // of the retry budget, for the entry nodes that this member answers
+	updated   chan struct{} // closed when a newer confirmation arrives
 }
 
-// NewRelay returns a relay for a member's server, which answers with its word
-// from then on.
+// NewRelay returns a relay and attaches it to a member's server.
 func NewRelay(peers Peers, node walnutramp.NodeName, hall string, m *consensus.Member, s *Server) *Relay {
-	r := &Relay{peers: peers, node: node, hall: hall, member: m, server: s, told: make(chan struct{})}
+	r := &Relay{peers: peers, node: node, hall: hall, member: m, server: s, updated: make(chan struct{})}
 	s.relay = r
 	return r
 }
 
-// Run asks the leader, as long as another member leads, until ctx ends.
+// Run polls the leader while another member leads, until ctx ends.
 func (r *Relay) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		leader := r.member.Leader()
 		switch {
-		case r.member.Leads() || leader == "" || !r.ask(ctx, leader):
-			pause.For(ctx, relayPause)
-		case !r.needed():
-			pause.For(ctx, relayRest)
+		case r.member.Leads() || leader == "" || !r.refresh(ctx, leader):
+			pause.For(ctx, relayRetryDelay)
+		case !r.enabled():
+			pause.For(ctx, relayIdleDelay)
 		}
 	}
 }
 
-// needed reports whether there are so many entries that they are relayed to.
-func (r *Relay) needed() bool {
+// enabled reports whether there are enough entry nodes for relaying.
+func (r *Relay) enabled() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return len(r.everyone.newest().entries) > relayedFrom
+	return len(r.directory.newest().entries) > relayThreshold
 }
 
-// ask asks the leader once, and waits for news there.
-func (r *Relay) ask(ctx context.Context, leader walnutramp.NodeName) bool {
-	ctx, cancel := context.WithTimeout(ctx, renewWait+answerLimit)
+// refresh asks the leader once, with a long poll.
+func (r *Relay) refresh(ctx context.Context, leader walnutramp.NodeName) bool {
+	ctx, cancel := context.WithTimeout(ctx, renewLongPoll+responseTimeout)
 	defer cancel()
-	args := r.question()
-	asked := uptime.Now()
+	args := r.newestArgs()
+	askedAt := uptime.Now()
 	var reply NewestReply
 	if err := r.peers.Call(ctx, leader, Service+".Newest", args, &reply); err != nil || reply.Code != walnutramp.CodeOK || reply.Unconfirmed {
 		return false
 	}
-	r.server.timekeeper.hear(reply.Time, asked)
-	if err := reply.Roster.readWhole(ctx, r.peers, leader, ""); err != nil {
-		klog.ErrorS(err, "List of targets not read", "leader", leader)
+	r.server.timekeeper.observe(reply.Time, askedAt)
+	if err := reply.Roster.readFull(ctx, r.peers, leader, ""); err != nil {
+		klog.ErrorS(err, "Failed to read target list", "leader", leader)
 		return false
 	}
-	r.take(reply, asked)
-	r.passWord(args, reply.Share, asked)
+	r.apply(reply, askedAt)
+	r.cacheShare(args, reply.Share, askedAt)
 	return true
 }
 
-// question asks for what this member does not hold yet.
-func (r *Relay) question() NewestArgs {
-	held, _, _, _ := r.server.state.since(0)
+// newestArgs requests what this member does not hold yet.
+func (r *Relay) newestArgs() NewestArgs {
+	applied, _, _, _ := r.server.state.updateSince(0)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	args := NewestArgs{
-		Have: held.Version, Wait: renewWait, Entries: r.everyone.newest().version, Directory: true, Versions: anyVersions,
-		DataHall: r.hall, Relay: string(r.node), Relayed: r.server.entries.all(), RelayedDisks: r.server.entries.disks(),
+		Have: applied.Version, Wait: renewLongPoll, Entries: r.directory.newest().version, Directory: true, Versions: anyVersions,
+		DataHall: r.hall, Relay: string(r.node), Relayed: r.server.entryNodes.addresses(), RelayedDisks: r.server.entryNodes.diskAddresses(),
 	}
-	if r.server.roster != nil && !r.whole {
-		args.Roster, _ = r.server.roster.held()
+	if r.server.targets != nil && !r.needFull {
+		args.Roster, _ = r.server.targets.current()
 	}
 	return args
 }
 
-// take keeps the leader's word.
-func (r *Relay) take(reply NewestReply, asked time.Time) {
+// apply stores the leader's reply.
+func (r *Relay) apply(reply NewestReply, askedAt time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if !r.takeRoster(reply.Roster) {
+	if !r.applyTargets(reply.Roster) {
 		return
 	}
-	r.asked, r.version = asked, reply.Version
-	close(r.told)
-	r.told = make(chan struct{})
-	r.takeDirectory(&reply)
+	r.askedAt, r.version = askedAt, reply.Version
+	close(r.updated)
+	r.updated = make(chan struct{})
+	r.applyDirectory(&reply)
 }
 
-// takeDirectory keeps the entries that the leader named. The caller holds the mutex.
-func (r *Relay) takeDirectory(reply *NewestReply) {
-	told, held := &reply.Directory, r.everyone.newest()
-	if told.Version == 0 && reply.EntriesVersion != 0 && reply.Entries != nil { // an older build's
-		told = &DirectoryReply{Version: reply.EntriesVersion, Joined: unplaced(reply.Entries)}
+// applyDirectory stores the entry nodes of the leader's reply. The caller holds the
+// mutex.
+func (r *Relay) applyDirectory(reply *NewestReply) {
+	entryNodes, current := &reply.Directory, r.directory.newest()
+	if entryNodes.Version == 0 && reply.EntriesVersion != 0 && reply.Entries != nil { // from an older build
+		entryNodes = &DirectoryReply{Version: reply.EntriesVersion, Joined: withoutHall(reply.Entries)}
 	}
-	if told.Version == 0 || told.Version == held.version {
+	if entryNodes.Version == 0 || entryNodes.Version == current.version {
 		return
 	}
-	entries, ok := told.apply(held.version, held.entries)
+	nodes, ok := entryNodes.apply(current.version, current.entries)
 	if !ok {
-		r.everyone = directory{} // all are asked for next
+		r.directory = directory{} // request the full list
 		return
 	}
-	slices.SortFunc(entries, byAddress)
-	r.everyone.add(directoryVersion{version: told.Version, entries: entries, changes: map[uint64]*DirectoryReply{}})
+	slices.SortFunc(nodes, compareAddresses)
+	r.directory.add(directoryVersion{version: entryNodes.Version, entries: nodes, changes: map[uint64]*DirectoryReply{}})
 }
 
-// unplaced returns entries of which only the addresses are known.
-func unplaced(addresses []string) []HallEntries { return []HallEntries{{Addresses: addresses}} }
+// withoutHall returns entry nodes of unknown data hall.
+func withoutHall(addresses []string) []HallEntries { return []HallEntries{{Addresses: addresses}} }
 
-// takeRoster keeps the leader's list of targets; false if it does not fit. The
-// caller holds the mutex.
-func (r *Relay) takeRoster(told RosterReply) bool {
-	if r.server.roster == nil || told.Version == 0 {
+// applyTargets stores the target list of the leader's reply. It returns false if
+// that does not apply to the list held here. The caller holds the mutex.
+func (r *Relay) applyTargets(reply TargetListReply) bool {
+	if r.server.targets == nil || reply.Version == 0 {
 		return true
 	}
-	version, list := r.server.roster.held()
-	if told.Version != version {
-		list, err := told.Targets(version, list)
+	version, list := r.server.targets.current()
+	if reply.Version != version {
+		list, err := reply.Targets(version, list)
 		if err == nil {
-			r.server.roster.Set(list)
-			version, _ = r.server.roster.held()
+			r.server.targets.Set(list)
+			version, _ = r.server.targets.current()
 		}
-		if r.whole = err != nil || version != told.Version; r.whole {
-			klog.ErrorS(err, "List of targets not taken", "version", told.Version)
+		if r.needFull = err != nil || version != reply.Version; r.needFull {
+			klog.ErrorS(err, "Failed to apply target list", "version", reply.Version)
 			return false
 		}
 	}
-	r.server.roster.readBefore(told.Age)
+	r.server.targets.setAge(reply.Age)
 	return true
 }
 
-// answer answers an entry with the leader's word, where there is a fresh one
-// and this member holds what it confirmed. An entry that the leader itself
-// should answer gets false.
+// answer answers an entry node on the leader's behalf. It returns false if there is
+// no fresh confirmation or this member has not applied the confirmed version; the
+// entry node has to ask the leader then.
 func (r *Relay) answer(ctx context.Context, s *Server, args NewestArgs, reply *NewestReply) bool {
-	if r == nil || !r.needed() || !r.fresh() {
+	if r == nil || !r.enabled() || !r.fresh() {
 		return false
 	}
-	came := uptime.Now()
-	s.await(ctx, args)
+	receivedAt := uptime.Now()
+	s.awaitChange(ctx, args)
 	if !r.awaitFresh() {
 		return false
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	s.fill(args, reply)
-	reply.Age = uptime.Since(r.asked)
+	reply.Age = uptime.Since(r.askedAt)
 	reply.Relay = r.node
-	reply.Share = r.share.to(args.Entry, came)
+	reply.Share = r.share.shareFor(args.Entry, receivedAt)
 	if s.reports != nil {
 		reply.Near = r.node
 	}
 	reply.Leader = ""
-	if s.roster != nil {
-		reply.Roster = s.roster.told(args.Roster)
+	if s.targets != nil {
+		reply.Roster = s.targets.compressedReply(args.Roster)
 	}
-	r.everyone.tell(args, reply)
+	r.directory.fillReply(args, reply)
 	return true
 }
 
-// awaitFresh waits a little until the leader's word is fresh. A change wakes
-// the entries that wait here and the leader's answer to this relay at the same
-// moment, so the word that is held is then often too old for some milliseconds.
-// Without the wait each change sent all entries to the leader: with 300 entries
-// and a change every 3 s it carried 189 kB a second, and 29 with the wait
-// (TestBytesAtTheBusiestMember).
+// awaitFresh waits briefly for a fresh confirmation. A change wakes the waiting
+// entry nodes and the leader's reply to this relay at the same time, so the
+// confirmation is often a few milliseconds too old. Without the wait, each change
+// would send all entry nodes to the leader.
 func (r *Relay) awaitFresh() bool {
-	late := time.NewTimer(relayLag)
-	defer late.Stop()
+	timer := time.NewTimer(relayMaxLag)
+	defer timer.Stop()
 	for {
-		applied, _, _, changed := r.server.state.since(0)
+		applied, _, _, changed := r.server.state.updateSince(0)
 		r.mu.Lock()
-		told, fresh := r.told, r.holds(applied.Version)
+		updated, fresh := r.updated, r.freshFor(applied.Version)
 		r.mu.Unlock()
 		if fresh {
 			return true
 		}
 		select {
-		case <-told:
+		case <-updated:
 		case <-changed:
-		case <-late.C:
+		case <-timer.C:
 			return false
 		}
 	}
 }
 
-// fresh reports whether the leader's word is new enough, and this member has
-// applied what it confirmed.
+// fresh reports whether the confirmation is recent and this member has applied the
+// confirmed version.
 func (r *Relay) fresh() bool {
-	applied, _, _, _ := r.server.state.since(0)
+	applied, _, _, _ := r.server.state.updateSince(0)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.holds(applied.Version)
+	return r.freshFor(applied.Version)
 }
 
-// holds reports whether the word is new enough and confirms no more than this
-// member has applied. The caller holds the mutex.
-func (r *Relay) holds(applied uint64) bool {
-	return uptime.Since(r.asked) < relayFresh && applied >= r.version
+// freshFor reports whether the confirmation is recent and covers at most the
+// applied version. The caller holds the mutex.
+func (r *Relay) freshFor(applied uint64) bool {
+	return uptime.Since(r.askedAt) < relayMaxAge && applied >= r.version
 }
--- a/control/relay_test.go
+++ b/control/relay_test.go
@@ -13,7 +13,7 @@
 	"github.com/walnutramp/walnutramp/discovery"
 )
 
-// leaderPeers answers as the leader does, without an election.
+// leaderPeers answers as a leader, without consensus.
 type leaderPeers struct {
 	leader *Server
 	cut    bool
@@ -22,23 +22,23 @@
 // Call implements Peers.
 func (p *leaderPeers) Call(ctx context.Context, _ walnutramp.NodeName, _ string, args, reply any) error {
 	if p.cut {
-		return errors.New("cut off")
+		return errors.New("partitioned")
 	}
-	asked, answer := args.(NewestArgs), reply.(*NewestReply)
-	p.leader.noteAskers(asked)
-	p.leader.entries.tell(asked, answer)
-	p.leader.await(ctx, asked)
-	p.leader.fill(asked, answer)
-	answer.Roster = p.leader.roster.since(asked.Roster)
+	request, response := args.(NewestArgs), reply.(*NewestReply)
+	p.leader.registerRequester(request)
+	p.leader.entryNodes.fillReply(request, response)
+	p.leader.awaitChange(ctx, request)
+	p.leader.fill(request, response)
+	response.Roster = p.leader.targets.uncompressedReply(request.Roster)
 	return nil
 }
 
-// newRelayPair returns a leader's server and a relay with its own.
+// newRelayPair returns a leader and a relay with its server.
 func newRelayPair() (*leaderPeers, *Server, *Relay) {
 	rule := WithRule(AcceptHighest)
 	peers := &leaderPeers{leader: NewOpenServer(nil, NewState(rule), nil, NewRoster())}
-	for i := range relayedFrom + 1 {
-		peers.leader.entries.note(EntryPlace{Address: fmt.Sprint("e", i)})
+	for i := range relayThreshold + 1 {
+		peers.leader.entryNodes.register(EntryPlace{Address: fmt.Sprint("e", i)})
 	}
 	member := NewOpenServer(nil, NewState(rule), nil, NewRoster())
 	return peers, member, NewRelay(peers, "relay", "north", nil, member)
@@ -46,27 +46,27 @@
 
 func askRelay(member *Server, args NewestArgs) (NewestReply, bool) {
 	var reply NewestReply
-	member.noteAskers(args)
+	member.registerRequester(args)
 	ok := member.relay.answer(context.Background(), member, args, &reply)
 	return reply, ok
 }
 
-func TestRelayPassesTheLeadersWordOn(t *testing.T) {
+func TestRelayAnswersForLeader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		peers, member, relay := newRelayPair()
-		list := targetsNamed(0, 30)
-		peers.leader.roster.Set(list)
+		list := numberedTargets(0, 30)
+		peers.leader.targets.Set(list)
 		accept(peers.leader.state, 4)
 		accept(member.state, 4)
 		_, ok := askRelay(member, NewestArgs{Entry: "e1"})
-		require.False(t, ok, "nothing is known of the leader yet")
+		require.False(t, ok, "no confirmation by the leader yet")
 
-		require.True(t, relay.ask(t.Context(), "leader"))
+		require.True(t, relay.refresh(t.Context(), "leader"))
 		reply, ok := askRelay(member, NewestArgs{Entry: "e1"})
 		require.True(t, ok)
 		require.Equal(t, uint64(4), reply.Version)
 		require.Equal(t, walnutramp.NodeName("relay"), reply.Relay)
-		require.NoError(t, reply.Roster.readWhole(t.Context(), nil, "relay", ""))
+		require.NoError(t, reply.Roster.readFull(t.Context(), nil, "relay", ""))
 		targets, err := reply.Roster.Targets(0, nil)
 		require.NoError(t, err)
 		require.ElementsMatch(t, list, targets)
@@ -74,42 +74,42 @@
 		time.Sleep(time.Second)
 		reply, ok = askRelay(member, NewestArgs{Entry: "e1", Have: 4, Roster: reply.Roster.Version})
 		require.True(t, ok)
-		require.GreaterOrEqual(t, reply.Age, time.Second, "the lease counts from the leader's word")
+		require.GreaterOrEqual(t, reply.Age, time.Second, "the lease starts at the leader's confirmation")
 
-		time.Sleep(relayFresh)
+		time.Sleep(relayMaxAge)
 		_, ok = askRelay(member, NewestArgs{Entry: "e1", Have: 4})
-		require.False(t, ok, "the word is too old: ask the leader")
+		require.False(t, ok, "the confirmation is too old: ask the leader")
 	})
 }
 
-// On a small site the leader answers every entry itself.
+// On a small site the leader answers all entry nodes itself.
 func TestSmallSiteNeedsNoRelay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		peers, member, relay := newRelayPair()
-		peers.leader.entries = entries{}
-		peers.leader.roster.Set(targetsNamed(0, 3))
-		require.True(t, relay.ask(t.Context(), "leader"))
+		peers.leader.entryNodes = entryRegistry{}
+		peers.leader.targets.Set(numberedTargets(0, 3))
+		require.True(t, relay.refresh(t.Context(), "leader"))
 		_, ok := askRelay(member, NewestArgs{Entry: "e1"})
 		require.False(t, ok)
-		require.False(t, relay.needed())
+		require.False(t, relay.enabled())
 	})
 }
 
-// A relay that has heard of a version which it has not applied yet must not
-// answer with the one before.
-func TestRelayThatLagsDoesNotAnswer(t *testing.T) {
+// A relay must not answer with a version older than the one that the leader
+// confirmed.
+func TestLaggingRelayDoesNotAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		peers, member, relay := newRelayPair()
-		peers.leader.roster.Set(targetsNamed(0, 3))
+		peers.leader.targets.Set(numberedTargets(0, 3))
 		accept(peers.leader.state, 9)
 		accept(member.state, 4)
-		require.True(t, relay.ask(t.Context(), "leader"))
+		require.True(t, relay.refresh(t.Context(), "leader"))
 		_, ok := askRelay(member, NewestArgs{Entry: "e1"})
 		require.False(t, ok)
 
-		require.True(t, relay.ask(t.Context(), "leader"))
+		require.True(t, relay.refresh(t.Context(), "leader"))
 		go func() {
-			time.Sleep(relayLag / 2)
+			time.Sleep(relayMaxLag / 2)
 			accept(member.state, 9)
 		}()
 		reply := NewestReply{}
@@ -120,67 +120,67 @@
 	})
 }
 
-// A relay that led for a while, and read the list itself, gets back to the
+// A former leader that read the target list itself must return to the current
 // leader's list.
-func TestRelayThatLedFollowsTheList(t *testing.T) {
+func TestFormerLeaderFollowsTargetList(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		peers, member, relay := newRelayPair()
-		peers.leader.roster.Set(targetsNamed(0, 20))
-		require.True(t, relay.ask(t.Context(), "leader"))
-		member.roster.Set(targetsNamed(5, 30)) // its own reading
-		peers.leader.roster.Set(targetsNamed(1, 25))
+		peers.leader.targets.Set(numberedTargets(0, 20))
+		require.True(t, relay.refresh(t.Context(), "leader"))
+		member.targets.Set(numberedTargets(5, 30)) // read by the relay itself
+		peers.leader.targets.Set(numberedTargets(1, 25))
 		for range 3 {
-			relay.ask(t.Context(), "leader")
+			relay.refresh(t.Context(), "leader")
 		}
-		_, list := member.roster.held()
-		require.ElementsMatch(t, targetsNamed(1, 25), list)
+		_, list := member.targets.current()
+		require.ElementsMatch(t, numberedTargets(1, 25), list)
 		_, ok := askRelay(member, NewestArgs{Entry: "e1"})
 		require.True(t, ok)
 	})
 }
 
-func TestLeaderNamesRelaysOfTheHall(t *testing.T) {
+func TestRelaysAreChosenByDataHall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var r relays
-		require.Empty(t, r.of("north", "e1"))
-		r.note("north", "m1")
-		r.note("north", "m2")
-		r.note("south", "m3")
-		r.note("west", "")
+		require.Empty(t, r.choose("north", "e1"))
+		r.register("north", "m1")
+		r.register("north", "m2")
+		r.register("south", "m3")
+		r.register("west", "")
 		count := map[walnutramp.NodeName]int{}
 		for i := range 100 {
-			count[r.of("north", fmt.Sprint("e", i))]++
+			count[r.choose("north", fmt.Sprint("e", i))]++
 		}
 		require.Len(t, count, 2)
 		require.Greater(t, count["m1"], 25)
-		require.Equal(t, walnutramp.NodeName("m3"), r.of("south", "e1"))
-		require.Empty(t, r.of("west", "e1"))
-		time.Sleep(relayLife + time.Second)
-		require.Empty(t, r.of("south", "e1"), "it has not asked for a while")
+		require.Equal(t, walnutramp.NodeName("m3"), r.choose("south", "e1"))
+		require.Empty(t, r.choose("west", "e1"))
+		time.Sleep(relayTTL + time.Second)
+		require.Empty(t, r.choose("south", "e1"), "the relay has expired")
 	})
 }
 
-// The leader knows the entries that only ask relays.
-func TestRelayedEntriesAreKnown(t *testing.T) {
+// The leader knows the entry nodes that ask relays only.
+func TestLeaderKnowsRelayedEntryNodes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		peers, member, relay := newRelayPair()
-		peers.leader.roster.Set([]discovery.Target{{ID: "i-1"}})
-		peers.leader.entries = entries{}
-		for i := range relayedFrom + 1 {
-			member.noteAskers(NewestArgs{Entry: fmt.Sprint("e", i)})
+		peers.leader.targets.Set([]discovery.Target{{ID: "i-1"}})
+		peers.leader.entryNodes = entryRegistry{}
+		for i := range relayThreshold + 1 {
+			member.registerRequester(NewestArgs{Entry: fmt.Sprint("e", i)})
 		}
-		require.True(t, relay.ask(t.Context(), "leader"))
-		require.Equal(t, relayedFrom+1, peers.leader.entries.count())
-		require.True(t, relay.needed())
-		peers.leader.entries.note(EntryPlace{Address: "elsewhere"})
-		require.True(t, relay.ask(t.Context(), "leader"))
+		require.True(t, relay.refresh(t.Context(), "leader"))
+		require.Equal(t, relayThreshold+1, peers.leader.entryNodes.count())
+		require.True(t, relay.enabled())
+		peers.leader.entryNodes.register(EntryPlace{Address: "elsewhere"})
+		require.True(t, relay.refresh(t.Context(), "leader"))
 		reply, ok := askRelay(member, NewestArgs{Entry: "e1"})
 		require.True(t, ok)
 		require.Contains(t, reply.Entries, "elsewhere")
 		reply, ok = askRelay(member, NewestArgs{Entry: "e1", DataHall: "north", Directory: true})
 		require.True(t, ok)
-		require.Contains(t, reply.Directory.joined(), EntryPlace{Address: "elsewhere"})
+		require.Contains(t, reply.Directory.joinedNodes(), EntryPlace{Address: "elsewhere"})
 		peers.cut = true
-		require.False(t, relay.ask(t.Context(), "leader"))
+		require.False(t, relay.refresh(t.Context(), "leader"))
 	})
 }
--- a/control/report_client.go
+++ b/control/report_client.go
@@ -11,177 +11,176 @@
 	"k8s.io/klog/v2"
 )
 
-// Times of telling what a node counts.
 const (
-	tellEvery = 200 * time.Millisecond // a node that is killed loses what it counted since
-	tellLimit = 400 * time.Millisecond // of one report
-	// tellAnyway is after how long without news a node with counts of open
-	// windows reports, so that a member that has started anew gets them again.
-	tellAnyway = 800 * time.Millisecond
-	tellLast   = 300 * time.Millisecond // for the last report of a planned stop
-	// nearRest is how long the member near by is left alone that did not
-	// answer.
-	nearRest = 2 * time.Second
+	usageReportInterval = 200 * time.Millisecond // a killed node loses the counts since its last report
+	usageReportTimeout  = 400 * time.Millisecond
+	// usageKeepalive is the longest time between reports of a node with open
+	// windows, so that a restarted member gets the counts again.
+	usageKeepalive     = 800 * time.Millisecond
+	finalReportTimeout = 300 * time.Millisecond // at a planned stop
+	// nearMemberBackoff is how long the nearby member is not tried after a
+	// failed report.
+	nearMemberBackoff = 2 * time.Second
 )
 
-// DemandSource returns what has been asked for at this node, by service, since
-// its process started.
+// DemandSource returns the demand at this node since its process started, by
+// service.
 type DemandSource func() []fleet.Demand
 
-// WithUsage has the client tell the group what a counter counts. It is called
-// before Start.
+// WithUsage makes the client report the counter's usage to the control group. It
+// is called before Start.
 func (c *Client) WithUsage(counter *metering.Counter) { c.usage = counter }
 
-// WithDemand has the client tell the group the demand for services. It is
-// called before Start.
+// WithDemand makes the client report the demand for services to the control
+// group. It is called before Start.
 func (c *Client) WithDemand(source DemandSource) { c.demand = source }
 
-// tells reports whether the client has anything to tell the group.
-func (c *Client) tells() bool { return c.usage != nil || c.demand != nil }
+// hasReports reports whether the client reports usage or demand.
+func (c *Client) hasReports() bool { return c.usage != nil || c.demand != nil }
 
-// tellAlways tells what is new, until the client is closed.
-func (c *Client) tellAlways() {
-	t := teller{client: c, life: c.life, demand: map[string]fleet.Demand{}}
-	for pause.For(c.ctx, tellEvery) {
-		t.tell(c.ctx, tellLimit)
+// reportUsageLoop reports usage and demand until the client is closed, and once
+// more then.
+func (c *Client) reportUsageLoop() {
+	t := usageReporter{client: c, incarnation: c.incarnation, acked: map[string]fleet.Demand{}}
+	for pause.For(c.ctx, usageReportInterval) {
+		t.send(c.ctx, usageReportTimeout)
 	}
-	t.tell(context.WithoutCancel(c.ctx), tellLast)
+	t.send(context.WithoutCancel(c.ctx), finalReportTimeout)
 }
 
-// teller tells members of the group what a node counts.
-type teller struct {
-	client *Client
-	life   uint64 // names this process
-	to     uint64 // who had the reports last, as it named itself
-	toldAt time.Time
-	openAt time.Time               // when there were last rows of open windows; zero for never
-	demand map[string]fleet.Demand // as last told
-	sent   []fleet.Demand          // in the report under way
-	asked  walnutramp.NodeName     // who was told last
-	rested time.Time               // when the member near by last did not answer
-	next   walnutramp.NodeName     // to ask instead, if known
+// usageReporter reports a node's usage and demand to members of the control group.
+type usageReporter struct {
+	client       *Client
+	incarnation  uint64 // identifies this process
+	receiver     uint64 // instance ID of the member that has the reports; 0 for none
+	sentAt       time.Time
+	lastOpenAt   time.Time               // when there were last rows of open windows
+	acked        map[string]fleet.Demand // as last acknowledged, by service
+	pending      []fleet.Demand          // in the report in flight
+	member       walnutramp.NodeName     // last report's destination
+	nearFailedAt time.Time               // when the nearby member last failed to answer
+	fallback     walnutramp.NodeName     // destination if the nearby member fails; empty for none
 }
 
-// tell tells once, if there is anything to tell.
-func (t *teller) tell(ctx context.Context, limit time.Duration) {
-	if !t.due() {
+// send sends one report if one is due.
+func (t *usageReporter) send(ctx context.Context, limit time.Duration) {
+	if !t.reportDue() {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
-	args := t.report()
-	t.toldAt = time.Now()
-	t.asked = t.whom()
+	args := t.buildReport()
+	t.sentAt = time.Now()
+	t.member = t.destination()
 	var reply TellReply
-	err := t.client.peers.Call(ctx, t.asked, Service+".Tell", args, &reply)
+	err := t.client.peers.Call(ctx, t.member, Service+".Tell", args, &reply)
 	if err != nil || reply.Code != walnutramp.CodeOK {
-		klog.V(1).InfoS("Report not taken", "asked", t.asked, "code", int(reply.Code), "err", err)
-		t.failed(reply.Leader)
+		klog.V(1).InfoS("Usage report failed", "member", t.member, "code", int(reply.Code), "err", err)
+		t.handleFailure(reply.Leader)
 		return
 	}
-	t.taken(reply)
+	t.handleReply(reply)
 }
 
-// due reports whether there is something new, or it is time to see whether
-// the one who has the reports still has them.
-func (t *teller) due() bool {
-	news, open := len(t.newDemand()) > 0, false
+// reportDue reports whether there are changes to report, or whether it is time to
+// check that the receiver still has the earlier reports.
+func (t *usageReporter) reportDue() bool {
+	changed, open := len(t.changedDemand()) > 0, false
 	if u := t.client.usage; u != nil {
 		newRows, openRows := u.Waiting()
-		news, open = news || newRows, t.metered(openRows)
+		changed, open = changed || newRows, t.expectsRows(openRows)
 	}
-	return news || open && (t.to == 0 || time.Since(t.toldAt) >= tellAnyway)
+	return changed || open && (t.receiver == 0 || time.Since(t.sentAt) >= usageKeepalive)
 }
 
-// metered reports whether there are rows of open windows, or were within the
-// time for which the members wait for a node that falls silent: one that merely
-// has no requests goes on telling, so that no window is held up by it.
-func (t *teller) metered(open bool) bool {
+// expectsRows reports whether there are rows of open windows, or were within
+// silentNodeTimeout. An idle node keeps reporting for as long as members wait for
+// silent nodes, so that it does not delay the close of a window.
+func (t *usageReporter) expectsRows(open bool) bool {
 	if open {
-		t.openAt = time.Now()
+		t.lastOpenAt = time.Now()
 	}
-	return open || !t.openAt.IsZero() && time.Since(t.openAt) < silentFor
+	return open || !t.lastOpenAt.IsZero() && time.Since(t.lastOpenAt) < silentNodeTimeout
 }
 
-// newDemand returns the demand that has changed since it was told.
-func (t *teller) newDemand() []fleet.Demand {
+// changedDemand returns the demand that has changed since it was acknowledged.
+func (t *usageReporter) changedDemand() []fleet.Demand {
 	if t.client.demand == nil {
 		return nil
 	}
-	var news []fleet.Demand
+	var changed []fleet.Demand
 	for _, row := range t.client.demand() {
-		if t.demand[row.Service] != row {
-			news = append(news, row)
+		if t.acked[row.Service] != row {
+			changed = append(changed, row)
 		}
 	}
-	return news
+	return changed
 }
 
-func (t *teller) report() TellArgs {
-	args := TellArgs{Node: t.client.entry.Address, Life: t.life, Demand: t.newDemand()}
+func (t *usageReporter) buildReport() TellArgs {
+	args := TellArgs{Node: t.client.self.Address, Life: t.incarnation, Demand: t.changedDemand()}
 	if t.client.usage != nil {
-		args.Usage = t.client.usage.Report(t.to == 0)
+		args.Usage = t.client.usage.Report(t.receiver == 0)
 	}
-	t.sent = args.Demand
+	t.pending = args.Demand
 	return args
 }
 
-// whom returns who is told: the member near by, else one that is known to
-// answer.
-func (t *teller) whom() walnutramp.NodeName {
+// destination returns the member to report to: the nearby one unless it failed
+// lately, then the fallback, then a random one.
+func (t *usageReporter) destination() walnutramp.NodeName {
 	c := t.client
-	if near := c.nearMember(); near != "" && time.Since(t.rested) >= nearRest {
+	if near := c.nearMember(); near != "" && time.Since(t.nearFailedAt) >= nearMemberBackoff {
 		return near
 	}
-	if t.next != "" {
-		return t.next
+	if t.fallback != "" {
+		return t.fallback
 	}
-	return c.anyMember()
+	return c.randomMember()
 }
 
-// failed has everything told again, to another member.
-func (t *teller) failed(leader walnutramp.NodeName) {
-	if t.asked == t.client.nearMember() {
-		t.rested = time.Now()
+// handleFailure makes the next report a complete one, to another member.
+func (t *usageReporter) handleFailure(leader walnutramp.NodeName) {
+	if t.member == t.client.nearMember() {
+		t.nearFailedAt = time.Now()
 	}
-	t.next = leader
-	t.forget()
+	t.fallback = leader
+	t.resendAll()
 }
 
-// forget has the next report tell everything.
-func (t *teller) forget() {
-	t.to = 0
-	clear(t.demand)
+// resendAll makes the next report a complete one.
+func (t *usageReporter) resendAll() {
+	t.receiver = 0
+	clear(t.acked)
 }
 
-// taken notes who has the reports now. Where that is another than had them
-// before, it gets everything next time.
-func (t *teller) taken(reply TellReply) {
-	t.next = t.asked
-	if t.to != 0 && t.to != reply.To {
-		t.forget()
+// handleReply records the acknowledgement of a report. If the receiver has
+// changed, the next report is a complete one.
+func (t *usageReporter) handleReply(reply TellReply) {
+	t.fallback = t.member
+	if t.receiver != 0 && t.receiver != reply.To {
+		t.resendAll()
 		return
 	}
-	t.to = reply.To
-	for _, row := range t.sent {
-		t.demand[row.Service] = row
+	t.receiver = reply.To
+	for _, row := range t.pending {
+		t.acked[row.Service] = row
 	}
 	if t.client.usage != nil {
 		t.client.usage.Closed(reply.Closed)
 	}
 }
 
-// nearMember returns the member that takes this node's reports; empty for
-// any.
+// nearMember returns the nearby member that takes this node's reports; empty if
+// none is known.
 func (c *Client) nearMember() walnutramp.NodeName {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.near
+	return c.reportMember
 }
 
-// takeNear notes the member that takes reports.
-func (c *Client) takeNear(near walnutramp.NodeName) {
+func (c *Client) setNearMember(near walnutramp.NodeName) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.near = near
+	c.reportMember = near
 }
--- a/control/reports.go
+++ b/control/reports.go
@@ -16,117 +16,117 @@
 	"k8s.io/klog/v2"
 )
 
-// Times of passing on what nodes tell.
 const (
-	// passEvery is between two calls to the leader: what a node tells is to
-	// be there well before a window is closed, also after a call in vain.
-	passEvery = 100 * time.Millisecond
-	passLimit = 400 * time.Millisecond // of one call
-	// passAnyway is after how long without news the leader is called, so that
-	// a leader that has started anew gets everything again.
-	passAnyway = 500 * time.Millisecond
-	// wordTime is how long after a window's end a node's word has all of it: a
-	// short request that began before the end is counted at its answer, and
-	// told a report later.
-	wordTime = tellEvery + 2*passEvery
-	// silentFor is how long a node may be silent that is still waited for.
-	silentFor = 10 * time.Second
-	// sourceLife is how long a node that tells nothing is remembered.
-	sourceLife = 1 * time.Minute
+	// forwardInterval is the time between calls to the leader, short enough for a
+	// retry before a window is closed.
+	forwardInterval = 100 * time.Millisecond
+	forwardTimeout  = 400 * time.Millisecond
+	// forwardKeepalive is the longest time between calls, so that a restarted
+	// leader gets everything again.
+	forwardKeepalive = 500 * time.Millisecond
+	// reportDelay is the time after a window's end from which a node's report
+	// covers the whole window: requests are counted when they are answered.
+	reportDelay = usageReportInterval + 2*forwardInterval
+	// silentNodeTimeout is how long a window waits for a node that has stopped
+	// reporting.
+	silentNodeTimeout = 10 * time.Second
+	// sourceRetention is how long the reports of a silent node are kept.
+	sourceRetention = 1 * time.Minute
 )
 
-// DemandFunc takes what a node has told of the demand for services. It only
-// ever grows within one life of the node; the same may come more than once.
-type DemandFunc func(node string, life uint64, rows []fleet.Demand)
+// DemandFunc receives the demand that a node reported. Counts only grow while the
+// node's process runs; a report may be delivered more than once.
+type DemandFunc func(node string, incarnation uint64, rows []fleet.Demand)
 
-// Reports are what nodes told this member. It hands the leader everything; a
-// new one gets all that was told in windows that are not closed.
+// Reports collects the usage and demand that nodes report to this member and
+// forwards them to the leader. A new leader gets all reports of windows that are
+// not closed.
 type Reports struct {
-	peers  Peers
-	member *consensus.Member
-	state  *State
-	id     uint64 // names this process
+	peers      Peers
+	member     *consensus.Member
+	state      *State
+	instanceID uint64 // identifies this process
 
-	mu      sync.Mutex
-	sink    DemandFunc // is told the demand on the leader; nil for none
-	tally   *metering.Tally
-	demands map[metering.Source]*demand
-	leads   bool      // as last seen
-	ledFrom time.Time // when this member began to lead
+	mu          sync.Mutex
+	sink        DemandFunc // receives the demand on the leader; may be nil
+	tally       *metering.Tally
+	demands     map[metering.Source]*nodeDemand
+	leads       bool // as of the last check
+	leaderSince time.Time
 
-	to       uint64 // who had everything; used by Run alone
-	leader   walnutramp.NodeName
-	passedAt time.Time
+	receiver    uint64 // instance ID of the leader that has everything; used only by Run
+	leader      walnutramp.NodeName
+	forwardedAt time.Time
 }
 
-// demand is what one life of a node has told of the demand.
-type demand struct {
-	rows    map[string]fleet.Demand // by service
-	changed bool                    // since it was passed on
-	heard   time.Time
+// nodeDemand is the demand reported by one process of a node.
+type nodeDemand struct {
+	rows       map[string]fleet.Demand // by service
+	changed    bool                    // since it was forwarded
+	reportedAt time.Time
 }
 
-// NewReports returns what a member's server takes reports with from then on.
+// NewReports returns a Reports and registers it with a member's server.
 func NewReports(peers Peers, m *consensus.Member, s *Server) *Reports {
 	r := &Reports{
-		peers: peers, member: m, state: s.state, id: rand.Uint64() | 1,
-		tally: metering.NewTally(), demands: map[metering.Source]*demand{},
+		peers: peers, member: m, state: s.state, instanceID: rand.Uint64() | 1,
+		tally: metering.NewTally(), demands: map[metering.Source]*nodeDemand{},
 	}
 	s.reports = r
 	return r
 }
 
-// SetDemandSink has the demand told to a sink while this member leads. It is called
-// before Run.
+// SetDemandSink sets the function that receives the demand while this member
+// leads. It is called before Run.
 func (r *Reports) SetDemandSink(sink DemandFunc) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.sink = sink
 }
 
-// Tell implements the RPC by which a node tells what it has counted.
+// Tell implements the RPC with which a node reports usage and demand.
 func (s *Server) Tell(args TellArgs, reply *TellReply) error {
 	if s.reports == nil {
 		reply.Code, reply.Leader = walnutramp.CodeNoLeader, s.member.Leader()
 		return nil
 	}
-	s.reports.take([]NodeReport{NodeReport(args)})
-	reply.Code, reply.To, reply.Closed = walnutramp.CodeOK, s.reports.id, s.state.newestClosed()
+	s.reports.receive([]NodeReport{NodeReport(args)})
+	reply.Code, reply.To, reply.Closed = walnutramp.CodeOK, s.reports.instanceID, s.state.newestClosed()
 	return nil
 }
 
-// Pass implements the RPC by which a member hands the leader what nodes told.
+// Pass implements the RPC with which a member forwards reports to the leader.
 func (s *Server) Pass(args PassArgs, reply *TellReply) error {
 	if s.reports == nil || !s.member.Leads() {
 		reply.Code, reply.Leader = walnutramp.CodeNoLeader, s.member.Leader()
 		return nil
 	}
-	s.reports.take(args.Reports)
-	reply.Code, reply.To, reply.Closed = walnutramp.CodeOK, s.reports.id, s.state.newestClosed()
+	s.reports.receive(args.Reports)
+	reply.Code, reply.To, reply.Closed = walnutramp.CodeOK, s.reports.instanceID, s.state.newestClosed()
 	return nil
 }
 
-// take keeps what nodes told. The leader's sink gets the demand at once.
-func (r *Reports) take(reports []NodeReport) {
-	r.takeAll(reports, time.Now())
+// receive stores reports. On the leader it also passes their demand to the sink.
+func (r *Reports) receive(reports []NodeReport) {
+	r.store(reports, time.Now())
 	if r.member.Leads() {
-		r.tellSink(reports)
+		r.notifySink(reports)
 	}
 }
 
-func (r *Reports) takeAll(reports []NodeReport, now time.Time) {
+func (r *Reports) store(reports []NodeReport, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.tally.Closed(r.state.newestClosed())
 	for _, report := range reports {
 		from := metering.Source{Node: report.Node, Life: report.Life}
 		r.tally.Take(from, report.Usage, now)
-		r.takeDemand(from, report.Demand, now)
+		r.storeDemand(from, report.Demand, now)
 	}
 }
 
-// tellSink hands the demand in reports to the sink.
-func (r *Reports) tellSink(reports []NodeReport) {
+// notifySink passes the demand in reports to the sink.
+func (r *Reports) notifySink(reports []NodeReport) {
 	r.mu.Lock()
 	sink := r.sink
 	r.mu.Unlock()
@@ -137,70 +137,70 @@
 	}
 }
 
-// takeDemand keeps a node's demand. The caller holds the mutex.
-func (r *Reports) takeDemand(from metering.Source, rows []fleet.Demand, now time.Time) {
+// storeDemand stores a node's demand. The caller holds the mutex.
+func (r *Reports) storeDemand(from metering.Source, rows []fleet.Demand, now time.Time) {
 	if len(rows) == 0 {
 		return
 	}
 	d := r.demands[from]
 	if d == nil {
-		d = &demand{rows: map[string]fleet.Demand{}}
+		d = &nodeDemand{rows: map[string]fleet.Demand{}}
 		r.demands[from] = d
 	}
-	d.heard, d.changed = now, true
+	d.reportedAt, d.changed = now, true
 	for _, row := range rows {
 		if row.Requests >= d.rows[row.Service].Requests {
-			d.rows[row.Service] = row // not one that was overtaken
+			d.rows[row.Service] = row // skip reordered reports
 		}
 	}
 }
 
-// Run hands the leader what nodes tell, until ctx ends.
+// Run forwards reports to the leader until ctx is done.
 func (r *Reports) Run(ctx context.Context) {
-	for pause.For(ctx, passEvery) {
-		r.forget()
+	for pause.For(ctx, forwardInterval) {
+		r.expire()
 		leads := r.member.Leads()
-		r.noteLeads(leads)
+		r.updateLeadership(leads)
 		if leads {
 			continue
 		}
 		if leader := r.member.Leader(); leader != "" {
-			r.pass(ctx, leader)
+			r.forward(ctx, leader)
 		}
 	}
 }
 
-// forget drops what nobody asks for any more.
-func (r *Reports) forget() {
+// expire drops closed windows and the reports of nodes that are gone.
+func (r *Reports) expire() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	before := time.Now().Add(-sourceLife)
+	cutoff := time.Now().Add(-sourceRetention)
 	r.tally.Closed(r.state.newestClosed())
-	r.tally.Forget(before)
-	maps.DeleteFunc(r.demands, func(_ metering.Source, d *demand) bool { return d.heard.Before(before) })
+	r.tally.Forget(cutoff)
+	maps.DeleteFunc(r.demands, func(_ metering.Source, d *nodeDemand) bool { return d.reportedAt.Before(cutoff) })
 }
 
-// noteLeads notes whether this member leads. A new leader's sink is told all
-// that was told to this member.
-func (r *Reports) noteLeads(leads bool) {
+// updateLeadership records whether this member leads. When it is elected, its sink
+// receives all demand that was reported to this member.
+func (r *Reports) updateLeadership(leads bool) {
 	r.mu.Lock()
-	begins := leads && !r.leads
+	elected := leads && !r.leads
 	if leads != r.leads {
-		r.to = 0
+		r.receiver = 0
 	}
 	r.leads = leads
 	var reports []NodeReport
-	if begins {
-		r.ledFrom = time.Now()
-		reports = r.changes(true)
+	if elected {
+		r.leaderSince = time.Now()
+		reports = r.collect(true)
 	}
 	r.mu.Unlock()
-	r.tellSink(reports)
+	r.notifySink(reports)
 }
 
-// changes returns what nodes told since the last call, or everything. The
-// caller holds the mutex.
-func (r *Reports) changes(all bool) []NodeReport {
+// collect returns the changes since the last call, or everything. The caller
+// holds the mutex.
+func (r *Reports) collect(all bool) []NodeReport {
 	bySource := map[metering.Source]*NodeReport{}
 	of := func(from metering.Source) *NodeReport {
 		if bySource[from] == nil {
@@ -224,53 +224,53 @@
 	return reports
 }
 
-// pass hands the leader what is new, or everything where it has not got that
-// from this member before.
-func (r *Reports) pass(ctx context.Context, leader walnutramp.NodeName) {
+// forward sends the leader the changes, or everything if this leader instance
+// has not acknowledged earlier reports.
+func (r *Reports) forward(ctx context.Context, leader walnutramp.NodeName) {
 	if leader != r.leader {
-		r.leader, r.to = leader, 0
+		r.leader, r.receiver = leader, 0
 	}
 	r.mu.Lock()
-	reports := r.changes(r.to == 0)
+	reports := r.collect(r.receiver == 0)
 	r.mu.Unlock()
-	if len(reports) == 0 && time.Since(r.passedAt) < passAnyway {
+	if len(reports) == 0 && time.Since(r.forwardedAt) < forwardKeepalive {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, passLimit)
+	ctx, cancel := context.WithTimeout(ctx, forwardTimeout)
 	defer cancel()
 	var reply TellReply
 	err := r.peers.Call(ctx, leader, Service+".Pass", PassArgs{Reports: reports}, &reply)
-	r.passedAt = time.Now()
+	r.forwardedAt = time.Now()
 	if err != nil || reply.Code != walnutramp.CodeOK {
-		klog.V(1).InfoS("Reports not passed on", "leader", leader, "reports", len(reports), "code", int(reply.Code), "err", err)
-		r.to = 0
+		klog.V(1).InfoS("Forwarding reports failed", "leader", leader, "reports", len(reports), "code", int(reply.Code), "err", err)
+		r.receiver = 0
 		return
 	}
-	if r.to != 0 && reply.To != r.to {
-		r.to = 0 // it has started anew: it gets everything next time
+	if r.receiver != 0 && reply.To != r.receiver {
+		r.receiver = 0 // the leader has restarted: resend everything
 		return
 	}
-	r.to = reply.To
+	r.receiver = reply.To
 }
 
-// standing is how much of a window's counts is here.
-type standing struct {
+// windowStatus is the state of a window's counts on this member.
+type windowStatus struct {
 	metering.Sum
-	// Silent are the nodes that told something lately, but nothing since they
-	// could have told all of the window.
+	// Silent is the number of nodes that reported within silentNodeTimeout, but not
+	// since they could have reported all of the window.
 	Silent int
-	// Led is for how long this member has led; 0 if it does not lead.
+	// Led is how long this member has led; 0 if it does not lead.
 	Led time.Duration
 }
 
-// standing returns what is known of a window that ended a while ago.
-func (r *Reports) standing(w metering.Window, ago time.Duration) standing {
+// windowStatus returns the status of a window that ended a given time ago.
+func (r *Reports) windowStatus(w metering.Window, ago time.Duration) windowStatus {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := time.Now()
-	s := standing{Sum: r.tally.Sum(w), Silent: r.tally.Silent(now.Add(-silentFor), now.Add(wordTime-ago))}
+	s := windowStatus{Sum: r.tally.Sum(w), Silent: r.tally.Silent(now.Add(-silentNodeTimeout), now.Add(reportDelay-ago))}
 	if r.leads {
-		s.Led = now.Sub(r.ledFrom)
+		s.Led = now.Sub(r.leaderSince)
 	}
 	return s
 }
--- a/control/rollout_client.go
+++ b/control/rollout_client.go
@@ -12,21 +12,20 @@
 	"k8s.io/klog/v2"
 )
 
-// Times of a node's part in roll-outs.
 const (
-	reportEvery = 200 * time.Millisecond // between two reports while a roll-out runs
-	reportLimit = 400 * time.Millisecond // of one report: a permit renewed later than that has ended
+	rolloutReportInterval = 200 * time.Millisecond // while a roll-out runs
+	rolloutReportTimeout  = 400 * time.Millisecond // a later answer would renew a permit that has expired
 )
 
-// WithRollouts has the client keep an agent up to date: with the versions in
-// force, and with permits while a roll-out is under way, for which it tells
-// what the agent saw. It is called before Start.
+// WithRollouts makes the client update an agent with the versions in force and,
+// during a roll-out, with permits, and report what the agent observed. It is
+// called before Start.
 func (c *Client) WithRollouts(agent *rollout.Agent) {
 	c.agent = agent
 }
 
-// takeVersions takes a view that came with an answer.
-func (c *Client) takeVersions(view *rollout.View) {
+// applyVersions applies a view received with a reply.
+func (c *Client) applyVersions(view *rollout.View) {
 	if c.agent == nil || view == nil || !c.agent.SetView(*view) {
 		return
 	}
@@ -35,62 +34,61 @@
 	}
 }
 
-// reportAlways reports while a roll-out is under way.
-func (c *Client) reportAlways() {
-	r := reporter{client: c, life: rand.Uint64()}
-	for pause.For(c.ctx, reportEvery) {
+// rolloutReportLoop sends reports while a roll-out is running.
+func (c *Client) rolloutReportLoop() {
+	r := rolloutReporter{client: c, incarnation: rand.Uint64()}
+	for pause.For(c.ctx, rolloutReportInterval) {
 		if c.agent.Running() {
 			r.report()
 		}
 	}
 }
 
-// reporter tells the leader what an agent saw.
-type reporter struct {
-	client *Client
-	life   uint64              // names this process
-	judge  uint64              // who weighs the reports, as it named itself
-	leader walnutramp.NodeName // who was asked last, empty for any member
+// rolloutReporter reports to the leader what an agent observed.
+type rolloutReporter struct {
+	client      *Client
+	incarnation uint64              // identifies this process
+	judgeID     uint64              // the leader's evaluation that has the earlier reports
+	leader      walnutramp.NodeName // last destination; empty for any member
 }
 
-func (r *reporter) report() {
+func (r *rolloutReporter) report() {
 	c := r.client
-	ctx, cancel := context.WithTimeout(c.ctx, reportLimit)
+	ctx, cancel := context.WithTimeout(c.ctx, rolloutReportTimeout)
 	defer cancel()
 	if r.leader == "" {
-		r.leader = c.anyMember()
+		r.leader = c.randomMember()
 	}
-	asked := uptime.Now()
+	requestedAt := uptime.Now()
 	var reply ReportReply
-	args := ReportArgs{Node: c.entry.Address, Life: r.life, Judge: r.judge, Cells: c.agent.Report(r.judge)}
+	args := ReportArgs{Node: c.self.Address, Life: r.incarnation, Judge: r.judgeID, Cells: c.agent.Report(r.judgeID)}
 	err := c.peers.Call(ctx, r.leader, Service+".Report", args, &reply)
 	if err != nil || reply.Code != walnutramp.CodeOK {
-		klog.V(1).InfoS("Report not taken", "asked", r.leader, "code", int(reply.Code), "err", err)
+		klog.V(1).InfoS("Roll-out report failed", "member", r.leader, "code", int(reply.Code), "err", err)
 		c.agent.Unreported()
 		r.leader = reply.Leader
 		return
 	}
-	r.judge = reply.Judge
-	c.agent.SetPermits(reply.Permits, asked)
+	r.judgeID = reply.Judge
+	c.agent.SetPermits(reply.Permits, requestedAt)
 }
 
-// anyMember draws one of those that are known.
-func (c *Client) anyMember() walnutramp.NodeName {
+// randomMember returns one of the known members at random.
+func (c *Client) randomMember() walnutramp.NodeName {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	known := c.known()
+	known := c.candidates()
 	return known[rand.IntN(len(known))]
 }
 
-// StartRollout orders a service to be brought to a version, and returns the
-// record of its roll-out.
+// StartRollout starts a roll-out of a service to a version and returns its record.
 func (c *Client) StartRollout(ctx context.Context, service, version string, duration time.Duration) (rollout.Record, error) {
-	r, repeated, err := c.doRepeating(ctx, tryTime, ".Order", OrderArgs{Service: service, Version: version, Duration: duration})
+	r, repeated, err := c.doReportingRetry(ctx, attemptTimeout, ".Order", OrderArgs{Service: service, Version: version, Duration: duration})
 	if err != nil {
 		return rollout.Record{}, err
 	}
 	if r.Code == walnutramp.CodeRolloutUnderWay && repeated && r.Rollout.OrderedAs(version, duration) {
-		return r.Rollout, nil // an earlier try of this call began it
+		return r.Rollout, nil // started by an earlier attempt of this call
 	}
 	if r.Code != walnutramp.CodeOK {
 		return r.Rollout, walnutramp.NewError(r.Code, walnutramp.NotRun, "%s", r.Code.Info().Text)
@@ -98,14 +96,14 @@
 	return r.Rollout, nil
 }
 
-// Rollout returns the newest roll-out of a service, as the leader had it
-// confirmed by a majority after this call.
+// Rollout returns the newest roll-out of a service, read from a leader that a
+// majority confirmed after this call.
 func (c *Client) Rollout(ctx context.Context, service string) (RolloutReply, error) {
-	ctx, cancel := context.WithTimeout(ctx, commandTime)
+	ctx, cancel := context.WithTimeout(ctx, commandTimeout)
 	defer cancel()
 	for {
 		var reply RolloutReply
-		tryCtx, cancelTry := context.WithTimeout(ctx, tryTime)
+		tryCtx, cancelTry := context.WithTimeout(ctx, attemptTimeout)
 		err := c.peers.Call(tryCtx, c.target(), Service+".Rollout", RolloutArgs{Service: service}, &reply)
 		cancelTry()
 		switch {
@@ -114,9 +112,9 @@
 		case err == nil && reply.Code == walnutramp.CodeRolloutUnknown:
 			return reply, walnutramp.NewError(reply.Code, walnutramp.NotRun, "%s", reply.Code.Info().Text)
 		}
-		c.forgetLeader(reply.Leader)
-		if !pause.For(ctx, tryPause) {
-			return reply, walnutramp.NewError(walnutramp.CodeNoLeader, walnutramp.Unknown, "no leader confirmed the roll-out in %v", commandTime).WithRetryAfter(time.Second)
+		c.dropLeader(reply.Leader)
+		if !pause.For(ctx, retryDelay) {
+			return reply, walnutramp.NewError(walnutramp.CodeNoLeader, walnutramp.Unknown, "no confirmed leader returned the roll-out within %v", commandTimeout).WithRetryAfter(time.Second)
 		}
 	}
 }
--- a/control/rollout_controller.go
+++ b/control/rollout_controller.go
@@ -15,60 +15,59 @@
 	"k8s.io/klog/v2"
 )
 
-// Times of the control of roll-outs.
 const (
-	controlEvery = 100 * time.Millisecond // between two looks at what was reported
-	noteEvery    = 1 * time.Second        // the time that has passed is noted in the log
-	stepLimit    = 2 * time.Second        // of one command
-	confirmTime  = 500 * time.Millisecond // bound on the word that this member still leads
-	informTime   = 3 * reportEvery        // in which nodes tell a new leader what they told the old one
+	rolloutInterval          = 100 * time.Millisecond // between evaluations of reports
+	progressInterval         = 1 * time.Second        // between commits of the elapsed time
+	proposeTimeout           = 2 * time.Second        // per command
+	leadershipConfirmTimeout = 500 * time.Millisecond
+	rolloutResyncTime        = 3 * rolloutReportInterval // in which nodes resend their reports to a new leader
 )
 
-// RolloutController takes roll-outs further on the leader: it weighs what nodes
-// report, hands out permits, and says when a roll-out has ended. What it weighs
-// is not agreed on: nodes tell a new leader everything again.
+// RolloutController advances roll-outs on the leader: it evaluates the reports of
+// nodes, issues permits and decides when a roll-out ends. Reports are not
+// replicated; nodes resend them to a new leader.
 type RolloutController struct {
-	member *consensus.Member
-	server *Server
-	state  *State
-	roster *Roster
-	bounds rollout.Bounds
-	policy rollout.Policy
-	listed uint64 // version of the list whose services' versions are all known; used by Run alone
+	member      *consensus.Member
+	server      *Server
+	state       *State
+	roster      *Roster
+	bounds      rollout.Bounds
+	policy      rollout.Policy
+	listVersion uint64 // newest list whose services all have committed versions; used only by Run
 
 	mu          sync.Mutex
-	judge       uint64    // names this member's time as leader; 0 while it does not lead
-	began       time.Time // when that began
-	confirmed   time.Time
+	judgeID     uint64    // identifies this term's evaluations; 0 while not leading
+	judgeSince  time.Time // when judgeID was set
+	confirmedAt time.Time
 	tally       *rollout.Tally
 	evaluations map[string]*evaluation // by service
 }
 
-// evaluation is the leader's view of one running roll-out.
+// evaluation is the leader's state of one running roll-out.
 type evaluation struct {
-	number   uint64
-	judge    *rollout.Judge
-	step     rollout.Step
-	verdict  rollout.Verdict
-	late     map[string]time.Duration // see rollout.Permit
-	shifted  time.Duration            // since the order, when all requests went to the new version
-	notedAt  time.Time
-	permits  bool // the step is agreed on, so permits follow it
-	loggedAt time.Time
+	number        uint64
+	judge         *rollout.Judge
+	step          rollout.Step
+	verdict       rollout.Verdict
+	late          map[string]time.Duration // see rollout.Permit
+	shiftedAt     time.Duration            // elapsed time at which all requests moved to the new version
+	notedAt       time.Time
+	issuesPermits bool // the stage is committed
+	loggedAt      time.Time
 }
 
-// ControllerOption sets how a RolloutController works.
+// ControllerOption configures a RolloutController.
 type ControllerOption func(*RolloutController)
 
-// WithRolloutPolicy sets how answers are weighed.
+// WithRolloutPolicy sets the policy that evaluates answers.
 func WithRolloutPolicy(p rollout.Policy) ControllerOption {
 	return func(c *RolloutController) { c.policy = p }
 }
 
-// NewRolloutController returns a controller for a member's server, which
-// answers about roll-outs from then on.
+// NewRolloutController returns a RolloutController and registers it with a
+// member's server.
 func NewRolloutController(m *consensus.Member, s *Server, bounds rollout.Bounds, opts ...ControllerOption) *RolloutController {
-	c := &RolloutController{member: m, server: s, state: s.state, roster: s.roster, bounds: bounds, policy: rollout.ChangePoint}
+	c := &RolloutController{member: m, server: s, state: s.state, roster: s.targets, bounds: bounds, policy: rollout.ChangePoint}
 	for _, opt := range opts {
 		opt(c)
 	}
@@ -76,65 +75,65 @@
 	return c
 }
 
-// Run controls roll-outs while this member leads, until ctx ends.
+// Run advances roll-outs while this member leads, until ctx is done.
 func (c *RolloutController) Run(ctx context.Context) {
-	for pause.For(ctx, controlEvery) {
+	for pause.For(ctx, rolloutInterval) {
 		if !c.member.Leads() {
-			c.resign()
-			c.listed = 0
+			c.stepDown()
+			c.listVersion = 0
 			continue
 		}
-		c.noteVersions(ctx)
-		if view := c.state.versions(); view.Running() && c.confirm(ctx) && c.informed() {
-			c.controlAll(ctx, view)
+		c.recordVersions(ctx)
+		if view := c.state.versions(); view.Running() && c.confirm(ctx) && c.resynced() {
+			c.advanceAll(ctx, view)
 		}
 	}
 }
 
-// resign forgets what was weighed: another leader does that now.
-func (c *RolloutController) resign() {
+// stepDown drops the evaluations when this member no longer leads.
+func (c *RolloutController) stepDown() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.judge, c.tally, c.evaluations = 0, nil, nil
+	c.judgeID, c.tally, c.evaluations = 0, nil, nil
 }
 
-// confirm has a majority say that this member still leads.
+// confirm has a majority confirm that this member still leads.
 func (c *RolloutController) confirm(ctx context.Context) bool {
-	ctx, cancel := context.WithTimeout(ctx, confirmTime)
+	ctx, cancel := context.WithTimeout(ctx, leadershipConfirmTimeout)
 	defer cancel()
-	asked := uptime.Now()
+	requestedAt := uptime.Now()
 	if !c.member.Confirm(ctx) {
 		return false
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.confirmed = asked
-	c.begin()
+	c.confirmedAt = requestedAt
+	c.startJudging()
 	return true
 }
 
-// begin takes over the weighing, once a majority has confirmed that this
+// startJudging starts new evaluations after a majority has confirmed that this
 // member leads. The caller holds the mutex.
-func (c *RolloutController) begin() {
-	if c.judge == 0 {
-		c.judge, c.began = rand.Uint64()|1, uptime.Now()
+func (c *RolloutController) startJudging() {
+	if c.judgeID == 0 {
+		c.judgeID, c.judgeSince = rand.Uint64()|1, uptime.Now()
 		c.tally, c.evaluations = rollout.NewTally(), map[string]*evaluation{}
 	}
 }
 
-// informed reports whether nodes have had the time to tell this leader all that
-// they told another one before.
-func (c *RolloutController) informed() bool {
+// resynced reports whether nodes have had time to resend their reports to this
+// leader.
+func (c *RolloutController) resynced() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return uptime.Since(c.began) >= informTime
+	return uptime.Since(c.judgeSince) >= rolloutResyncTime
 }
 
-// noteVersions has the group agree on the versions that the targets of a
-// service have before any roll-out of it.
-func (c *RolloutController) noteVersions(ctx context.Context) {
-	version, list := c.roster.held()
-	if version == c.listed {
+// recordVersions commits the versions that a service's targets have before any
+// roll-out of it.
+func (c *RolloutController) recordVersions(ctx context.Context) {
+	version, list := c.roster.current()
+	if version == c.listVersion {
 		return
 	}
 	view := c.state.versions()
@@ -143,17 +142,17 @@
 		if _, known := view.Of(service); known {
 			continue
 		}
-		_, ok := c.server.agree(ctx, Command{Known: &KnownVersions{Service: service, Versions: versions}})
-		klog.InfoS("Versions noted", "service", service, "versions", versions, "agreed", ok)
+		_, ok := c.server.proposeOwn(ctx, Command{Known: &KnownVersions{Service: service, Versions: versions}})
+		klog.InfoS("Versions noted", "service", service, "versions", versions, "committed", ok)
 		complete = complete && ok
 	}
 	if complete {
-		c.listed = version
+		c.listVersion = version
 	}
 }
 
-// versionsOf returns the versions of a list of targets, by service, in order.
-// Targets that tell none are left out.
+// versionsOf returns the sorted versions of a list of targets, by service. Targets
+// without a version are skipped.
 func versionsOf(list []discovery.Target) map[string][]string {
 	versions := map[string][]string{}
 	for _, t := range list {
@@ -167,26 +166,26 @@
 	return versions
 }
 
-// controlAll takes every running roll-out a step further.
-func (c *RolloutController) controlAll(ctx context.Context, view rollout.View) {
+// advanceAll evaluates all running roll-outs and commits their next steps.
+func (c *RolloutController) advanceAll(ctx context.Context, view rollout.View) {
 	for _, rec := range view.Records {
 		if rec.State != rollout.Running {
 			continue
 		}
-		step, changes, elapsed := c.look(rec)
+		step, changes, elapsed := c.evaluate(rec)
 		if !changes {
 			continue
 		}
 		command := RolloutStep{Service: rec.Service, Number: rec.Number, State: step.State, Stage: step.Stage, Elapsed: elapsed, Reason: step.Reason}
-		if r, ok := c.server.agree(ctx, Command{Step: &command}); ok {
-			c.agreed(rec, r.Rollout)
+		if r, ok := c.server.proposeOwn(ctx, Command{Step: &command}); ok {
+			c.stepCommitted(rec, r.Rollout)
 		}
 	}
 }
 
-// look weighs a roll-out, and says what to do next and whether that has to be
-// agreed on.
-func (c *RolloutController) look(rec rollout.Record) (step rollout.Step, changes bool, elapsed time.Duration) {
+// evaluate applies the policy to a roll-out. It returns the next step, whether the
+// step has to be committed, and the elapsed time.
+func (c *RolloutController) evaluate(rec rollout.Record) (step rollout.Step, changes bool, elapsed time.Duration) {
 	elapsed = c.state.rolloutElapsed(rec)
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -194,23 +193,23 @@
 	t.verdict, t.late = t.judge.Verdict(), t.judge.Late()
 	situation := c.situation(rec, t, elapsed)
 	t.step = c.bounds.Plan(situation)
-	changes = t.step.State != rollout.Running || t.step.Stage != rec.Stage || uptime.Since(t.notedAt) >= noteEvery
-	t.permits = t.step.State == rollout.Running && t.step.Stage == rec.Stage
+	changes = t.step.State != rollout.Running || t.step.Stage != rec.Stage || uptime.Since(t.notedAt) >= progressInterval
+	t.issuesPermits = t.step.State == rollout.Running && t.step.Stage == rec.Stage
 	if changes {
 		t.notedAt = uptime.Now()
 	}
-	t.log(rec, situation)
+	t.logProgress(rec, situation)
 	return t.step, changes, elapsed
 }
 
-// evaluationOf returns what is known of a running roll-out. The caller holds the
-// mutex.
+// evaluationOf returns the evaluation of a running roll-out, new if there is none.
+// The caller holds the mutex.
 func (c *RolloutController) evaluationOf(rec rollout.Record, elapsed time.Duration) *evaluation {
 	t := c.evaluations[rec.Service]
 	if t == nil || t.number != rec.Number {
 		t = &evaluation{number: rec.Number, judge: rollout.NewJudge(c.policy, rec.Duration), notedAt: uptime.Now()}
 		if rec.Stage == rollout.StageShift {
-			t.shifted = elapsed // a new leader: at the latest now
+			t.shiftedAt = elapsed // a new leader knows only that it was before now
 		}
 		c.evaluations[rec.Service] = t
 		c.tally.Forget(rec.Service)
@@ -218,10 +217,10 @@
 	return t
 }
 
-// situation gathers what a plan goes by. The caller holds the mutex.
+// situation collects the input of a plan. The caller holds the mutex.
 func (c *RolloutController) situation(rec rollout.Record, t *evaluation, elapsed time.Duration) rollout.Situation {
-	s := rollout.Situation{Record: rec, Elapsed: elapsed, ShiftedAt: t.shifted, Sums: c.tally.Sums(rec.Service), Verdict: t.verdict}
-	_, list := c.roster.held()
+	s := rollout.Situation{Record: rec, Elapsed: elapsed, ShiftedAt: t.shiftedAt, Sums: c.tally.Sums(rec.Service), Verdict: t.verdict}
+	_, list := c.roster.current()
 	for _, target := range list {
 		if target.Service != rec.Service || target.State == discovery.TargetDraining {
 			continue
@@ -238,8 +237,8 @@
 	return s
 }
 
-// agreed notes what the group has agreed on.
-func (c *RolloutController) agreed(before, now rollout.Record) {
+// stepCommitted updates the evaluation after a step was committed.
+func (c *RolloutController) stepCommitted(before, now rollout.Record) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	t := c.evaluations[now.Service]
@@ -247,7 +246,7 @@
 		return
 	}
 	if now.State == rollout.Running && now.Stage != before.Stage {
-		t.shifted = now.Elapsed
+		t.shiftedAt = now.Elapsed
 	}
 	if now.State != before.State || now.Stage != before.Stage {
 		klog.InfoS("Roll-out goes on", "service", now.Service, "number", now.Number, "version", now.Target, "state", now.State, "stage", now.Stage,
@@ -256,11 +255,11 @@
 	}
 }
 
-// logEvery bounds the lines about a roll-out that goes on as before.
-const logEvery = 1 * time.Second
+// rolloutLogInterval is the time between log lines about an unchanged roll-out.
+const rolloutLogInterval = 1 * time.Second
 
-func (t *evaluation) log(rec rollout.Record, s rollout.Situation) {
-	if uptime.Since(t.loggedAt) < logEvery {
+func (t *evaluation) logProgress(rec rollout.Record, s rollout.Situation) {
+	if uptime.Since(t.loggedAt) < rolloutLogInterval {
 		return
 	}
 	t.loggedAt = uptime.Now()
@@ -269,34 +268,35 @@
 		"answers", t.verdict.Answers, "excess", t.verdict.Excess, "score", t.verdict.Score, "evidence", t.verdict.Evidence)
 }
 
-// report takes what a node saw, and returns its permits.
+// report adds a node's report and returns the node's permits.
 func (c *RolloutController) report(args ReportArgs) (judge uint64, permits []rollout.Permit) {
 	view := c.state.versions()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.judge == 0 {
+	if c.judgeID == 0 {
 		return 0, nil
 	}
-	if args.Judge != c.judge {
-		// What the node told another judge is missing: it tells all next time.
+	if args.Judge != c.judgeID {
+		// The reports to an earlier judge are missing; the node resends everything
+		// next time.
 		args.Cells = nil
 	}
-	news := c.tally.Take(args.Node, args.Life, args.Cells)
-	life := rollout.PermitLife - uptime.Since(c.confirmed)
+	newCells := c.tally.Take(args.Node, args.Life, args.Cells)
+	permitLife := rollout.PermitLife - uptime.Since(c.confirmedAt)
 	for _, rec := range view.Records {
 		if rec.State != rollout.Running {
 			continue
 		}
 		elapsed := c.state.rolloutElapsed(rec)
 		t := c.evaluationOf(rec, elapsed)
-		t.judge.Take(elapsed, rec.Target, cellsOf(news, rec.Service))
-		if t.permits && life > 0 {
+		t.judge.Take(elapsed, rec.Target, cellsOf(newCells, rec.Service))
+		if t.issuesPermits && permitLife > 0 {
 			permits = append(permits, rollout.Permit{
-				Service: rec.Service, Number: rec.Number, Shares: t.step.Shares, Other: t.step.Other, Focus: t.step.Focus, Late: t.late, For: life,
+				Service: rec.Service, Number: rec.Number, Shares: t.step.Shares, Other: t.step.Other, Focus: t.step.Focus, Late: t.late, For: permitLife,
 			})
 		}
 	}
-	return c.judge, permits
+	return c.judgeID, permits
 }
 
 func cellsOf(cells []rollout.Cell, service string) []rollout.Cell {
@@ -309,8 +309,8 @@
 	return own
 }
 
-// weighed returns what this leader knows of a roll-out.
-func (c *RolloutController) weighed(rec rollout.Record) ([]rollout.Cell, rollout.Verdict) {
+// results returns this leader's counts and verdict for a roll-out.
+func (c *RolloutController) results(rec rollout.Record) ([]rollout.Cell, rollout.Verdict) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	t := c.evaluations[rec.Service]
--- a/control/rollout_fleet_test.go
+++ b/control/rollout_fleet_test.go
@@ -16,20 +16,19 @@
 	"github.com/walnutramp/walnutramp/rollout"
 )
 
-// What these tests order.
 const (
 	fleetService  = "desk"
 	fleetDuration = 12 * time.Second
 	answerTime    = 30 * time.Millisecond
 )
 
-// controlBytes is what control may cost an entry, in bytes a second.
-const controlBytes = 7000
+// maxControlBytes bounds the control traffic of an entry node, in bytes per second.
+const maxControlBytes = 7000
 
-// bytes is what an entry has sent and received.
+// bytes returns the bytes that an entry node has sent and received.
 func (e *fleetEntry) bytes() int64 { return e.traffic.Sent.Load() + e.traffic.Received.Load() }
 
-// versionedList lists targets of versions, four of each.
+// versionedList returns a list of four targets of each version.
 func versionedList(versions ...string) []discovery.Target {
 	var list []discovery.Target
 	for _, version := range versions {
@@ -43,12 +42,12 @@
 	return list
 }
 
-// requests are what the entries of a fleet have sent, by version.
+// requests records the requests sent by entry nodes, by version.
 type requests struct {
-	mu     sync.Mutex
-	sent   map[string]int
-	last   map[string]time.Time
-	byHost map[string]time.Time // when each entry last sent to the new version
+	mu         sync.Mutex
+	sent       map[string]int
+	last       map[string]time.Time
+	newByEntry map[string]time.Time // when each entry node last sent to the new version
 }
 
 func (r *requests) note(entry, version string) {
@@ -57,7 +56,7 @@
 	r.sent[version]++
 	r.last[version] = time.Now()
 	if version == "v2" {
-		r.byHost[entry] = time.Now()
+		r.newByEntry[entry] = time.Now()
 	}
 }
 
@@ -67,22 +66,22 @@
 	return r.sent[version]
 }
 
-func (r *requests) forget(version string) {
+func (r *requests) reset(version string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.sent[version] = 0
 }
 
-func (r *requests) lastOf(entry string) time.Time {
+func (r *requests) lastNew(entry string) time.Time {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.byHost[entry]
+	return r.newByEntry[entry]
 }
 
-// load has every entry send requests; newFails is the share that the new
-// version fails.
-func (fl *fleet) load(every time.Duration, newFails float64) *requests {
-	r := &requests{sent: map[string]int{}, last: map[string]time.Time{}, byHost: map[string]time.Time{}}
+// generateLoad makes every entry node send requests; newFails is the failure rate of
+// the new version.
+func (fl *fleet) generateLoad(every time.Duration, newFails float64) *requests {
+	r := &requests{sent: map[string]int{}, last: map[string]time.Time{}, newByEntry: map[string]time.Time{}}
 	for i, e := range fl.entries {
 		rng := rand.New(rand.NewPCG(uint64(i), 5))
 		fl.tasks.Go(func() {
@@ -95,7 +94,7 @@
 	return r
 }
 
-// send sends one request as a gateway does.
+// send sends one request and records it with the agent, as a gateway does.
 func (e *fleetEntry) send(name string, r *requests, target int, newFails bool) {
 	version := "v1"
 	if e.agent.Draw(fleetService, "look") || e.agent.Versions(fleetService, false).Has("v2") {
@@ -112,14 +111,14 @@
 	request.Ended(rollout.Served)
 }
 
-// list has every member hold a list, as its poller does.
-func (fl *fleet) list(versions ...string) {
+// setTargets sets the target list of every member, as their pollers do.
+func (fl *fleet) setTargets(versions ...string) {
 	for _, m := range fl.members {
-		m.roster.Set(versionedList(versions...))
+		m.targets.Set(versionedList(versions...))
 	}
 }
 
-// rollout reads the roll-out at any member that is left.
+// rollout reads the roll-out from a remaining member.
 func (fl *fleet) rollout() rollout.Record {
 	reply, err := fl.members[len(fl.members)-1].client.Rollout(fl.ctx, fleetService)
 	if err != nil {
@@ -133,9 +132,9 @@
 	require.NoError(fl.t, err)
 }
 
-// await waits until the roll-out has a state and stage; it fails the test if
-// that takes longer than a time.
-func (fl *fleet) await(limit time.Duration, reached func(rollout.Record) bool) rollout.Record {
+// awaitRollout waits until the roll-out satisfies a condition, and fails the test
+// after a limit.
+func (fl *fleet) awaitRollout(limit time.Duration, reached func(rollout.Record) bool) rollout.Record {
 	began := time.Now()
 	for {
 		rec := fl.rollout()
@@ -151,17 +150,17 @@
 	return r.State == rollout.Completed || r.State == rollout.RolledBack
 }
 
-// withRollout starts a fleet under load whose service has new targets, and
-// orders a roll-out.
+// withRollout starts a fleet under load, adds targets of a new version and starts a
+// roll-out.
 func withRollout(t *testing.T, newFails float64, f func(*fleet, *requests)) {
 	inFleet(t, 5, 12, func(t *testing.T, fl *fleet) {
-		fl.list("v1")
-		load := fl.load(40*time.Millisecond, newFails)
+		fl.setTargets("v1")
+		load := fl.generateLoad(40*time.Millisecond, newFails)
 		time.Sleep(2 * time.Second)
-		fl.list("v1", "v2")
-		load.forget("v2") // before an entry is told any versions it takes all
+		fl.setTargets("v1", "v2")
+		load.reset("v2") // until they know the versions, entry nodes use all
 		time.Sleep(time.Second)
-		require.Zero(t, load.of("v2"), "nobody ordered it")
+		require.Zero(t, load.of("v2"), "no roll-out was started")
 		fl.startRollout()
 		f(fl, load)
 	})
@@ -172,26 +171,26 @@
 		began, before := time.Now(), load.of("v1")
 		bytes := fl.entries[0].bytes()
 		time.Sleep(8 * time.Second)
-		perS := (fl.entries[0].bytes() - bytes) / 8
-		t.Logf("an entry with 25 requests a second: %d bytes a second of control", perS)
-		require.Less(t, perS, int64(controlBytes))
+		bytesPerSecond := (fl.entries[0].bytes() - bytes) / 8
+		t.Logf("entry node with 25 requests per second: %d bytes per second of control traffic", bytesPerSecond)
+		require.Less(t, bytesPerSecond, int64(maxControlBytes))
 		require.Positive(t, load.of("v2"))
 		all := float64(load.of("v1") - before + load.of("v2"))
 		require.Less(t, float64(load.of("v2")), fleetBounds.Share*all+fleetBounds.Slack)
-		rec := fl.await(fleetDuration, ended)
+		rec := fl.awaitRollout(fleetDuration, ended)
 		require.Equal(t, rollout.Completed, rec.State, rec.Reason)
 		require.Less(t, time.Since(began), fleetDuration)
 		require.Equal(t, []string{"v2"}, rec.InForce)
 		time.Sleep(100 * time.Millisecond)
 		old := load.of("v1")
 		time.Sleep(2 * time.Second)
-		require.Equal(t, old, load.of("v1"), "the old targets are stopped")
+		require.Equal(t, old, load.of("v1"), "the old version gets no requests")
 	})
 }
 
-func TestRolloutOfABadVersionIsTakenBack(t *testing.T) {
+func TestRolloutOfABadVersionIsRolledBack(t *testing.T) {
 	withRollout(t, 0.4, func(fl *fleet, load *requests) {
-		rec := fl.await(fleetDuration, ended)
+		rec := fl.awaitRollout(fleetDuration, ended)
 		require.Equal(t, rollout.RolledBack, rec.State)
 		require.Contains(t, rec.Reason, "answers failed")
 		require.Equal(t, []string{"v1"}, rec.InForce)
@@ -203,9 +202,8 @@
 	})
 }
 
-// A leader that is killed costs a little time, at whatever stage it is; what was
-// ordered is not forgotten.
-func TestRolloutOutlivesLeadersAtEachStage(t *testing.T) {
+// Losing a leader delays a roll-out by a bounded time at any stage.
+func TestRolloutSurvivesLeaderLossAtEachStage(t *testing.T) {
 	for name, reached := range map[string]func(rollout.Record) bool{
 		"ordered": func(rollout.Record) bool { return true },
 		"canary":  func(r rollout.Record) bool { return r.Elapsed > 5*time.Second },
@@ -214,9 +212,9 @@
 		t.Run(name, func(t *testing.T) {
 			withRollout(t, 0, func(fl *fleet, load *requests) {
 				began := time.Now()
-				fl.await(fleetDuration, reached)
-				fl.leave(fl.leader())
-				rec := fl.await(fleetDuration+2*time.Second, ended)
+				fl.awaitRollout(fleetDuration, reached)
+				fl.removeMember(fl.leader())
+				rec := fl.awaitRollout(fleetDuration+2*time.Second, ended)
 				require.Equal(t, rollout.Completed, rec.State, rec.Reason)
 				require.Less(t, time.Since(began), fleetDuration+1500*time.Millisecond)
 			})
@@ -224,38 +222,36 @@
 	}
 }
 
-// leave stops a member for good.
-func (fl *fleet) leave(m *fleetMember) {
-	left := make([]*fleetMember, 0, len(fl.members))
+// removeMember stops a member permanently.
+func (fl *fleet) removeMember(m *fleetMember) {
+	remaining := make([]*fleetMember, 0, len(fl.members))
 	for _, other := range fl.members {
 		if other != m {
-			left = append(left, other)
+			remaining = append(remaining, other)
 		}
 	}
-	fl.members = left
+	fl.members = remaining
 	m.stop()
 }
 
-// An entry that hears nothing more stops sending to the new version by itself
-// when its permit ends.
-func TestEntryThatIsCutOffStopsTrying(t *testing.T) {
+// A partitioned entry node stops sending to the new version when its permit expires.
+func TestPartitionedEntryStopsUsingNewVersion(t *testing.T) {
 	withRollout(t, 0, func(fl *fleet, load *requests) {
-		fl.await(fleetDuration, func(r rollout.Record) bool { return r.Stage == rollout.StageShift })
+		fl.awaitRollout(fleetDuration, func(r rollout.Record) bool { return r.Stage == rollout.StageShift })
 		time.Sleep(400 * time.Millisecond)
-		require.Less(t, time.Since(load.lastOf("e1")), 200*time.Millisecond, "all requests go there now")
+		require.Less(t, time.Since(load.lastNew("e1")), 200*time.Millisecond, "all requests use the new version now")
 		for _, m := range fl.members {
 			fl.net.Cut("e1", string(m.name))
 		}
 		cut := time.Now()
-		fl.await(fleetDuration, ended)
+		fl.awaitRollout(fleetDuration, ended)
 		time.Sleep(2 * time.Second)
-		require.Less(t, load.lastOf("e1").Sub(cut), rollout.PermitLife)
+		require.Less(t, load.lastNew("e1").Sub(cut), rollout.PermitLife)
 	})
 }
 
-// All members without power at once: the order is there afterwards, and its
-// time has gone on.
-func TestRolloutOutlivesALossOfPower(t *testing.T) {
+// After a power loss of all members the roll-out continues, and the downtime counts.
+func TestRolloutSurvivesPowerLoss(t *testing.T) {
 	withRollout(t, 0, func(fl *fleet, load *requests) {
 		began := time.Now()
 		time.Sleep(6 * time.Second)
@@ -269,16 +265,16 @@
 		for _, m := range members {
 			fl.startMember(m.name, m.disk)
 		}
-		fl.list("v1", "v2")
-		rec := fl.await(fleetDuration, ended)
+		fl.setTargets("v1", "v2")
+		rec := fl.awaitRollout(fleetDuration, ended)
 		require.Equal(t, rollout.Completed, rec.State, rec.Reason)
 		require.InDelta(t, fleetDuration.Seconds(), time.Since(began).Seconds(), 1.5)
 	})
 }
 
-// A version of which no target comes is taken back at the deadline: the old
-// targets would be stopped with nothing in their place.
-func TestRolloutWithoutTargetsIsTakenBack(t *testing.T) {
+// A roll-out to a version without enough targets is rolled back at the deadline, since
+// stopping the old targets would leave the service without capacity.
+func TestRolloutWithoutTargetsIsRolledBack(t *testing.T) {
 	for name, listed := range map[string][]discovery.Target{
 		"none": versionedList("v1"),
 		"few":  append(versionedList("v1"), versionedList("v2")[:1]...),
@@ -286,9 +282,9 @@
 		t.Run(name, func(t *testing.T) {
 			withRollout(t, 0, func(fl *fleet, load *requests) {
 				for _, m := range fl.members {
-					m.roster.Set(listed)
+					m.targets.Set(listed)
 				}
-				rec := fl.await(fleetDuration, ended)
+				rec := fl.awaitRollout(fleetDuration, ended)
 				require.Equal(t, rollout.RolledBack, rec.State)
 				require.Contains(t, rec.Reason, "of the version")
 			})
@@ -296,7 +292,7 @@
 	}
 }
 
-func TestOrdersThatMakeNoSense(t *testing.T) {
+func TestInvalidOrdersAreRejected(t *testing.T) {
 	inFleet(t, 3, 1, func(t *testing.T, fl *fleet) {
 		order := func(service, version string, d time.Duration) walnutramp.Code {
 			_, err := fl.members[0].client.StartRollout(fl.ctx, service, version, d)
@@ -305,8 +301,8 @@
 			}
 			return walnutramp.AsError(err).Code
 		}
-		require.Equal(t, walnutramp.CodeLedgerAway, order(fleetService, "v2", time.Second), "no list was read yet")
-		fl.list("v1")
+		require.Equal(t, walnutramp.CodeLedgerAway, order(fleetService, "v2", time.Second), "no target list yet")
+		fl.setTargets("v1")
 		time.Sleep(time.Second)
 		require.Equal(t, walnutramp.CodeRolloutInvalid, order("", "v2", time.Second))
 		require.Equal(t, walnutramp.CodeRolloutInvalid, order(fleetService, "", time.Second))
@@ -321,54 +317,53 @@
 	})
 }
 
-// losingFirst loses the answer to the first order that it passes on.
-type losingFirst struct {
+// lossyPeers loses the reply to the first accepted order.
+type lossyPeers struct {
 	control.Peers
 	lost bool
 }
 
 // Call implements control.Peers.
-func (p *losingFirst) Call(ctx context.Context, node walnutramp.NodeName, method string, args, reply any) error {
+func (p *lossyPeers) Call(ctx context.Context, node walnutramp.NodeName, method string, args, reply any) error {
 	err := p.Peers.Call(ctx, node, method, args, reply)
 	done, ok := reply.(*control.DoReply)
 	if ok && method == control.Service+".Order" && err == nil && done.Code == walnutramp.CodeOK && !p.lost {
 		p.lost = true
-		return errors.New("the connection broke off")
+		return errors.New("connection lost")
 	}
 	return err
 }
 
-// A node's own call to the leader broke off after the order was taken, and it asked
-// again: the operator was told that another roll-out is under way, and that its own did
-// not begin.
-func TestOrderThatANodeRepeatsIsNotRefused(t *testing.T) {
+// A node retries an order after the connection to the leader is lost. The operator must
+// not be told that another roll-out is under way.
+func TestRetriedOrderIsNotRefused(t *testing.T) {
 	inFleet(t, 3, 1, func(t *testing.T, fl *fleet) {
-		fl.list("v1")
+		fl.setTargets("v1")
 		time.Sleep(time.Second)
 		_, peers, _ := fl.peersOf("o1")
 		defer peers.Close()
-		losing := &losingFirst{Peers: peers}
-		client := control.NewDocumentClient(losing, fl.seeds, func(uint64, []byte) error { return nil })
+		lossy := &lossyPeers{Peers: peers}
+		client := control.NewDocumentClient(lossy, fl.seeds, func(uint64, []byte) error { return nil })
 		rec, err := client.StartRollout(fl.ctx, fleetService, "v2", 10*time.Second)
 		require.NoError(t, err)
-		require.True(t, losing.lost)
+		require.True(t, lossy.lost)
 		require.Equal(t, "v2", rec.Target)
 		require.Equal(t, rollout.Running, rec.State)
-		losing.lost = false
+		lossy.lost = false
 		_, err = client.StartRollout(fl.ctx, fleetService, "v3", 10*time.Second)
-		require.True(t, walnutramp.HasCode(err, walnutramp.CodeRolloutUnderWay), "another's")
+		require.True(t, walnutramp.HasCode(err, walnutramp.CodeRolloutUnderWay), "a different order")
 	})
 }
 
-// An operator whose answer was lost sends its order again: what it began is not
-// begun a second time, though it has ended meanwhile.
-func TestRepeatedOrderBeginsNothing(t *testing.T) {
+// An order that is retried after a lost reply starts no second roll-out, even if the
+// first has ended.
+func TestRepeatedOrderStartsNoRollout(t *testing.T) {
 	inFleet(t, 3, 1, func(t *testing.T, fl *fleet) {
-		fl.list("v1")
+		fl.setTargets("v1")
 		time.Sleep(time.Second)
 		first, err := fl.members[0].client.StartRollout(fl.ctx, fleetService, "v2", time.Second)
 		require.NoError(t, err)
-		require.Equal(t, rollout.RolledBack, fl.await(5*time.Second, ended).State)
+		require.Equal(t, rollout.RolledBack, fl.awaitRollout(5*time.Second, ended).State)
 		again, err := fl.members[1].client.StartRollout(fl.ctx, fleetService, "v2", time.Second)
 		require.NoError(t, err)
 		require.Equal(t, first.Number, again.Number)
@@ -376,6 +371,6 @@
 		time.Sleep(10 * time.Second)
 		next, err := fl.members[1].client.StartRollout(fl.ctx, fleetService, "v2", time.Second)
 		require.NoError(t, err)
-		require.Greater(t, next.Number, first.Number, "a new try, much later")
+		require.Greater(t, next.Number, first.Number, "a new order, after the retry window")
 	})
 }
--- a/control/rollout_server.go
+++ b/control/rollout_server.go
@@ -8,18 +8,18 @@
 )
 
 const (
-	// longestRollout bounds the time that an order may give.
-	longestRollout = 24 * time.Hour
-	// orderPatience is in which operators send an order again, where the site
-	// does not tell.
-	orderPatience = 5 * time.Second
-	// repeatMargin is how much later than that the last repeat may come in.
-	repeatMargin = 1 * time.Second
+	// maxRolloutDuration bounds the duration in an order.
+	maxRolloutDuration = 24 * time.Hour
+	// defaultOrderRetryWindow is how long operators retry an order, unless the
+	// site sets it.
+	defaultOrderRetryWindow = 5 * time.Second
+	// orderRetryMargin is the delay with which the last retry may arrive.
+	orderRetryMargin = 1 * time.Second
 )
 
-// Order implements the RPC for an operator's order of a roll-out.
+// Order implements the RPC with which an operator starts a roll-out.
 func (s *Server) Order(args OrderArgs, reply *DoReply) error {
-	if s.rollouts == nil || args.Service == "" || args.Version == "" || args.Duration <= 0 || args.Duration > longestRollout {
+	if s.rollouts == nil || args.Service == "" || args.Version == "" || args.Duration <= 0 || args.Duration > maxRolloutDuration {
 		reply.Code = walnutramp.CodeRolloutInvalid
 		return nil
 	}
@@ -28,15 +28,15 @@
 		return nil
 	}
 	order := RolloutOrder{Service: args.Service, Version: args.Version, Duration: args.Duration}
-	listed, list := s.roster.held()
+	listed, list := s.targets.current()
 	order.Listed = versionsOf(list)[args.Service]
 	view := s.state.versions()
 	rec, known := view.Of(args.Service)
 	switch {
 	case known:
-		order.Repeat = rec.OrderedAs(args.Version, args.Duration) && s.state.rolloutElapsed(rec) < s.patience+repeatMargin
+		order.Repeat = rec.OrderedAs(args.Version, args.Duration) && s.state.rolloutElapsed(rec) < s.orderRetryWindow+orderRetryMargin
 	case listed == 0:
-		reply.Code = walnutramp.CodeNoLeader // it has not read the list of targets yet
+		reply.Code = walnutramp.CodeNoLeader // the list of targets has not been read yet
 		return nil
 	case len(order.Listed) == 0:
 		reply.Code = walnutramp.CodeRolloutUnknown
@@ -45,9 +45,9 @@
 	return s.propose(context.Background(), Command{Rollout: &order}, reply)
 }
 
-// Rollout implements the RPC that reads the newest roll-out of a service.
+// Rollout implements the RPC that reads a service's newest roll-out.
 func (s *Server) Rollout(args RolloutArgs, reply *RolloutReply) error {
-	ctx, cancel := context.WithTimeout(context.Background(), confirmLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), confirmTimeout)
 	defer cancel()
 	if !s.member.Leads() || !s.member.Confirm(ctx) {
 		reply.Code, reply.Leader = walnutramp.CodeNoLeader, s.member.Leader()
@@ -61,13 +61,13 @@
 	}
 	reply.Code, reply.Record, reply.Elapsed = walnutramp.CodeOK, rec, s.state.rolloutElapsed(rec)
 	if s.rollouts != nil {
-		reply.Sums, reply.Verdict = s.rollouts.weighed(rec)
+		reply.Sums, reply.Verdict = s.rollouts.results(rec)
 	}
 	return nil
 }
 
-// Report implements the RPC by which a node tells what it saw of targets, and
-// gets permits for new versions.
+// Report implements the RPC with which a node reports its observations of targets
+// and gets permits for new versions.
 func (s *Server) Report(args ReportArgs, reply *ReportReply) error {
 	if s.rollouts == nil || !s.member.Leads() {
 		reply.Code, reply.Leader = walnutramp.CodeNoLeader, s.member.Leader()
--- a/control/rollouts.go
+++ b/control/rollouts.go
@@ -9,28 +9,27 @@
 	"github.com/walnutramp/walnutramp/rollout"
 )
 
-// Commands about the versions of services; each is one of the log's.
+// Commands about the versions of services.
 
-// KnownVersions notes the versions of a service that were there before any
-// roll-out of it.
+// KnownVersions records the versions of a service before any roll-out of it.
 type KnownVersions struct {
 	Service  string
 	Versions []string
 }
 
-// RolloutOrder asks for a service to be brought to a version.
+// RolloutOrder starts a roll-out of a service to a version.
 type RolloutOrder struct {
 	Service  string
 	Version  string
 	Duration time.Duration
-	// Listed are the versions that the service's targets have now.
+	// Listed are the current versions of the service's targets.
 	Listed []string
-	// Repeat says that the same order came a short while ago, so that this one
-	// begins nothing. The leader tells it by its clock, for all members.
+	// Repeat says that this is a retry of a recent order and starts nothing. The
+	// leader decides by its clock, so that all members apply the same.
 	Repeat bool
 }
 
-// RolloutStep notes how far a roll-out has come, or that it has ended.
+// RolloutStep records the progress or the end of a roll-out.
 type RolloutStep struct {
 	Service string
 	Number  uint64
@@ -40,20 +39,20 @@
 	Reason  string
 }
 
-// longestOutage bounds the time that the members' clocks say has passed while
-// none of them ran: no more is believed of a clock that was set.
-const longestOutage = 2 * time.Second
+// maxDowntimeCredit bounds the time that is added to a roll-out for downtime of
+// all members, which is measured by the wall clock and so affected by clock jumps.
+const maxDowntimeCredit = 2 * time.Second
 
-// rollouts are the versions that the control group has agreed on.
+// rollouts is the replicated state of services' versions and roll-outs.
 type rollouts struct {
 	view rollout.View
-	// noted is when this member learned how far each roll-out has come, on its
-	// own steady clock. It is not part of what is agreed on.
-	noted map[string]time.Time
+	// elapsedAt is when this member applied each record's Elapsed, on the
+	// monotonic clock. It is local state and not in snapshots.
+	elapsedAt map[string]time.Time
 }
 
-// find returns the record of a service, new if there is none.
-func (r *rollouts) find(service string) *rollout.Record {
+// record returns the record of a service, creating it if needed.
+func (r *rollouts) record(service string) *rollout.Record {
 	i := slices.IndexFunc(r.view.Records, func(rec rollout.Record) bool { return rec.Service == service })
 	if i < 0 {
 		i = len(r.view.Records)
@@ -62,28 +61,28 @@
 	return &r.view.Records[i]
 }
 
-// note takes down that a roll-out has come so far. Where the command is
-// applied later than it was given, as after a restart, that time counts, too.
-func (r *rollouts) note(service string, given int64) {
-	if r.noted == nil {
-		r.noted = map[string]time.Time{}
+// markElapsed records when a roll-out's Elapsed was current. If the command is
+// applied later than it was proposed, as after a restart, the delay is added.
+func (r *rollouts) markElapsed(service string, proposedAt int64) {
+	if r.elapsedAt == nil {
+		r.elapsedAt = map[string]time.Time{}
 	}
-	late := time.Duration(time.Now().UnixMilli()-given) * time.Millisecond
-	r.noted[service] = uptime.Now().Add(-min(max(0, late), longestOutage))
+	delay := time.Duration(time.Now().UnixMilli()-proposedAt) * time.Millisecond
+	r.elapsedAt[service] = uptime.Now().Add(-min(max(0, delay), maxDowntimeCredit))
 }
 
-// elapsed returns how long ago the roll-out of a record was ordered.
+// elapsed returns the time since a roll-out was ordered.
 func (r *rollouts) elapsed(rec rollout.Record) time.Duration {
-	noted, ok := r.noted[rec.Service]
+	recordedAt, ok := r.elapsedAt[rec.Service]
 	if !ok {
 		return rec.Elapsed
 	}
-	return rec.Elapsed + uptime.Since(noted)
+	return rec.Elapsed + uptime.Since(recordedAt)
 }
 
-// know notes versions that were there before any roll-out.
-func (r *rollouts) know(c *KnownVersions) Result {
-	rec := r.find(c.Service)
+// addKnown records the versions before any roll-out.
+func (r *rollouts) addKnown(c *KnownVersions) Result {
+	rec := r.record(c.Service)
 	if len(rec.InForce) == 0 && rec.Number == 0 {
 		rec.InForce = c.Versions
 		r.view.Revision++
@@ -91,9 +90,9 @@
 	return Result{Code: walnutramp.CodeOK}
 }
 
-// order begins a roll-out. A repeated order changes nothing.
-func (r *rollouts) order(index uint64, c *RolloutOrder, now int64) Result {
-	rec := r.find(c.Service)
+// start begins a roll-out. A retried order changes nothing.
+func (r *rollouts) start(index uint64, c *RolloutOrder, now int64) Result {
+	rec := r.record(c.Service)
 	if rec.State == rollout.Running {
 		return Result{Code: walnutramp.CodeRolloutUnderWay, Rollout: *rec}
 	}
@@ -102,7 +101,7 @@
 	}
 	before := rec.InForce
 	if rec.Number == 0 && len(before) != 1 {
-		// What was listed first may hold the new version's targets already.
+		// The first list may already include targets of the new version.
 		before = slices.Compact(slices.Sorted(slices.Values(without(append(slices.Clone(before), c.Listed...), c.Version))))
 	}
 	if len(before) == 0 || slices.Contains(before, c.Version) {
@@ -112,14 +111,14 @@
 		Service: c.Service, InForce: before, Number: index, Target: c.Version,
 		State: rollout.Running, Duration: c.Duration,
 	}
-	r.note(c.Service, now)
+	r.markElapsed(c.Service, now)
 	r.view.Revision++
 	return Result{Code: walnutramp.CodeOK, Rollout: *rec}
 }
 
-// step takes a roll-out further. One that has ended stays as it ended.
-func (r *rollouts) step(c *RolloutStep, now int64) Result {
-	rec := r.find(c.Service)
+// advance applies a step of a roll-out. It does not change one that has ended.
+func (r *rollouts) advance(c *RolloutStep, now int64) Result {
+	rec := r.record(c.Service)
 	if rec.Number != c.Number || rec.State != rollout.Running {
 		return Result{Code: walnutramp.CodeOK, Rollout: *rec}
 	}
@@ -128,26 +127,26 @@
 	}
 	rec.State, rec.Stage, rec.Reason = c.State, c.Stage, c.Reason
 	rec.Elapsed = max(rec.Elapsed, c.Elapsed)
-	r.note(c.Service, now)
+	r.markElapsed(c.Service, now)
 	if c.State == rollout.Completed {
 		rec.InForce = []string{rec.Target}
 	}
 	return Result{Code: walnutramp.CodeOK, Rollout: *rec}
 }
 
-// copyView returns the view as it is now; what is in it is not changed later.
+// copyView returns a copy of the view; its records are not modified later.
 func (r *rollouts) copyView() rollout.View {
 	return rollout.View{Revision: r.view.Revision, Records: slices.Clone(r.view.Records)}
 }
 
-// versions returns the view of versions.
+// versions returns a copy of the view.
 func (s *State) versions() rollout.View {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.rollouts.copyView()
 }
 
-// versionsSince returns the view of versions, nil where it is not newer than a
+// versionsSince returns a copy of the view, or nil if it is not newer than a
 // revision.
 func (s *State) versionsSince(revision uint64) *rollout.View {
 	s.mu.Lock()
@@ -159,18 +158,18 @@
 	return &view
 }
 
-// rolloutElapsed returns how long ago the roll-out of a record was ordered.
+// rolloutElapsed returns the time since a roll-out was ordered.
 func (s *State) rolloutElapsed(rec rollout.Record) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.rollouts.elapsed(rec)
 }
 
-// restoreRollouts takes the view of a snapshot, which is as old as its newest
-// command at least.
+// restoreRollouts restores the view from a snapshot. Its elapsed times count from
+// now, as the snapshot does not hold when they were recorded.
 func (s *State) restoreRollouts(v rollout.View) {
 	s.rollouts = rollouts{view: v}
 	for _, rec := range v.Records {
-		s.rollouts.note(rec.Service, time.Now().UnixMilli())
+		s.rollouts.markElapsed(rec.Service, time.Now().UnixMilli())
 	}
 }
--- a/control/rollouts_test.go
+++ b/control/rollouts_test.go
@@ -11,7 +11,7 @@
 	"github.com/walnutramp/walnutramp/rollout"
 )
 
-// applyAll applies commands as the log hands them over, one a second.
+// applyAll applies encoded commands with consecutive indexes, one per second.
 func applyAll(s *State, first uint64, commands ...Command) Result {
 	var last Result
 	for i, c := range commands {
@@ -28,45 +28,45 @@
 	return last
 }
 
-func known(versions ...string) Command {
+func knownCommand(versions ...string) Command {
 	return Command{Known: &KnownVersions{Service: "s", Versions: versions}}
 }
 
-func order(version string) Command {
+func orderCommand(version string) Command {
 	return Command{Rollout: &RolloutOrder{Service: "s", Version: version, Duration: 10 * time.Second, Listed: []string{"v1", "v2"}}}
 }
 
-func step(number uint64, state rollout.State, stage rollout.Stage) Command {
+func stepCommand(number uint64, state rollout.State, stage rollout.Stage) Command {
 	return Command{Step: &RolloutStep{Service: "s", Number: number, State: state, Stage: stage, Elapsed: 4 * time.Second, Reason: "why"}}
 }
 
-func TestEndOfARolloutIsFinal(t *testing.T) {
+func TestEndedRolloutIsFinal(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := NewState()
-		require.Equal(t, walnutramp.CodeOK, applyAll(s, 1, known("v1"), known("v9"), order("v2")).Code)
-		require.Equal(t, walnutramp.CodeRolloutUnderWay, applyAll(s, 4, order("v3")).Code)
-		applyAll(s, 5, step(3, rollout.Running, rollout.StageShift), step(3, rollout.Completed, rollout.StageShift), step(3, rollout.RolledBack, rollout.StageShift))
+		require.Equal(t, walnutramp.CodeOK, applyAll(s, 1, knownCommand("v1"), knownCommand("v9"), orderCommand("v2")).Code)
+		require.Equal(t, walnutramp.CodeRolloutUnderWay, applyAll(s, 4, orderCommand("v3")).Code)
+		applyAll(s, 5, stepCommand(3, rollout.Running, rollout.StageShift), stepCommand(3, rollout.Completed, rollout.StageShift), stepCommand(3, rollout.RolledBack, rollout.StageShift))
 		view := s.versions()
 		rec, _ := view.Of("s")
 		require.Equal(t, rollout.Completed, rec.State)
 		require.Equal(t, []string{"v2"}, rec.InForce)
-		require.Equal(t, walnutramp.CodeRolloutInForce, applyAll(s, 8, order("v2")).Code)
-		require.Equal(t, walnutramp.CodeOK, applyAll(s, 9, order("v1")).Code, "the way back is a roll-out, too")
-		applyAll(s, 10, step(3, rollout.RolledBack, rollout.StageCanary))
+		require.Equal(t, walnutramp.CodeRolloutInForce, applyAll(s, 8, orderCommand("v2")).Code)
+		require.Equal(t, walnutramp.CodeOK, applyAll(s, 9, orderCommand("v1")).Code, "going back is a roll-out, too")
+		applyAll(s, 10, stepCommand(3, rollout.RolledBack, rollout.StageCanary))
 		view = s.versions()
 		rec, _ = view.Of("s")
-		require.Equal(t, rollout.Running, rec.State, "a step of an older one changes nothing")
+		require.Equal(t, rollout.Running, rec.State, "a step of an earlier roll-out changes nothing")
 		require.EqualValues(t, 9, rec.Number)
 	})
 }
 
-// The first reading of the list may hold the new version's targets already.
-func TestOrderOfAVersionThatWasThereFirst(t *testing.T) {
+// The first target list may already include targets of the new version.
+func TestRolloutToVersionAlreadyListed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		for _, before := range [][]Command{nil, {known("v1", "v2")}} {
+		for _, before := range [][]Command{nil, {knownCommand("v1", "v2")}} {
 			s := NewState()
 			applyAll(s, 1, before...)
-			r := applyAll(s, 5, order("v2"))
+			r := applyAll(s, 5, orderCommand("v2"))
 			require.Equal(t, walnutramp.CodeOK, r.Code)
 			require.Equal(t, []string{"v1"}, r.Rollout.InForce)
 		}
@@ -76,11 +76,11 @@
 	})
 }
 
-// A member that starts from a snapshot counts on from the time that it tells.
-func TestRolloutsOutliveASnapshot(t *testing.T) {
+// A member restored from a snapshot goes on counting from its elapsed time.
+func TestRolloutsSurviveSnapshot(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := NewState()
-		applyAll(s, 1, known("v1"), order("v2"))
+		applyAll(s, 1, knownCommand("v1"), orderCommand("v2"))
 		time.Sleep(2 * time.Second)
 		restored := NewState()
 		require.NoError(t, restored.Restore(s.Snapshot()))
@@ -95,21 +95,21 @@
 
 		before, err := msgpack.Marshal(struct{ Doc []byte }{[]byte("{}")})
 		require.NoError(t, err)
-		require.NoError(t, restored.Restore(before), "a snapshot of before there were roll-outs")
+		require.NoError(t, restored.Restore(before), "a snapshot without roll-outs")
 		view = restored.versions()
 		require.Empty(t, view.Records)
 	})
 }
 
-// A command that is applied long after it was given, as after a start of all
-// members, or by a clock that was set: no more than a little is believed.
-func TestTimeOfARolloutBelievesNoClockMuch(t *testing.T) {
+// The delay between the proposal of a command and its application, by wall clocks,
+// counts only up to maxDowntimeCredit.
+func TestRolloutElapsedLimitsClockJumps(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		for given, elapsed := range map[time.Duration]time.Duration{
-			0: 0, -time.Second: time.Second, -time.Hour: longestOutage, time.Hour: 0,
+			0: 0, -time.Second: time.Second, -time.Hour: maxDowntimeCredit, time.Hour: 0,
 		} {
 			s := NewState()
-			c := order("v2")
+			c := orderCommand("v2")
 			c.Now = time.Now().Add(given).UnixMilli()
 			text, err := msgpack.Marshal(c)
 			require.NoError(t, err)
--- a/control/roster.go
+++ b/control/roster.go
@@ -16,79 +16,78 @@
 	"github.com/walnutramp/walnutramp/internal/uptime"
 )
 
-// Roster is the leader's newest reading of the site's list of targets. Entries
-// get it with the word on the newest document, so that one node reads the list
-// for all of them; one that holds a list of a while ago gets what has changed.
+// Roster holds the newest reading of the site's target list. Entry nodes receive it
+// from the leader with the newest document, so that only one node reads the list;
+// those that hold a recent version receive the changes only.
 type Roster struct {
-	mu      sync.Mutex
-	past    []rosterVersion // newest last
-	read    time.Time
-	changed chan struct{}
+	mu       sync.Mutex
+	versions []targetListVersion // newest last
+	readAt   time.Time
+	changed  chan struct{}
 }
 
-// rosterVersion is one reading.
-type rosterVersion struct {
-	version uint64 // hash of the list
-	list    []discovery.Target
-	encoded []byte
-	packed  packed // made when it is first asked for
-	// changes lead here from older readings; each is worked out once, when it is
-	// first asked for.
-	changes map[uint64]*RosterChange
+// targetListVersion is one reading of the target list.
+type targetListVersion struct {
+	version    uint64 // hash of the list
+	list       []discovery.Target
+	encoded    []byte
+	compressed compressed // compressed on first use
+	// changes caches the changes from older versions, by version.
+	changes map[uint64]*TargetListChange
 }
 
-// keepRosters is how many past readings are kept to tell changes from.
-const keepRosters = 24
+// maxTargetListVersions is how many readings are kept to compute changes from.
+const maxTargetListVersions = 24
 
 // NewRoster returns a roster without a list.
 func NewRoster() *Roster { return &Roster{changed: make(chan struct{})} }
 
-// RosterReply is a list of targets, or what has changed since the asker's.
-// Where neither is there, the asker's list is the newest.
-type RosterReply struct {
-	Version uint64        // 0 where none is known
-	From    uint64        // version that Change is to be applied to
-	Change  *RosterChange // where the asker's version is known
-	Whole   Content       // where it is not
-	List    []byte        // the whole as it was read
-	Age     time.Duration // since the list was read
+// TargetListReply holds the target list, or the changes since the requester's
+// version. If it holds neither, the requester's list is the newest.
+type TargetListReply struct {
+	Version uint64            // 0 if unknown
+	From    uint64            // version that Change applies to
+	Change  *TargetListChange // if the requester's version is kept
+	Whole   Payload           // the full list otherwise
+	List    []byte            // the full list, as decompressed from Whole
+	Age     time.Duration     // since the list was read
 }
 
-// RosterChange turns one list of targets into another.
-type RosterChange struct {
+// TargetListChange turns one target list into another.
+type TargetListChange struct {
 	Removed []string           // IDs
 	Put     []discovery.Target // new or changed
 }
 
 func targetID(t discovery.Target) string { return t.ID }
 
-// Set takes a reading. The order of targets in it means nothing.
+// Set stores a reading. The order of the targets does not matter.
 func (r *Roster) Set(list []discovery.Target) {
 	list = slices.Clone(list)
 	slices.SortFunc(list, func(a, b discovery.Target) int { return cmp.Compare(a.ID, b.ID) })
-	encoded := encodeList(list)
-	next := rosterVersion{version: max(1, xxhash.Sum64(encoded)), list: list, encoded: encoded, changes: map[uint64]*RosterChange{}}
+	encoded := encodeTargets(list)
+	next := targetListVersion{version: max(1, xxhash.Sum64(encoded)), list: list, encoded: encoded, changes: map[uint64]*TargetListChange{}}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.read = uptime.Now()
+	r.readAt = uptime.Now()
 	if next.version == r.newest().version {
 		return
 	}
-	r.past = append(r.past, next)
-	r.past = r.past[max(0, len(r.past)-keepRosters):]
+	r.versions = append(r.versions, next)
+	r.versions = r.versions[max(0, len(r.versions)-maxTargetListVersions):]
 	close(r.changed)
 	r.changed = make(chan struct{})
 }
 
-// SetFirst takes a reading, unless there is one.
+// SetFirst stores a reading, unless there is one.
 func (r *Roster) SetFirst(list []discovery.Target) {
-	if version, _ := r.held(); version == 0 {
+	if version, _ := r.current(); version == 0 {
 		r.Set(list)
 	}
 }
 
-// encodeList encodes a list without the names of its fields.
-func encodeList(list []discovery.Target) []byte {
+// encodeTargets encodes a list as arrays, without field names.
+func encodeTargets(list []discovery.Target) []byte {
 	var text bytes.Buffer
 	encoder := msgpack.NewEncoder(&text)
 	encoder.UseArrayEncodedStructs(true)
@@ -98,103 +97,103 @@
 	return text.Bytes()
 }
 
-// told returns what an answer to a holder of a version tells of the list.
-func (r *Roster) told(version uint64) RosterReply {
+// compressedReply returns the reply to the holder of a version, with the full list
+// as a payload.
+func (r *Roster) compressedReply(version uint64) TargetListReply {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	reply := r.reply(version)
 	if reply.List != nil {
 		reply.List = nil
-		reply.Whole = r.pack(len(r.past) - 1).content()
+		reply.Whole = r.compress(len(r.versions) - 1).payload()
 	}
 	return reply
 }
 
-// pack returns a reading compressed. The caller holds the mutex.
-func (r *Roster) pack(at int) packed {
-	v := &r.past[at]
-	if v.packed.bytes == nil {
-		v.packed = newPacked(v.encoded)
+// compress returns the compressed list of a reading. The caller holds the mutex.
+func (r *Roster) compress(index int) compressed {
+	v := &r.versions[index]
+	if v.compressed.bytes == nil {
+		v.compressed = compress(v.encoded)
 	}
-	return v.packed
+	return v.compressed
 }
 
-// await returns the compressed reading of a hash. A member that relays may
-// take it a little later than the leader.
-func (r *Roster) await(hash uint64, limit time.Duration) (packed, bool) {
-	late := time.NewTimer(limit)
-	defer late.Stop()
+// awaitCompressed returns the compressed list with a hash. It waits for the list
+// until timeout, as a relay may receive it later than the leader.
+func (r *Roster) awaitCompressed(hash uint64, timeout time.Duration) (compressed, bool) {
+	timer := time.NewTimer(timeout)
+	defer timer.Stop()
 	for {
-		found, changed := r.find(hash)
+		found, changed := r.findCompressed(hash)
 		if found.bytes != nil {
 			return found, true
 		}
 		select {
 		case <-changed:
-		case <-late.C:
-			return packed{}, false
+		case <-timer.C:
+			return compressed{}, false
 		}
 	}
 }
 
-// find returns the compressed reading of a hash, if it is held, and what is
-// closed when there is another reading.
-func (r *Roster) find(hash uint64) (packed, <-chan struct{}) {
+// findCompressed returns the compressed list with a hash, if held, and a channel
+// that is closed on the next reading.
+func (r *Roster) findCompressed(hash uint64) (compressed, <-chan struct{}) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if len(r.past) > 0 {
-		r.pack(len(r.past) - 1)
+	if len(r.versions) > 0 {
+		r.compress(len(r.versions) - 1)
 	}
-	for _, v := range r.past {
-		if v.packed.bytes != nil && v.packed.hash == hash {
-			return v.packed, r.changed
+	for _, v := range r.versions {
+		if v.compressed.bytes != nil && v.compressed.hash == hash {
+			return v.compressed, r.changed
 		}
 	}
-	return packed{}, r.changed
+	return compressed{}, r.changed
 }
 
-// readWhole reads the whole list where the answer of a node tells of one.
-func (t *RosterReply) readWhole(ctx context.Context, peers Peers, node, source walnutramp.NodeName) error {
-	if t.Whole.none() {
+// readFull reads the full list if a node's reply announces one.
+func (r *TargetListReply) readFull(ctx context.Context, peers Peers, node, source walnutramp.NodeName) error {
+	if r.Whole.empty() {
 		return nil
 	}
-	text, err := readContent(ctx, peers, node, source, t.Whole, PieceArgs{})
-	t.List = text
+	text, err := readPayload(ctx, peers, node, source, r.Whole, PieceArgs{})
+	r.List = text
 	return err
 }
 
 // newest returns the newest reading. The caller holds the mutex.
-func (r *Roster) newest() rosterVersion {
-	if len(r.past) == 0 {
-		return rosterVersion{}
+func (r *Roster) newest() targetListVersion {
+	if len(r.versions) == 0 {
+		return targetListVersion{}
 	}
-	return r.past[len(r.past)-1]
+	return r.versions[len(r.versions)-1]
 }
 
-// held returns the newest reading, which must not be changed, and its version.
-func (r *Roster) held() (version uint64, list []discovery.Target) {
+// current returns the newest list, which must not be modified, and its version.
+func (r *Roster) current() (version uint64, list []discovery.Target) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.newest().version, r.newest().list
 }
 
-// readBefore notes how long ago the newest list was read, where another node
-// read it.
-func (r *Roster) readBefore(age time.Duration) {
+// setAge sets how long ago another node read the newest list.
+func (r *Roster) setAge(age time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.read = uptime.Now().Add(-age)
+	r.readAt = uptime.Now().Add(-age)
 }
 
-// reply returns what leads from a version to the newest reading, with the whole
-// list as it is. The caller holds the mutex.
-func (r *Roster) reply(version uint64) RosterReply {
+// reply returns the changes since a version, or the full list uncompressed. The
+// caller holds the mutex.
+func (r *Roster) reply(version uint64) TargetListReply {
 	newest := r.newest()
-	reply := RosterReply{Version: newest.version, Age: uptime.Since(r.read)}
+	reply := TargetListReply{Version: newest.version, Age: uptime.Since(r.readAt)}
 	if version == newest.version {
 		return reply
 	}
-	if change := r.changeFrom(version); change != nil {
+	if change := r.changeSince(version); change != nil {
 		reply.From, reply.Change = version, change
 		return reply
 	}
@@ -202,57 +201,56 @@
 	return reply
 }
 
-// changeFrom returns what leads from a reading to the newest, nil where that one is not
-// kept. The caller holds the mutex.
-func (r *Roster) changeFrom(version uint64) *RosterChange {
+// changeSince returns the changes since a version, nil if that version is not kept.
+// The caller holds the mutex.
+func (r *Roster) changeSince(version uint64) *TargetListChange {
 	newest := r.newest()
 	if change := newest.changes[version]; change != nil {
 		return change
 	}
-	at := slices.IndexFunc(r.past, func(v rosterVersion) bool { return v.version == version })
-	if at < 0 {
+	index := slices.IndexFunc(r.versions, func(v targetListVersion) bool { return v.version == version })
+	if index < 0 {
 		return nil
 	}
-	var change RosterChange
-	change.Removed, change.Put = difference(r.past[at].list, newest.list, targetID)
+	var change TargetListChange
+	change.Removed, change.Put = diff(r.versions[index].list, newest.list, targetID)
 	newest.changes[version] = &change
 	return &change
 }
 
-func (r *Roster) watch(version uint64) (changed <-chan struct{}, other bool) {
+func (r *Roster) watch(version uint64) (changed <-chan struct{}, differs bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	newest := r.newest().version
 	return r.changed, newest != 0 && newest != version
 }
 
-// feed returns what a reply tells the holder of a version.
-func (r *RosterReply) feed(held uint64) (discovery.Feed, error) {
+// decode returns the list or the change for the holder of a version.
+func (r *TargetListReply) decode(version uint64) (discovery.Feed, error) {
 	f := discovery.Feed{Age: r.Age}
-	if r.Version == held {
+	if r.Version == version {
 		return f, nil
 	}
 	if r.Change == nil {
 		err := msgpack.Unmarshal(r.List, &f.List)
 		if f.List == nil {
-			f.List = []discovery.Target{} // an empty list is one, too
+			f.List = []discovery.Target{} // an empty list, as opposed to none
 		}
 		return f, err
 	}
-	if r.From != held {
-		return f, errors.Newf("the change is of list %x, %x is held", r.From, held)
+	if r.From != version {
+		return f, errors.Newf("change applies to target list %x, but %x is held", r.From, version)
 	}
 	change := discovery.Change(*r.Change)
 	f.Change = &change
 	return f, nil
 }
 
-// Targets returns the list that a reply tells of, by the one that the asker
-// holds under a version.
-func (r *RosterReply) Targets(held uint64, list []discovery.Target) ([]discovery.Target, error) {
-	f, err := r.feed(held)
+// Targets applies the reply to the list that the requester holds at a version.
+func (r *TargetListReply) Targets(version uint64, list []discovery.Target) ([]discovery.Target, error) {
+	f, err := r.decode(version)
 	if f.Change != nil {
-		return applied(list, f.Change.Removed, f.Change.Put, targetID), err
+		return applyDiff(list, f.Change.Removed, f.Change.Put, targetID), err
 	}
 	return f.List, err
 }
