--- a/control/server.go
+++ b/control/server.go
@@ -16,56 +16,55 @@
 	"k8s.io/klog/v2"
 )
 
-// confirmLimit bounds the wait for a majority's confirmation.
-const confirmLimit = 1 * time.Second
+// confirmTimeout bounds the wait for a majority's confirmation.
+const confirmTimeout = 1 * time.Second
 
-// Server answers nodes on a member of the control group.
+// Server serves the RPCs of the control group on a member.
 type Server struct {
-	member     *consensus.Member
-	state      *State
-	updates    *updates
-	feed       *rate.Limiter      // of pieces of updates
-	offers     singleflight.Group // by version and digest
-	operators  bundle.Operators
-	keeper     *Keeper // nil where members are changed by hand
-	entries    entries
-	roster     *Roster            // nil where nodes read the list themselves
-	relays     relays             // members that relay this one's word, while it leads
-	relay      *Relay             // relays the leader's word, while another leads; nil for none
-	rollouts   *RolloutController // nil where there are no roll-outs
-	reports    *Reports           // of what nodes count; nil where they count nothing
-	timekeeper *Timekeeper        // of the group's time; nil where nobody needs it
-	sharing    *Sharing           // of the bound on repeats; nil where nobody shares it
-	patience   time.Duration      // in which an operator sends an order again whose answer was lost
+	member           *consensus.Member
+	state            *State
+	updates          *updates
+	chunkLimiter     *rate.Limiter      // rate of chunks of long payloads
+	offers           singleflight.Group // in progress, by version and digest
+	operators        bundle.Operators
+	keeper           *Keeper // nil if the membership is fixed
+	entryNodes       entryRegistry
+	targets          *Roster            // nil if nodes read the target list themselves
+	relays           relays             // members that relay this one's replies while it leads
+	relay            *Relay             // relays the leader's replies while another member leads; nil if unused
+	rollouts         *RolloutController // nil if there are no roll-outs
+	reports          *Reports           // of usage and demand; nil if unused
+	timekeeper       *Timekeeper        // of the group's time; nil if unused
+	sharing          *Sharing           // of the retry budget; nil if unused
+	orderRetryWindow time.Duration      // for which an operator resends an order that was not answered
 }
 
-// ServerOption sets how a Server works.
+// ServerOption configures a Server.
 type ServerOption func(*Server)
 
-// WithLink tells how many bytes a second the node's link carries, so that
-// reading large documents leaves room on it.
+// WithLink sets the rate of the node's link, of which chunks use a fixed share.
 func WithLink(bytesPerSecond float64) ServerOption {
-	return func(s *Server) { s.feed = newFeed(bytesPerSecond) }
+	return func(s *Server) { s.chunkLimiter = newChunkLimiter(bytesPerSecond) }
 }
 
-// WithOrderPatience tells for how long operators send an order of a roll-out
-// again whose answer was lost.
+// WithOrderPatience sets for how long operators resend a roll-out order that was
+// not answered.
 func WithOrderPatience(d time.Duration) ServerOption {
-	return func(s *Server) { s.patience = d }
+	return func(s *Server) { s.orderRetryWindow = d }
 }
 
-// NewOpenServer returns a server of a site that asks for no signatures and
-// whose members change by themselves.
+// NewOpenServer returns a server of a site without signatures, on which a Keeper
+// manages the membership.
 func NewOpenServer(m *consensus.Member, s *State, k *Keeper, r *Roster, opts ...ServerOption) *Server {
 	server := newServer(m, s)
-	server.keeper, server.roster = k, r
+	server.keeper, server.targets = k, r
 	for _, opt := range opts {
 		opt(server)
 	}
 	return server
 }
 
-// NewServer returns a server over a member and its state.
+// NewServer returns a server of a site with signed bundles and fixed members.
 func NewServer(m *consensus.Member, s *State, operators bundle.Operators) *Server {
 	server := newServer(m, s)
 	server.operators = operators
@@ -73,27 +72,27 @@
 }
 
 func newServer(m *consensus.Member, s *State) *Server {
-	return &Server{member: m, state: s, updates: &updates{state: s}, feed: newFeed(0), patience: orderPatience}
+	return &Server{member: m, state: s, updates: &updates{state: s}, chunkLimiter: newChunkLimiter(0), orderRetryWindow: defaultOrderRetryWindow}
 }
 
-// Newest implements the RPC behind each node's lease.
+// Newest implements the RPC that renews a node's lease.
 func (s *Server) Newest(args NewestArgs, reply *NewestReply) error {
-	ctx, cancel := context.WithTimeout(context.Background(), args.Wait+confirmLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), args.Wait+confirmTimeout)
 	defer cancel()
-	defer s.stamp(reply, uptime.Now())
+	defer s.addTime(reply, uptime.Now())
 	if s.keeper != nil {
 		reply.Group = s.member.Status().Group.Nodes()
 	}
-	s.noteAskers(args)
+	s.registerRequester(args)
 	leads := s.member.Leads()
 	if !leads && args.Entry != "" && s.relay.answer(ctx, s, args, reply) {
 		return nil
 	}
-	s.entries.tell(args, reply)
+	s.entryNodes.fillReply(args, reply)
 	if !leads && args.Unconfirmed {
-		s.awaitFirst(ctx, args)
+		s.awaitFirstDocument(ctx, args)
 		s.fill(args, reply)
-		s.fillRoster(args, reply)
+		s.fillTargets(args, reply)
 		reply.Unconfirmed, reply.Leader = true, s.member.Leader()
 		return nil
 	}
@@ -101,159 +100,159 @@
 		reply.Code, reply.Leader = walnutramp.CodeNoLeader, s.member.Leader()
 		return nil
 	}
-	s.await(ctx, args)
+	s.awaitChange(ctx, args)
 	if !s.member.Confirm(ctx) {
 		reply.Code, reply.Leader = walnutramp.CodeNoLeader, s.member.Leader()
 		return nil
 	}
 	s.fill(args, reply)
-	reply.Share = s.sharing.word(args)
-	s.fillRoster(args, reply)
+	reply.Share = s.sharing.shareFor(args)
+	s.fillTargets(args, reply)
 	if args.Entry != "" {
-		s.refer(ctx, args, reply)
-		reply.Near = s.near(args)
+		s.referToRelay(ctx, args, reply)
+		reply.Near = s.reportMember(args)
 	}
 	return nil
 }
 
-// near names the member of an entry's data hall that takes its reports.
-func (s *Server) near(args NewestArgs) walnutramp.NodeName {
+// reportMember returns the member of an entry node's data hall that takes its
+// reports.
+func (s *Server) reportMember(args NewestArgs) walnutramp.NodeName {
 	if s.reports == nil {
 		return ""
 	}
 	if s.relay != nil && s.relay.hall == args.DataHall {
 		return s.relay.node
 	}
-	return s.relays.of(args.DataHall, args.Entry)
+	return s.relays.choose(args.DataHall, args.Entry)
 }
 
-// refer names an entry the member of its data hall that it should ask from now
-// on, on a site of many entries, and that has long contents for it.
-func (s *Server) refer(ctx context.Context, args NewestArgs, reply *NewestReply) {
-	relayed := s.entries.count() > relayedFrom
-	long := reply.Update.Bytes > 0 || reply.Roster.Whole.Bytes > 0
-	if !relayed && !long {
+// referToRelay names a relay to an entry node: as the node to ask from now on, if
+// the site has many entry nodes, and as the source of long payloads.
+func (s *Server) referToRelay(ctx context.Context, args NewestArgs, reply *NewestReply) {
+	relayed := s.entryNodes.count() > relayThreshold
+	chunked := reply.Update.Bytes > 0 || reply.Roster.Whole.Bytes > 0
+	if !relayed && !chunked {
 		return
 	}
-	near := s.relays.of(args.DataHall, args.Entry)
-	if long && near == "" && !s.inHall(args.DataHall) {
-		near = s.relays.await(ctx, args.DataHall, args.Entry)
+	relay := s.relays.choose(args.DataHall, args.Entry)
+	if chunked && relay == "" && !s.inDataHall(args.DataHall) {
+		relay = s.relays.awaitRelay(ctx, args.DataHall, args.Entry)
 	}
 	if relayed {
-		reply.Relay = near
+		reply.Relay = relay
 	}
-	if long {
-		reply.Source = near
+	if chunked {
+		reply.Source = relay
 	}
 }
 
-// inHall reports whether this member is in a data hall itself, as far as it is
-// told its own.
-func (s *Server) inHall(hall string) bool { return s.relay != nil && s.relay.hall == hall }
+// inDataHall reports whether this member is known to be in a data hall.
+func (s *Server) inDataHall(hall string) bool { return s.relay != nil && s.relay.hall == hall }
 
-// noteAskers notes who is there: the asker, and those it relays to.
-func (s *Server) noteAskers(args NewestArgs) {
-	s.entries.note(EntryPlace{Address: args.Entry, DataHall: args.DataHall, Disk: args.Disk})
+// registerRequester records the requester and those that it relays to.
+func (s *Server) registerRequester(args NewestArgs) {
+	s.entryNodes.register(EntryPlace{Address: args.Entry, DataHall: args.DataHall, Disk: args.Disk})
 	for _, entry := range args.Relayed {
-		s.entries.note(EntryPlace{Address: entry, DataHall: args.DataHall, Disk: slices.Contains(args.RelayedDisks, entry)})
+		s.entryNodes.register(EntryPlace{Address: entry, DataHall: args.DataHall, Disk: slices.Contains(args.RelayedDisks, entry)})
 	}
-	s.relays.note(args.DataHall, args.Relay)
-	s.sharing.note(args)
+	s.relays.register(args.DataHall, args.Relay)
+	s.sharing.recordQuery(args)
 }
 
-// fill answers with what this member has applied.
+// fill fills a reply from the state that this member has applied.
 func (s *Server) fill(args NewestArgs, reply *NewestReply) {
-	newest, next := s.updates.since(args.Have)
+	newest, next := s.updates.updateFrom(args.Have)
 	reply.Code = walnutramp.CodeOK
 	reply.Version, reply.Digest = newest.Version, newest.Digest
-	reply.Update = next.content()
+	reply.Update = next.payload()
 	reply.Versions = s.state.versionsSince(args.Versions)
 }
 
-// fillRoster tells an asker that uses the list of targets what is new to it.
-func (s *Server) fillRoster(args NewestArgs, reply *NewestReply) {
-	if s.roster != nil && args.wantsRoster() {
-		reply.Roster = s.roster.told(args.Roster)
+// fillTargets adds the changes of the target list for a requester that uses it.
+func (s *Server) fillTargets(args NewestArgs, reply *NewestReply) {
+	if s.targets != nil && args.wantsTargets() {
+		reply.Roster = s.targets.compressedReply(args.Roster)
 	}
 }
 
-// Offer implements the RPC for an unsigned document.
+// Offer implements the RPC that submits an unsigned document.
 func (s *Server) Offer(args OfferArgs, reply *DoReply) error {
 	if s.keeper == nil {
 		reply.Code = walnutramp.CodeBundleSignature
 		return nil
 	}
-	// An operator without an answer sends the same again, to any member. While
-	// the first is under way the others wait for it: a large document is not
-	// logged once more each time.
-	name := fmt.Sprint(args.Submit.Version, " ", args.Submit.Digest)
-	answer, err, _ := s.offers.Do(name, func() (any, error) {
-		s.sharing.openBefore(context.Background())
-		var first DoReply
-		err := s.propose(context.Background(), Command{Submit: &args.Submit}, &first)
-		s.logAccepted(&args.Submit, &first)
-		return first, err
+	// An operator that gets no answer resends the document, to any member. Duplicates
+	// wait for the first one, so that a large document is not logged again.
+	key := fmt.Sprint(args.Submit.Version, " ", args.Submit.Digest)
+	result, err, _ := s.offers.Do(key, func() (any, error) {
+		s.sharing.openEarly(context.Background())
+		var proposed DoReply
+		err := s.propose(context.Background(), Command{Submit: &args.Submit}, &proposed)
+		s.logAccepted(&args.Submit, &proposed)
+		return proposed, err
 	})
-	*reply = answer.(DoReply)
+	*reply = result.(DoReply)
 	return err
 }
 
-// logAccepted logs a document that is newly in force, with its sizes.
+// logAccepted logs a document that has come into force, with its sizes.
 func (s *Server) logAccepted(c *Submit, r *DoReply) {
 	if r.Code != walnutramp.CodeOK || r.Result.Version != c.Version {
 		return
 	}
-	doc, change := s.state.sizes()
+	doc, change := s.state.documentSizes()
 	klog.InfoS("Document accepted", "version", c.Version, "bytes", doc, "compressed", len(c.Packed), "changeBytes", change)
 }
 
-// Join implements the RPC by which a node with a new disk comes in.
+// Join implements the RPC by which a node asks to become a member.
 func (s *Server) Join(args JoinArgs, reply *JoinReply) error {
 	reply.Group = s.member.Status().Group.Nodes()
 	if s.keeper == nil || !s.member.Leads() {
 		reply.Code, reply.Leader = walnutramp.CodeNoLeader, s.member.Leader()
 		return nil
 	}
-	s.keeper.asked(args)
+	s.keeper.requestJoin(args)
 	reply.Code = walnutramp.CodeOK
 	return nil
 }
 
-// await waits for a bundle newer than the asker's, for as long as it wants.
-func (s *Server) await(ctx context.Context, args NewestArgs) {
-	newest, _, _, changed := s.state.since(args.Have)
-	rosterChanged, other := s.rosterChanged(args)
-	if newest.Version > args.Have || s.state.versionsSince(args.Versions) != nil || args.Wait <= 0 || other {
+// awaitChange waits for anything newer than the requester holds, for at most
+// args.Wait.
+func (s *Server) awaitChange(ctx context.Context, args NewestArgs) {
+	newest, _, _, changed := s.state.updateSince(args.Have)
+	targetsChanged, differs := s.targetsChanged(args)
+	if newest.Version > args.Have || s.state.versionsSince(args.Versions) != nil || args.Wait <= 0 || differs {
 		return
 	}
 	t := time.NewTimer(args.Wait)
 	defer t.Stop()
 	select {
 	case <-changed:
-	case <-rosterChanged:
+	case <-targetsChanged:
 	case <-t.C:
 	case <-ctx.Done():
 	}
 }
 
-// awaitFirst has an asker that holds nothing wait while there is nothing: before a site
-// has its first document, all nodes ask.
-func (s *Server) awaitFirst(ctx context.Context, args NewestArgs) {
-	if newest, _, _, _ := s.state.since(0); newest.Version == 0 && args.Have == 0 {
-		s.await(ctx, args)
+// awaitFirstDocument waits, for at most args.Wait, while the site has no document.
+// Without the wait, all nodes would poll at a high rate.
+func (s *Server) awaitFirstDocument(ctx context.Context, args NewestArgs) {
+	if newest, _, _, _ := s.state.updateSince(0); newest.Version == 0 && args.Have == 0 {
+		s.awaitChange(ctx, args)
 	}
 }
 
-// rosterChanged returns what is closed when the list of targets changes, and
-// whether the asker holds another one already.
-func (s *Server) rosterChanged(args NewestArgs) (changed <-chan struct{}, other bool) {
-	if s.roster == nil || !args.wantsRoster() {
+// targetsChanged returns a channel that is closed when the target list changes, and
+// whether the requester's version already differs.
+func (s *Server) targetsChanged(args NewestArgs) (changed <-chan struct{}, differs bool) {
+	if s.targets == nil || !args.wantsTargets() {
 		return nil, false
 	}
-	return s.roster.watch(args.Roster)
+	return s.targets.watch(args.Roster)
 }
 
-// Do implements the RPC that changes the ledger.
+// Do implements the RPC that proposes a command.
 func (s *Server) Do(args DoArgs, reply *DoReply) error {
 	if args.Command.Submit != nil {
 		reply.Code = walnutramp.CodeBundleSignature
@@ -262,7 +261,7 @@
 	return s.propose(context.Background(), args.Command, reply)
 }
 
-// propose has the group agree on a command, if this member leads.
+// propose proposes a command to the group, if this member leads.
 func (s *Server) propose(ctx context.Context, c Command, reply *DoReply) error {
 	c.Now = time.Now().UnixMilli()
 	command, err := msgpack.Marshal(c)
@@ -277,28 +276,28 @@
 	return nil
 }
 
-// agree has the group agree on a command of the leader's own; false if that is
-// not known to have come about.
-func (s *Server) agree(ctx context.Context, c Command) (Result, bool) {
-	ctx, cancel := context.WithTimeout(ctx, stepLimit)
+// proposeOwn proposes a command of the leader itself. It returns false if the
+// command is not known to be committed.
+func (s *Server) proposeOwn(ctx context.Context, c Command) (Result, bool) {
+	ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
 	defer cancel()
 	var reply DoReply
 	if err := s.propose(ctx, c, &reply); err != nil {
-		klog.ErrorS(err, "Command not handed to the group")
+		klog.ErrorS(err, "Failed to propose command")
 		return Result{}, false
 	}
 	return reply.Result, reply.Code == walnutramp.CodeOK
 }
 
-// History implements the RPC for the accepted bundles.
+// History implements the RPC that returns the accepted bundles.
 func (s *Server) History(_ HistoryArgs, reply *HistoryReply) error {
 	reply.Accepted = s.state.History()
 	reply.Group = s.member.Status()
 	return nil
 }
 
-// Submit implements the RPC for a signed bundle; the signature is checked
-// here, on the member that proposes it.
+// Submit implements the RPC that submits a signed bundle. Only the member that
+// proposes the bundle verifies the signature.
 func (s *Server) Submit(args SubmitArgs, reply *DoReply) error {
 	if err := s.operators.Verify(args.Doc, args.Signature); err != nil {
 		reply.Code = walnutramp.CodeBundleSignature
--- a/control/sharing.go
+++ b/control/sharing.go
@@ -12,38 +12,37 @@
 	"k8s.io/klog/v2"
 )
 
-// Times of keeping the set of entries.
 const (
-	sharingEvery = 100 * time.Millisecond // between two looks at who came in or is long silent
-	// firstNoted is the time within which entries that wait for the first document ask
-	// a new leader.
-	firstNoted = 2 * renewPause
+	sharingInterval = 100 * time.Millisecond // between checks for new and expired entry nodes
+	// firstRequestWait is the time within which entry nodes that wait for the first
+	// document send a request to a new leader.
+	firstRequestWait = 2 * renewRetryDelay
 )
 
-// Sharing has the group agree on the entries among which the site's bound on repeats is
-// parted, and tells each of them how many there are.
+// Sharing commits the set of entry nodes that share the site's retry budget, and
+// tells each of them its share.
 type Sharing struct {
 	member   *consensus.Member
 	server   *Server
 	state    *State
 	register *quota.Register
 
-	mu     sync.Mutex // held by one change at a time
-	opened bool       // opening the set was proposed, whatever came of it
+	mu     sync.Mutex // serializes updates
+	opened bool       // opening the set was proposed, successfully or not
 }
 
-// NewSharing returns what a member's server tells entries of their parts from then on.
-// Span is the time within which no more than the whole may be used.
+// NewSharing returns a Sharing and registers it with a member's server. Span is
+// the time window of the budget.
 func NewSharing(m *consensus.Member, s *Server, span time.Duration) *Sharing {
 	sh := &Sharing{member: m, server: s, state: s.state, register: quota.NewRegister(span)}
 	s.sharing = sh
 	return sh
 }
 
-// Run keeps the set of entries up to date while this member leads, until ctx ends.
+// Run updates the set of entry nodes while this member leads, until ctx is done.
 func (sh *Sharing) Run(ctx context.Context) {
-	var term uint64 // in which this member led last
-	for pause.For(ctx, sharingEvery) {
+	var term uint64 // in which this member last led
+	for pause.For(ctx, sharingInterval) {
 		if !sh.member.Leads() {
 			continue
 		}
@@ -51,57 +50,59 @@
 			term = now
 			sh.register.Begin()
 		}
-		sh.update(ctx, sh.state.inForce())
+		sh.update(ctx, sh.state.hasDocument())
 	}
 }
 
-// openBefore opens the set before the site's first document is in force, with the entries
-// that wait for it: nothing is served yet, so they may use their parts at once.
-func (sh *Sharing) openBefore(ctx context.Context) {
-	if sh == nil || !sh.member.Leads() || sh.state.sharers().Open {
+// openEarly opens the set before the site's first document is in force, with the
+// entry nodes that wait for it. Nothing is served yet, so they may use their shares
+// at once.
+func (sh *Sharing) openEarly(ctx context.Context) {
+	if sh == nil || !sh.member.Leads() || sh.state.quotaSet().Open {
 		return
 	}
-	pause.For(ctx, firstNoted)
+	pause.For(ctx, firstRequestWait)
 	sh.update(ctx, true)
 }
 
-// update has the group agree on the entries there are now, and opens the set.
+// update commits the current entry nodes, and opens the set if open is true.
 func (sh *Sharing) update(ctx context.Context, open bool) {
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
-	set := sh.state.sharers()
+	set := sh.state.quotaSet()
 	if _, in, out := sh.register.Next(set); len(in)+len(out) == 0 && (set.Open || !open) {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, stepLimit)
+	ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
 	defer cancel()
 	if !sh.member.Confirm(ctx) {
-		return // the set may be an old one here
+		return // the set may be stale on this member
 	}
-	set = sh.state.sharers()
+	set = sh.state.quotaSet()
 	set.Open = set.Open || sh.opened
 	next, in, out := sh.register.Next(set)
 	next.Open = next.Open || open
 	sh.opened = next.Open
-	if _, ok := sh.server.agree(ctx, Command{Sharers: &next}); !ok {
+	if _, ok := sh.server.proposeOwn(ctx, Command{Sharers: &next}); !ok {
 		return
 	}
 	sh.register.Agreed(next)
-	klog.InfoS("Entries share the bound on repeats", "in", len(in), "out", out, "entries", len(next.Lives), "open", next.Open)
+	klog.InfoS("Retry budget shared among entry nodes", "in", len(in), "out", out, "entries", len(next.Lives), "open", next.Open)
 }
 
-// note notes that an entry asks, and those that a relay answers.
-func (sh *Sharing) note(args NewestArgs) {
+// recordQuery registers the entry node that sent a query, and those that a relay
+// answers.
+func (sh *Sharing) recordQuery(args NewestArgs) {
 	if sh == nil {
 		return
 	}
-	for _, n := range args.sharers() {
+	for _, n := range args.quotaNodes() {
 		sh.register.Note(n)
 	}
 }
 
-// sharers are the entries that a question is asked for.
-func (a *NewestArgs) sharers() []quota.Node {
+// quotaNodes returns the entry nodes on whose behalf a query was sent.
+func (a *NewestArgs) quotaNodes() []quota.Node {
 	var nodes []quota.Node
 	if a.Entry != "" {
 		nodes = append(nodes, quota.Node{Address: a.Entry, Life: a.Life})
@@ -112,60 +113,62 @@
 	return nodes
 }
 
-// word returns what a leader that was confirmed after a question tells the asker.
-func (sh *Sharing) word(args NewestArgs) quota.Word {
-	if sh == nil || !args.wantsRoster() {
+// shareFor returns the share of the query's sender. The leader has been confirmed
+// after the query came in.
+func (sh *Sharing) shareFor(args NewestArgs) quota.Word {
+	if sh == nil || !args.wantsTargets() {
 		return quota.Word{}
 	}
-	return sh.register.Word(sh.state.sharers(), args.sharers()...)
+	return sh.register.Word(sh.state.quotaSet(), args.quotaNodes()...)
 }
 
-// sharers returns the entries that share the bound, as far as this member has applied
-// the log.
-func (s *State) sharers() quota.Set {
+// quotaSet returns the entry nodes that share the budget, as applied by this
+// member.
+func (s *State) quotaSet() quota.Set {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.sharing.Clone()
 }
 
-// WithQuota has the client tell a holder of its part what the group's leader says of it.
-// It is called before Start.
+// WithQuota makes the client pass this node's share, as told by the leader, to a
+// holder. It is called before Start.
 func (c *Client) WithQuota(h *quota.Holder) { c.quota = h }
 
-// takeShare takes what an answer says of this node's part.
-func (c *Client) takeShare(w quota.Word, asked time.Time) {
+// applyShare applies this node's share from a reply.
+func (c *Client) applyShare(w quota.Word, requestedAt time.Time) {
 	if c.quota != nil {
-		c.quota.Take(w, asked)
+		c.quota.Take(w, requestedAt)
 	}
 }
 
-// passedWord is the leader's word to a relay on the entries that it answers.
-type passedWord struct {
-	word  quota.Word
-	asked time.Time
-	told  map[string]bool // entries that it holds for
+// relayedShare is the leader's reply about the shares of a relay's entry nodes.
+type relayedShare struct {
+	share       quota.Word
+	requestedAt time.Time
+	entries     map[string]bool // addresses the share applies to
 }
 
-// passWord keeps the word on the entries that a question named.
-func (r *Relay) passWord(args NewestArgs, w quota.Word, asked time.Time) {
+// cacheShare keeps the share for the entry nodes that a query named.
+func (r *Relay) cacheShare(args NewestArgs, w quota.Word, requestedAt time.Time) {
 	if w.Nodes == 0 {
 		return
 	}
-	told := make(map[string]bool, len(args.Relayed))
+	entries := make(map[string]bool, len(args.Relayed))
 	for _, entry := range args.Relayed {
-		told[entry] = true
+		entries[entry] = true
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.share = passedWord{word: w, asked: asked, told: told}
+	r.share = relayedShare{share: w, requestedAt: requestedAt, entries: entries}
 }
 
-// to returns the word for an entry whose question came in at a time.
-func (p *passedWord) to(entry string, came time.Time) quota.Word {
-	if !p.told[entry] || uptime.Since(p.asked) > quota.AskLimit {
+// shareFor returns the share for an entry node whose query was received at a
+// given time.
+func (p *relayedShare) shareFor(entry string, receivedAt time.Time) quota.Word {
+	if !p.entries[entry] || uptime.Since(p.requestedAt) > quota.AskLimit {
 		return quota.Word{}
 	}
-	w := p.word
-	w.Age = max(0, came.Sub(p.asked))
+	w := p.share
+	w.Age = max(0, receivedAt.Sub(p.requestedAt))
 	return w
 }
--- a/control/sharing_site_test.go
+++ b/control/sharing_site_test.go
@@ -11,39 +11,39 @@
 	"github.com/walnutramp/walnutramp/quota"
 )
 
-const sharedSpan = 11 * time.Second
+const shareSpan = 11 * time.Second
 
-// sharingEntry is an entry that holds a part of what the site's entries share.
+// sharingEntry is an entry node with a share of the budget.
 type sharingEntry struct {
 	*control.Client
-	part *quota.Holder
+	holder *quota.Holder
 }
 
-// share has the group part an amount among entries from now on.
-func (g *group) share(ctx context.Context) {
+// startSharing runs a Sharing on each member.
+func (g *group) startSharing(ctx context.Context) {
 	for _, m := range g.members {
-		go control.NewSharing(m.raft, m.server, sharedSpan).Run(ctx)
+		go control.NewSharing(m.raft, m.server, shareSpan).Run(ctx)
 	}
 }
 
 func (g *group) startEntry(i int) *sharingEntry {
-	e := &sharingEntry{part: quota.NewHolder(sharedSpan)}
+	e := &sharingEntry{holder: quota.NewHolder(shareSpan)}
 	e.Client = control.NewDocumentClient(peers{g, "client"}, g.names, func(uint64, []byte) error { return nil })
 	e.AsEntry(control.EntryPlace{Address: fmt.Sprint("e", i), DataHall: "hall"}, func([]control.EntryPlace, bool) {})
-	e.WithQuota(e.part)
+	e.WithQuota(e.holder)
 	e.Start()
 	return e
 }
 
-// Entries that wait for the first document have their parts with it. One that comes in
-// later or starts again has its own after a span, and the others have less by then. A
-// leader that is lost takes no part with it.
-func TestEntriesShareWhatTheGroupAgreesOn(t *testing.T) {
+// Entry nodes that wait for the first document get their shares with it. One that
+// joins or restarts gets its share after a span, when the others have reduced
+// theirs. A leader change loses no share.
+func TestEntriesShareCommittedQuota(t *testing.T) {
 	inGroup(t, 3, 5, func(t *testing.T, g *group) {
-		defer time.Sleep(5 * time.Second) // for questions that still wait
+		defer time.Sleep(5 * time.Second) // for pending queries
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		g.share(ctx)
+		g.startSharing(ctx)
 		var entries []*sharingEntry
 		defer func() {
 			for _, e := range entries {
@@ -53,33 +53,33 @@
 		for i := range 4 {
 			entries = append(entries, g.startEntry(i))
 		}
-		parts := func() (parts []float64) {
+		shares := func() (parts []float64) {
 			for _, e := range entries {
-				parts = append(parts, e.part.Part())
+				parts = append(parts, e.holder.Part())
 			}
 			return parts
 		}
 		time.Sleep(2 * time.Second)
-		require.Equal(t, []float64{0, 0, 0, 0}, parts(), "nothing is served yet")
+		require.Equal(t, []float64{0, 0, 0, 0}, shares(), "nothing is served yet")
 		g.submitAnywhere(document(1, "a"))
 		time.Sleep(2 * time.Second)
-		require.Equal(t, []float64{.25, .25, .25, .25}, parts())
+		require.Equal(t, []float64{.25, .25, .25, .25}, shares())
 
 		entries = append(entries, g.startEntry(4))
 		time.Sleep(5 * time.Second)
-		require.Equal(t, []float64{.2, .2, .2, .2, 0}, parts(), "it waits")
-		g.kill(g.leader())
+		require.Equal(t, []float64{.2, .2, .2, .2, 0}, shares(), "the new entry node waits")
+		g.crash(g.leader())
 		time.Sleep(3 * time.Second)
-		require.Equal(t, []float64{.2, .2, .2, .2, 0}, parts(), "another one leads")
+		require.Equal(t, []float64{.2, .2, .2, .2, 0}, shares(), "after a leader change")
 		time.Sleep(10 * time.Second)
-		require.Equal(t, []float64{.2, .2, .2, .2, .2}, parts())
+		require.Equal(t, []float64{.2, .2, .2, .2, .2}, shares())
 
 		entries[0].Close()
 		entries[0] = g.startEntry(0)
 		time.Sleep(5 * time.Second)
-		require.Equal(t, []float64{0, .2, .2, .2, .2}, parts(), "its process before may have used its part")
+		require.Equal(t, []float64{0, .2, .2, .2, .2}, shares(), "its previous process may have used its share")
 		entries[1].Close()
 		time.Sleep(60 * time.Second)
-		require.Equal(t, []float64{.25, 0, .25, .25, .25}, parts(), "one is gone for long")
+		require.Equal(t, []float64{.25, 0, .25, .25, .25}, shares(), "a removed entry node's share is redistributed")
 	})
 }
--- a/control/state.go
+++ b/control/state.go
@@ -1,6 +1,6 @@
-// Package control is what the control group agrees on: the bundle in force
-// with its history, and the ledger of requests that may not be repeated. It
-// serves both to every node, with a lease on the newest bundle.
+// Package control implements the control group: the replicated state that holds the
+// bundle in force, its history, and the ledger of requests that must not run twice.
+// It serves both to every node, with a lease on the newest bundle.
 package control
 
 import (
@@ -20,7 +20,7 @@
 
 // Command is one change of the state; exactly one of its pointers is set.
 type Command struct {
-	Now    int64   `msgpack:"n"` // the leader's clock in unix milliseconds
+	Now    int64   `msgpack:"n"` // the leader's clock in Unix milliseconds
 	Submit *Submit `msgpack:"s,omitempty"`
 	Claim  *Claim  `msgpack:"c,omitempty"`
 	Settle *Settle `msgpack:"t,omitempty"`
@@ -38,23 +38,22 @@
 	Sharers *quota.Set `msgpack:"q,omitempty"`
 }
 
-// Submit offers a bundle that was signed and checked.
+// Submit submits a validated document.
 type Submit struct {
 	Version  uint64
 	Digest   string
 	Operator string
-	Packed   []byte // the document, compressed
-	Doc      []byte // as it is, in logs that were written before it was compressed
+	Packed   []byte // the compressed document
+	Doc      []byte // the uncompressed document, in logs of older builds
 }
 
-// newSubmit returns the offer of a checked document. The log carries documents
-// compressed, one of 1,400 routes to a thirteenth, so that a large one passes
-// the leader's link to all members within a heartbeat.
+// newSubmit returns the submission of a validated document. It is compressed so
+// that the leader can replicate a large one within a heartbeat.
 func newSubmit(version uint64, operator string, doc []byte) Submit {
 	return Submit{Version: version, Digest: bundle.Digest(doc), Operator: operator, Packed: pack.Compress(doc)}
 }
 
-// document returns the document that is offered.
+// document returns the uncompressed document.
 func (c *Submit) document() ([]byte, error) {
 	if c.Packed == nil {
 		return c.Doc, nil
@@ -62,55 +61,54 @@
 	return pack.Expand(c.Packed, maxDocument)
 }
 
-// Result answers a command.
+// Result is the result of a command.
 type Result struct {
 	Code    walnutramp.Code
 	Version uint64 // of the bundle in force, or of the winner of a conflict
-	Winner  string // who submitted it
+	Winner  string // operator that submitted it
 	Digest  string
 	Entry   Entry // of the ledger
-	Mine    bool  // the claim is the asker's own
+	Mine    bool  // the requester holds the claim
 	Rollout rollout.Record
 }
 
-// Accepted is one bundle of the history.
+// Accepted is one accepted bundle.
 type Accepted struct {
 	Version  uint64
 	Digest   string
 	Operator string
-	At       int64 // unix milliseconds
+	At       int64 // Unix milliseconds
 }
 
-// Bounds of what is kept.
+// Bounds of the retained state.
 const (
-	keepHistory = 1000
-	keepDeltas  = 32
-	// RetainMillis is how long a settled entry of the ledger is kept. A copy
-	// of a request that is older may run again, so callers must not send one
-	// later than this.
-	RetainMillis = 24 * 60 * 60 * 1000
-	sweepEvery   = 1024 // commands
+	maxHistory = 1000
+	maxDeltas  = 32
+	// RetainMillis is how long a settled ledger entry is kept. A duplicate of a request
+	// may run again after that time, so callers must not retry later.
+	RetainMillis  = 24 * 60 * 60 * 1000
+	sweepInterval = 1024 // commands
 )
 
-// Rule says which offered version is accepted.
+// Rule determines which submitted versions are accepted.
 type Rule int
 
-// The rules.
+// Rules of acceptance.
 const (
-	// AcceptNext accepts only the version behind the newest.
+	// AcceptNext accepts only the version that follows the newest.
 	AcceptNext Rule = iota
-	// AcceptHighest accepts any version above the newest. One that is not
-	// above it is acknowledged and changes nothing.
+	// AcceptHighest accepts any version above the newest. Others are acknowledged
+	// without effect.
 	AcceptHighest
 )
 
-// StateOption sets how a State works; all members of a group need the same.
+// StateOption configures a State. All members of a group need the same options.
 type StateOption func(*State)
 
 // WithRule sets which versions are accepted.
 func WithRule(r Rule) StateOption { return func(s *State) { s.rule = r } }
 
-// State is the replicated state; it implements consensus.StateMachine.
+// State is the replicated state. It implements consensus.StateMachine.
 type State struct {
 	rule Rule
 
@@ -119,13 +117,13 @@
 	history []Accepted
 	deltas  []bundle.Delta // newest last
 	ledger  map[ledgerKey]Entry
-	changed chan struct{} // closed when a bundle is accepted, or the view of versions changes
+	changed chan struct{} // closed when a bundle is accepted or the view of versions changes
 
 	rollouts rollouts
 	fleet    []fleet.Record // by service
 	windows  windows
 	duty     duty.Record
-	sharing  quota.Set // entries that share the bound on repeats
+	sharing  quota.Set // entry nodes that share the retry budget
 }
 
 // NewState returns the state of a new group, before its first bundle.
@@ -145,8 +143,8 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if index%sweepEvery == 0 {
-		s.sweep(c.Now)
+	if index%sweepInterval == 0 {
+		s.purgeLedger(c.Now)
 	}
 	switch {
 	case c.Submit != nil:
@@ -156,7 +154,7 @@
 	case c.Settle != nil:
 		return encode(s.settle(c.Settle, c.Now))
 	case c.Fleet != nil:
-		return encode(s.orderFleet(c.Fleet))
+		return encode(s.applyFleetOrders(c.Fleet))
 	case c.Close != nil:
 		return encode(s.windows.close(c.Close))
 	case c.Sharers != nil:
@@ -168,26 +166,26 @@
 	return encode(s.applyRollout(index, &c))
 }
 
-// applyRollout applies a command about the versions of services.
+// applyRollout applies a command on the versions of services.
 func (s *State) applyRollout(index uint64, c *Command) Result {
-	before := s.rollouts.view.Revision
+	previous := s.rollouts.view.Revision
 	result := Result{Code: walnutramp.CodeInternal}
 	switch {
 	case c.Known != nil:
-		result = s.rollouts.know(c.Known)
+		result = s.rollouts.addKnown(c.Known)
 	case c.Rollout != nil:
-		result = s.rollouts.order(index, c.Rollout, c.Now)
+		result = s.rollouts.start(index, c.Rollout, c.Now)
 	case c.Step != nil:
-		result = s.rollouts.step(c.Step, c.Now)
+		result = s.rollouts.advance(c.Step, c.Now)
 	}
-	if s.rollouts.view.Revision != before {
-		s.wake()
+	if s.rollouts.view.Revision != previous {
+		s.notify()
 	}
 	return result
 }
 
-// wake tells those who wait for a change. The caller holds the mutex.
-func (s *State) wake() {
+// notify wakes the requests that wait for a change. The caller holds the mutex.
+func (s *State) notify() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
@@ -202,13 +200,13 @@
 
 func (s *State) newest() Accepted { return s.history[len(s.history)-1] }
 
-// submit accepts the next version. The same document again gets its first
-// answer, however late; another under a taken version learns who won.
+// submit accepts the next version. Resubmitting an accepted document returns its
+// original result; a different document with an accepted version is a conflict.
 func (s *State) submit(c *Submit, now int64) Result {
 	if s.rule == AcceptHighest {
 		return s.submitHighest(c, now)
 	}
-	if a, ok := s.accepted(c.Version); ok {
+	if a, ok := s.findAccepted(c.Version); ok {
 		r := Result{Code: walnutramp.CodeOK, Version: a.Version, Winner: a.Operator, Digest: a.Digest}
 		if a.Digest != c.Digest {
 			r.Code = walnutramp.CodeBundleConflict
@@ -222,7 +220,7 @@
 	return s.accept(c, now)
 }
 
-// submitHighest accepts a version above the newest.
+// submitHighest accepts any version above the newest.
 func (s *State) submitHighest(c *Submit, now int64) Result {
 	if last := s.newest(); c.Version <= last.Version {
 		return Result{Code: walnutramp.CodeOK, Version: last.Version, Winner: last.Operator, Digest: last.Digest}
@@ -234,24 +232,24 @@
 func (s *State) accept(c *Submit, now int64) Result {
 	doc, err := c.document()
 	if err != nil {
-		klog.ErrorS(err, "Document not accepted", "version", c.Version)
+		klog.ErrorS(err, "Failed to expand document", "version", c.Version)
 		return Result{Code: walnutramp.CodeBundleInvalid, Version: s.newest().Version}
 	}
 	s.deltas = append(s.deltas, bundle.NewDelta(s.newest().Version, s.doc, c.Version, doc))
 	s.doc = doc
-	s.forgetDeltas()
+	s.pruneDeltas()
 	s.history = append(s.history, Accepted{Version: c.Version, Digest: c.Digest, Operator: c.Operator, At: now})
-	s.history = s.history[max(0, len(s.history)-keepHistory):]
-	s.wake()
+	s.history = s.history[max(0, len(s.history)-maxHistory):]
+	s.notify()
 	return Result{Code: walnutramp.CodeOK, Version: c.Version, Winner: c.Operator, Digest: c.Digest}
 }
 
-// forgetDeltas forgets those that no node is sent: where the deltas from a
-// version on are longer than the document, it gets the document. They are in
-// each snapshot, too. The caller holds the mutex.
-func (s *State) forgetDeltas() {
+// pruneDeltas drops deltas that are never sent: if the deltas since a version are
+// longer than the document, the document is sent instead. This also keeps snapshots
+// small. The caller holds the mutex.
+func (s *State) pruneDeltas() {
 	size, first := 0, len(s.deltas)
-	for first > max(0, len(s.deltas)-keepDeltas) {
+	for first > max(0, len(s.deltas)-maxDeltas) {
 		size += s.deltas[first-1].Size()
 		if size > len(s.doc) {
 			break
@@ -261,7 +259,7 @@
 	s.deltas = slices.Clone(s.deltas[first:])
 }
 
-func (s *State) accepted(version uint64) (Accepted, bool) {
+func (s *State) findAccepted(version uint64) (Accepted, bool) {
 	first := s.history[0].Version
 	if version < first || version > s.newest().Version {
 		return Accepted{}, false
@@ -269,7 +267,7 @@
 	return s.history[version-first], true
 }
 
-// stateImage is the state as a snapshot holds it.
+// stateImage is the encoding of the state in a snapshot.
 type stateImage struct {
 	Doc     []byte
 	History []Accepted
@@ -279,7 +277,7 @@
 
 	Versions rollout.View
 	Fleet    []fleet.Record
-	Windows  *windows // nil where metering has not begun
+	Windows  *windows // nil before metering has begun
 	Duty     duty.Record
 	Sharing  quota.Set
 }
@@ -323,12 +321,13 @@
 	}
 	s.duty = img.Duty
 	s.sharing = img.Sharing
-	s.wake()
+	s.notify()
 	return nil
 }
 
-// sizes returns how many bytes the newest document has, and what last changed it.
-func (s *State) sizes() (doc, change int) {
+// documentSizes returns the sizes in bytes of the newest document and of the newest
+// delta.
+func (s *State) documentSizes() (doc, change int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.deltas) > 0 {
@@ -337,9 +336,9 @@
 	return len(s.doc), change
 }
 
-// since returns what leads from a version to the newest: deltas where they
-// are kept, else the whole document.
-func (s *State) since(version uint64) (newest Accepted, deltas []bundle.Delta, doc []byte, changed <-chan struct{}) {
+// updateSince returns what turns a version into the newest: deltas if they are
+// kept, else the whole document. changed is closed on the next change.
+func (s *State) updateSince(version uint64) (newest Accepted, deltas []bundle.Delta, doc []byte, changed <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	newest = s.newest()
@@ -352,9 +351,8 @@
 	return newest, nil, s.doc, s.changed
 }
 
-// deltasFrom returns the deltas that lead from a version to the newest, or nil
-// where they are not kept or are no shorter than the document. The caller holds
-// the mutex.
+// deltasFrom returns the deltas from a version to the newest, or nil if they are
+// not kept or not shorter than the document. The caller holds the mutex.
 func (s *State) deltasFrom(version uint64) []bundle.Delta {
 	if version == 0 {
 		return nil
@@ -379,15 +377,14 @@
 	return append([]Accepted(nil), s.history...)
 }
 
-// inForce reports whether there has been a document.
-func (s *State) inForce() bool {
+// hasDocument reports whether any document has been accepted.
+func (s *State) hasDocument() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.newest().Version > 0
 }
 
-// newestDocument returns the newest document and its version, 0 before the
-// first.
+// newestDocument returns the newest document and its version, 0 before the first.
 func (s *State) newestDocument() (version uint64, doc []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/control/state_test.go
+++ b/control/state_test.go
@@ -11,7 +11,7 @@
 	"github.com/walnutramp/walnutramp/bundle"
 )
 
-// documentOf returns a document of one line whose routes change with its
+// documentOf returns a document of one line, of which one route depends on the
 // version.
 func documentOf(version uint64) []byte {
 	var routes []string
@@ -33,9 +33,8 @@
 	s.submit(&sub, 0)
 }
 
-// A node that asks now and then gets to the newest document whatever version
-// it holds, by deltas where it fell behind by few versions.
-func TestNodeFollowsUnevenVersionsByDeltas(t *testing.T) {
+// A node that polls irregularly must get to the newest document, mostly by deltas.
+func TestClientFollowsVersionsByDeltas(t *testing.T) {
 	rng := rand.New(rand.NewPCG(7, 9))
 	s := NewState(WithRule(AcceptHighest))
 	var held uint64
@@ -45,11 +44,11 @@
 	for range 400 {
 		version += 1 + rng.Uint64N(40)
 		accept(s, version)
-		accept(s, version-1) // an older one changes nothing
+		accept(s, version-1) // an older version changes nothing
 		if rng.IntN(4) > 0 {
 			continue
 		}
-		newest, deltas, whole, _ := s.since(held)
+		newest, deltas, whole, _ := s.updateSince(held)
 		if deltas != nil {
 			byDeltas++
 		}
@@ -62,35 +61,34 @@
 	require.Greater(t, byDeltas, 20)
 }
 
-func TestWholeDocumentWhereDeltasAreNoShorter(t *testing.T) {
+func TestWholeDocumentIfDeltasAreNotShorter(t *testing.T) {
 	s := NewState(WithRule(AcceptHighest))
 	accept(s, 1)
 	for version := uint64(2); version < 90; version++ {
 		accept(s, version)
 	}
-	_, deltas, whole, _ := s.since(1)
+	_, deltas, whole, _ := s.updateSince(1)
 	require.Nil(t, deltas)
 	require.Equal(t, string(documentOf(89)), string(whole))
-	_, deltas, _, _ = s.since(88)
+	_, deltas, _, _ = s.updateSince(88)
 	require.Len(t, deltas, 1)
-	_, _, whole, _ = s.since(0)
-	require.NotNil(t, whole, "a node that holds nothing gets the whole")
-	_, _, whole, _ = s.since(40000)
+	_, _, whole, _ = s.updateSince(0)
+	require.NotNil(t, whole, "a node without a document gets the whole one")
+	_, _, whole, _ = s.updateSince(40000)
 	require.Nil(t, whole)
 }
 
-func TestDeltasOutliveASnapshot(t *testing.T) {
+func TestDeltasSurviveSnapshot(t *testing.T) {
 	s, restored := NewState(WithRule(AcceptHighest)), NewState(WithRule(AcceptHighest))
 	accept(s, 5)
 	accept(s, 9)
 	require.NoError(t, restored.Restore(s.Snapshot()))
-	_, deltas, _, _ := restored.since(5)
+	_, deltas, _, _ := restored.updateSince(5)
 	require.Len(t, deltas, 1)
 }
 
-// A member that is started on the disk of an older version, whose log holds
-// documents as they are, has the same state as one whose log was compressed.
-func TestLogOfDocumentsThatAreNotCompressedIsRead(t *testing.T) {
+// Logs of older builds with uncompressed documents must lead to the same state.
+func TestUncompressedLogIsRead(t *testing.T) {
 	older, newer := NewState(WithRule(AcceptHighest)), NewState(WithRule(AcceptHighest))
 	for version := uint64(1); version < 6; version++ {
 		doc := documentOf(version)
@@ -101,19 +99,19 @@
 	require.Equal(t, newer.Snapshot(), older.Snapshot())
 }
 
-func TestDocumentThatCannotBeExpandedIsNotAccepted(t *testing.T) {
+func TestCorruptDocumentIsRejected(t *testing.T) {
 	s := NewState(WithRule(AcceptHighest))
 	accept(s, 1)
 	sub := Submit{Version: 2, Digest: "d", Operator: "operator", Packed: []byte("no compressed text")}
 	require.Equal(t, walnutramp.CodeBundleInvalid, s.submit(&sub, 0).Code)
-	newest, _, doc, _ := s.since(0)
+	newest, _, doc, _ := s.updateSince(0)
 	require.Equal(t, uint64(1), newest.Version)
 	require.Equal(t, string(documentOf(1)), string(doc))
 }
 
-// Deltas that add up to more than the document are sent to nobody, so they are
-// not kept, nor in snapshots.
-func TestLongDeltasAreForgotten(t *testing.T) {
+// Deltas that are longer than the document are never sent, so they must not be
+// retained in memory or in snapshots.
+func TestLongDeltasArePruned(t *testing.T) {
 	s := NewState(WithRule(AcceptHighest))
 	for version := uint64(1); version < 20; version++ {
 		submitRandom(s, version)
--- a/control/target_test.go
+++ b/control/target_test.go
@@ -7,25 +7,24 @@
 	"github.com/walnutramp/walnutramp"
 )
 
-// A member that is cut off in silence costs a time-out each time it is asked,
-// so it is not asked twice in a row, even if another still takes it for the
-// leader.
-func TestWhoWasAskedInVainIsNotAskedNext(t *testing.T) {
+// A partitioned member costs a timeout per request, so it must not be asked twice
+// in a row, even if another member still names it as the leader.
+func TestFailedNodeIsNotAskedNext(t *testing.T) {
 	c := NewDocumentClient(nil, []walnutramp.NodeName{"a", "b", "c"}, nil)
 	defer c.Close()
 	for range 50 {
-		silent := c.target()
-		c.forgetLeader("")
-		other := c.target()
-		require.NotEqual(t, silent, other)
-		c.forgetLeader(silent) // it has not heard of the new leader yet
-		require.NotEqual(t, silent, c.leader)
-		require.NotEqual(t, other, c.target())
-		c.forgetLeader("")
+		failed := c.target()
+		c.dropLeader("")
+		next := c.target()
+		require.NotEqual(t, failed, next)
+		c.dropLeader(failed) // from a member that has not learned of the new leader
+		require.NotEqual(t, failed, c.leader)
+		require.NotEqual(t, next, c.target())
+		c.dropLeader("")
 	}
 	alone := NewDocumentClient(nil, []walnutramp.NodeName{"a"}, nil)
 	defer alone.Close()
 	alone.target()
-	alone.forgetLeader("")
+	alone.dropLeader("")
 	require.Equal(t, walnutramp.NodeName("a"), alone.target())
 }
--- a/control/update.go
+++ b/control/update.go
@@ -9,14 +9,14 @@
 	"github.com/walnutramp/walnutramp/bundle"
 )
 
-// maxDocument bounds a document, and what leads to one, in bytes: four times
-// what operators may hand over.
+// maxDocument is the maximum size in bytes of a document or an update: four times
+// what operators may submit.
 const maxDocument = 64 << 20
 
-// update leads from the document that a node holds to a newer one.
+// update turns the document that a node holds into a newer one.
 type update struct {
 	Deltas []bundle.Delta // in order
-	Doc    []byte         // the whole, where there are no deltas
+	Doc    []byte         // the whole document, if there are no deltas
 }
 
 // apply returns the newer document.
@@ -33,63 +33,64 @@
 	return doc, nil
 }
 
-// decodeUpdate reads an update as updates.since encodes it.
+// decodeUpdate decodes an update that updates.updateFrom encoded.
 func decodeUpdate(text []byte) (update, error) {
 	var u update
 	err := msgpack.Unmarshal(text, &u)
-	return u, errors.Wrap(err, "update")
+	return u, errors.Wrap(err, "decode update")
 }
 
-// packedUpdate is an update as it is sent.
-type packedUpdate struct {
-	packed
+// compressedUpdate is an update as it is sent.
+type compressedUpdate struct {
+	compressed
 	from, to uint64 // versions
 }
 
-// keepUpdates is how many packed updates are kept. Nodes read a large one for
-// a while, also when a newer version has come: a few versions times the few
+// maxCachedUpdates is how many compressed updates are cached. Nodes may still read
+// a large update after newer versions were accepted: a few versions times the few
 // that nodes hold.
-const keepUpdates = 16
+const maxCachedUpdates = 16
 
-// updates packs the updates to the newest document, each once for all nodes
-// that hold the same version.
+// updates compresses the updates to the newest document, once for all nodes that
+// hold the same version.
 type updates struct {
 	state *State
 
-	mu   sync.Mutex
-	kept []packedUpdate // newest last
+	mu    sync.Mutex
+	cache []compressedUpdate // newest last
 }
 
-// since returns the newest version and what leads to it from another; nothing
-// where that one is not older.
-func (u *updates) since(version uint64) (Accepted, packedUpdate) {
+// updateFrom returns the newest version and the update from another version to it,
+// empty if that is not older.
+func (u *updates) updateFrom(version uint64) (Accepted, compressedUpdate) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	newest, deltas, doc, _ := u.state.since(version)
+	newest, deltas, doc, _ := u.state.updateSince(version)
 	if version >= newest.Version {
-		return newest, packedUpdate{}
+		return newest, compressedUpdate{}
 	}
-	at := slices.IndexFunc(u.kept, func(p packedUpdate) bool { return p.from == version && p.to == newest.Version })
-	if at >= 0 {
-		return newest, u.kept[at]
+	index := slices.IndexFunc(u.cache, func(p compressedUpdate) bool { return p.from == version && p.to == newest.Version })
+	if index >= 0 {
+		return newest, u.cache[index]
 	}
-	p := packedUpdate{packed: newPacked(encode(update{Deltas: deltas, Doc: doc})), from: version, to: newest.Version}
-	u.kept = append(u.kept, p)
-	u.kept = u.kept[max(0, len(u.kept)-keepUpdates):]
+	p := compressedUpdate{compressed: compress(encode(update{Deltas: deltas, Doc: doc})), from: version, to: newest.Version}
+	u.cache = append(u.cache, p)
+	u.cache = u.cache[max(0, len(u.cache)-maxCachedUpdates):]
 	return newest, p
 }
 
-// find returns the update of a hash that leads on from a version.
-func (u *updates) find(from, hash uint64) (packed, bool) {
-	_, p := u.since(from)
+// find returns the update from a version that has a hash. It may lead to a version
+// that is no longer the newest.
+func (u *updates) find(from, hash uint64) (compressed, bool) {
+	_, p := u.updateFrom(from)
 	if p.hash == hash && p.bytes != nil {
-		return p.packed, true
+		return p.compressed, true
 	}
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	at := slices.IndexFunc(u.kept, func(p packedUpdate) bool { return p.hash == hash })
-	if at < 0 {
-		return packed{}, false
+	index := slices.IndexFunc(u.cache, func(p compressedUpdate) bool { return p.hash == hash })
+	if index < 0 {
+		return compressed{}, false
 	}
-	return u.kept[at].packed, true
+	return u.cache[index].compressed, true
 }
--- a/control/usage_controller.go
+++ b/control/usage_controller.go
@@ -18,39 +18,37 @@
 	"k8s.io/klog/v2"
 )
 
-// Times of metering on the leader.
 const (
-	// closeDelay is how long after its end a window is closed at the earliest:
-	// what a node counts is here half a second later, and a second if a call
-	// on the way gets no answer.
+	// closeDelay is the minimum time between the end of a window and its close.
+	// Counts take half a second to arrive, and a second if one call on the way
+	// fails.
 	closeDelay = 1500 * time.Millisecond
-	// silenceShare is the part of the time until the counts are due for which
-	// nodes that have fallen silent are waited for: most that were frozen or
-	// cut off are back by then. The rest is for the call, with repeats and a
-	// change of leader, which takes five of ten seconds.
-	silenceShare = 0.4
-	// retellTime is in which members and nodes tell a new leader everything
-	// again.
-	retellTime = 800 * time.Millisecond
-	closeEvery = 100 * time.Millisecond // between two looks at the time
-	// longWindow is from which length of windows on a note that one was told goes
-	// into the log by itself: of shorter ones it goes with the next window's
-	// counts. A new leader repeats what is not noted.
+	// silentWaitShare is the share of the time until the counts are due for which
+	// a window waits for silent nodes. The rest is for the call, with retries and a
+	// leader change.
+	silentWaitShare = 0.4
+	// usageResyncTime is how long members and nodes take to resend everything to
+	// a new leader.
+	usageResyncTime = 800 * time.Millisecond
+	closeInterval   = 100 * time.Millisecond
+	// longWindow is the window length above which a successful report is
+	// committed at once. For shorter windows it is committed with the close of the
+	// next window. A new leader repeats reports that are not committed.
 	longWindow = 10 * time.Second
 
-	// callEvery is between two looks for a window to tell; the holder of the
-	// duty paces what is sent.
-	callEvery = 100 * time.Millisecond
-	// mostRejected is how often the platform may reject a window before it is
-	// given up for those behind it.
-	mostRejected = 3
+	// usageCallInterval is the time between checks for a window to report; the duty
+	// holder limits the call rate.
+	usageCallInterval = 100 * time.Millisecond
+	// maxRejections is how often the platform may reject a window before it is
+	// dropped in favor of later ones.
+	maxRejections = 3
 )
 
-// usageSubject is what the calls about usage are about, all windows together.
+// usageSubject is the subject of the calls for all windows.
 const usageSubject duty.Subject = "usage"
 
-// UsageController closes windows of metering on the leader, and brings the
-// counts that the group has agreed on to the platform, in order.
+// UsageController closes metering windows on the leader and reports the committed
+// counts to the platform in order.
 type UsageController struct {
 	member   *consensus.Member
 	server   *Server
@@ -60,38 +58,37 @@
 	reporter metering.Reporter
 	cfg      metering.Config
 
-	mu    sync.Mutex
-	told  metering.Window // by this member
-	stats UsageStats
+	mu       sync.Mutex
+	reported metering.Window // newest that this member reported or dropped
+	stats    UsageStats
 }
 
-// UsageStats are a controller's figures.
+// UsageStats are the counters of a UsageController.
 type UsageStats struct {
-	Closed   uint64 // windows that this member has closed
-	Told     uint64 // windows that this member has told the platform of
-	GivenUp  uint64 // windows that the platform rejected again and again
-	Failures uint64 // calls that were not known to be carried out
-	Untold   int    // windows that the platform was not told of, as far as is noted
+	Closed   uint64 // windows closed by this member
+	Told     uint64 // windows reported to the platform by this member
+	GivenUp  uint64 // windows dropped after maxRejections
+	Failures uint64 // calls that failed or had no clear outcome
+	Untold   int    // closed windows not yet recorded as reported
 	Oldest   metering.Window
 }
 
-// NewUsageController returns a controller for a member's server, which needs
-// its timekeeper and its reports before.
+// NewUsageController returns a UsageController for a member's server, whose
+// Timekeeper and Reports must exist already.
 func NewUsageController(m *consensus.Member, s *Server, caller duty.Caller, reporter metering.Reporter, cfg metering.Config) *UsageController {
 	return &UsageController{
 		member: m, server: s, state: s.state, clock: s.timekeeper.Clock(), caller: caller, reporter: reporter, cfg: cfg,
 	}
 }
 
-// Run closes and tells windows while this member leads, until ctx ends.
+// Run closes and reports windows while this member leads, until ctx is done.
 func (c *UsageController) Run(ctx context.Context) {
 	var tasks sync.WaitGroup
-	tasks.Go(func() { c.closeAlways(ctx) })
-	tasks.Go(func() { c.tellAlways(ctx) })
+	tasks.Go(func() { c.closeLoop(ctx) })
+	tasks.Go(func() { c.reportLoop(ctx) })
 	tasks.Wait()
 }
 
-// Stats returns the controller's figures.
 func (c *UsageController) Stats() UsageStats {
 	w := c.state.usageWindows()
 	c.mu.Lock()
@@ -104,8 +101,8 @@
 	return stats
 }
 
-func (c *UsageController) closeAlways(ctx context.Context) {
-	for pause.For(ctx, closeEvery) {
+func (c *UsageController) closeLoop(ctx context.Context) {
+	for pause.For(ctx, closeInterval) {
 		for c.member.Leads() && c.closeNext(ctx) {
 		}
 	}
@@ -114,132 +111,132 @@
 // closeNext closes the next window if it is time; true if another may be due.
 func (c *UsageController) closeNext(ctx context.Context) bool {
 	now, _, known := c.clock.Now()
-	if !known || !c.state.inForce() {
+	if !known || !c.state.hasDocument() {
 		return false
 	}
 	w := c.state.usageWindows()
 	if w.Next == 0 {
-		return c.begin(ctx, c.cfg.Window(now))
+		return c.startMetering(ctx, c.cfg.Window(now))
 	}
 	ago := now.Sub(c.cfg.End(w.Next))
 	if ago < closeDelay {
-		return c.noteTold(ctx, &w)
+		return c.recordReported(ctx, &w)
 	}
-	standing := c.server.reports.standing(w.Next, ago)
-	if !c.complete(standing, ago) {
+	status := c.server.reports.windowStatus(w.Next, ago)
+	if !c.readyToClose(status, ago) {
 		return false
 	}
-	if !c.agree(ctx, CloseWindow{Window: w.Next, Counts: standing.Counts, Told: c.toldHere()}) {
+	if !c.commit(ctx, CloseWindow{Window: w.Next, Counts: status.Counts, Told: c.lastReported()}) {
 		return false
 	}
-	c.noteClosed()
-	klog.InfoS("Window closed", "window", w.Next, "late_ms", ago.Milliseconds(), "requests", standing.Total, "accounts", len(standing.Counts),
-		"rows", standing.Rows, "nodes", standing.Nodes, "silent", standing.Silent, "lastWord_ms", lastWord(standing.Sum))
+	c.countClosed()
+	klog.InfoS("Window closed", "window", w.Next, "late_ms", ago.Milliseconds(), "requests", status.Total, "accounts", len(status.Counts),
+		"rows", status.Rows, "nodes", status.Nodes, "silent", status.Silent, "newestReport_ms", newestReportAge(status.Sum))
 	return true
 }
 
-// complete reports whether a window that ended a while ago is closed with what
-// is known here.
-func (c *UsageController) complete(s standing, ago time.Duration) bool {
-	waited := ago >= time.Duration(silenceShare*float64(c.cfg.Due))
-	return s.Led >= retellTime && (s.Silent == 0 || waited)
+// readyToClose reports whether a window that ended a given time ago can be closed
+// with the counts at hand.
+func (c *UsageController) readyToClose(status windowStatus, ago time.Duration) bool {
+	waited := ago >= time.Duration(silentWaitShare*float64(c.cfg.Due))
+	return status.Led >= usageResyncTime && (status.Silent == 0 || waited)
 }
 
-// lastWord is how old the newest word of a window's nodes is; -1 if there was
-// none.
-func lastWord(sum metering.Sum) int64 {
+// newestReportAge returns the age of the newest report for a window in
+// milliseconds; -1 if there is none.
+func newestReportAge(sum metering.Sum) int64 {
 	if sum.Newest.IsZero() {
 		return -1
 	}
 	return time.Since(sum.Newest).Milliseconds()
 }
 
-// begin has metering begin with a window.
-func (c *UsageController) begin(ctx context.Context, first metering.Window) bool {
-	ok := c.agree(ctx, CloseWindow{Window: first - 1, Begins: true})
-	klog.InfoS("Metering begins", "window", first, "agreed", ok)
+// startMetering commits the first window of metering.
+func (c *UsageController) startMetering(ctx context.Context, first metering.Window) bool {
+	ok := c.commit(ctx, CloseWindow{Window: first - 1, Begins: true})
+	klog.InfoS("Metering started", "window", first, "committed", ok)
 	return ok
 }
 
-// noteTold notes in the log what this member told the platform, where that
-// has waited for the next window for long.
-func (c *UsageController) noteTold(ctx context.Context, w *windows) bool {
-	told := c.toldHere()
-	if told <= w.Told || c.cfg.Span <= longWindow {
+// recordReported commits the newest reported window if windows are long, since
+// the next close would be too late.
+func (c *UsageController) recordReported(ctx context.Context, w *windows) bool {
+	reported := c.lastReported()
+	if reported <= w.Told || c.cfg.Span <= longWindow {
 		return false
 	}
-	return c.agree(ctx, CloseWindow{Told: told})
+	return c.commit(ctx, CloseWindow{Told: reported})
 }
 
-func (c *UsageController) toldHere() metering.Window {
+func (c *UsageController) lastReported() metering.Window {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.told
+	return c.reported
 }
 
-func (c *UsageController) noteClosed() {
+func (c *UsageController) countClosed() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.stats.Closed++
 }
 
-// agree has the group agree on a command about windows.
-func (c *UsageController) agree(ctx context.Context, command CloseWindow) bool {
-	_, ok := c.server.agree(ctx, Command{Close: &command})
+// commit proposes a command about windows and waits until it is committed.
+func (c *UsageController) commit(ctx context.Context, command CloseWindow) bool {
+	_, ok := c.server.proposeOwn(ctx, Command{Close: &command})
 	return ok
 }
 
-// tellAlways tells the platform of closed windows, in order. A window is told
-// again until the platform has it; the counts are those in the log.
-func (c *UsageController) tellAlways(ctx context.Context) {
+// reportLoop reports closed windows to the platform in order. It repeats a window,
+// with the committed counts, until the platform has it.
+func (c *UsageController) reportLoop(ctx context.Context) {
 	var rejected rejections
-	for pause.For(ctx, callEvery) {
-		next, ok := c.nextUntold()
+	for pause.For(ctx, usageCallInterval) {
+		next, ok := c.nextUnreported()
 		if !ok || !c.caller.Held() {
 			continue
 		}
-		outcome := c.tell(ctx, next)
+		outcome := c.report(ctx, next)
 		switch {
 		case outcome == duty.Done:
-			c.noteEnded(next.Window, true)
-		case outcome == duty.Rejected && rejected.of(next.Window) >= mostRejected:
-			klog.InfoS("Window given up", "window", next.Window, "why", "the platform rejects it")
-			c.noteEnded(next.Window, false)
+			c.finishWindow(next.Window, true)
+		case outcome == duty.Rejected && rejected.add(next.Window) >= maxRejections:
+			klog.InfoS("Window given up", "window", next.Window, "why", "rejected by the platform")
+			c.finishWindow(next.Window, false)
 		default:
-			c.noteFailure(outcome)
+			c.countFailure(outcome)
 		}
 	}
 }
 
-// rejections count how often the platform has rejected a window.
+// rejections counts the rejections of one window.
 type rejections struct {
 	window metering.Window
-	times  int
+	count  int
 }
 
-// of counts one more rejection of a window and returns how many there were.
-func (r *rejections) of(w metering.Window) int {
+// add counts a rejection of a window and returns their number so far.
+func (r *rejections) add(w metering.Window) int {
 	if r.window != w {
 		*r = rejections{window: w}
 	}
-	r.times++
-	return r.times
+	r.count++
+	return r.count
 }
 
-// noteEnded notes that a window is not told again by this member: the platform
-// has it, or it is given up.
-func (c *UsageController) noteEnded(w metering.Window, told bool) {
+// finishWindow records that this member is done with a window: it was reported, or
+// it is dropped.
+func (c *UsageController) finishWindow(w metering.Window, reported bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.told = w
-	if told {
+	c.reported = w
+	if reported {
 		c.stats.Told++
 	} else {
 		c.stats.GivenUp++
 	}
 }
 
-func (c *UsageController) noteFailure(o duty.Outcome) {
+func (c *UsageController) countFailure(o duty.Outcome) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if o != duty.NotSent {
@@ -247,25 +244,25 @@
 	}
 }
 
-// nextUntold returns the oldest window that this member has not told of, as
-// far as the log notes and it remembers.
-func (c *UsageController) nextUntold() (ClosedWindow, bool) {
-	told := c.toldHere()
+// nextUnreported returns the oldest closed window that neither the log nor this
+// member has recorded as reported.
+func (c *UsageController) nextUnreported() (ClosedWindow, bool) {
+	reported := c.lastReported()
 	for _, w := range c.state.usageWindows().Untold {
-		if w.Window > told {
+		if w.Window > reported {
 			return w, true
 		}
 	}
 	return ClosedWindow{}, false
 }
 
-// tell makes the call about a window once.
-func (c *UsageController) tell(ctx context.Context, w ClosedWindow) duty.Outcome {
+// report makes one attempt to report a window.
+func (c *UsageController) report(ctx context.Context, w ClosedWindow) duty.Outcome {
 	began := time.Now()
 	var token duty.Token
 	outcome := c.caller.Do(ctx, duty.Call{
 		Subject: usageSubject,
-		Content: content(w),
+		Content: callContent(w),
 		Send: func(ctx context.Context, p duty.Permission) duty.Outcome {
 			token = p.Token
 			return c.reporter.ReportUsage(ctx, p, w.Window, w.Counts)
@@ -277,8 +274,9 @@
 	return outcome
 }
 
-// content tells windows' calls apart.
-func content(w ClosedWindow) string {
+// callContent returns the call's content, which identifies the window and a digest
+// of its counts.
+func callContent(w ClosedWindow) string {
 	digest := xxhash.New()
 	for _, account := range slices.Sorted(maps.Keys(w.Counts)) {
 		writeRow(digest, account, w.Counts[account])
@@ -286,7 +284,7 @@
 	return strconv.FormatUint(uint64(w.Window), 10) + "/" + strconv.FormatUint(digest.Sum64(), 16)
 }
 
-// writeRow hashes a row; hashes take every write.
+// writeRow adds a row to a hash, whose Write never fails.
 func writeRow(h hash.Hash, account string, count uint64) {
 	h.Write(strconv.AppendQuote(nil, account))
 	h.Write(strconv.AppendUint(nil, count, 10))
--- a/control/windows.go
+++ b/control/windows.go
@@ -8,46 +8,42 @@
 	"k8s.io/klog/v2"
 )
 
-// mostUntold bounds the windows that are kept until the platform has been told
-// of them: more than an hour in which it can't be reached, with windows of
-// five seconds.
-const mostUntold = 1000
+// maxUnreported bounds the closed windows kept until the platform has them: more
+// than an hour of windows of five seconds.
+const maxUnreported = 1000
 
-// CloseWindow closes a window of metering, or notes of which ones the platform
-// has been told. Both go into one command, as the second can wait for the next
-// window.
+// CloseWindow closes a metering window, records which windows the platform has, or
+// both: the record can wait for the next close.
 type CloseWindow struct {
-	// Window is closed with the counts, if it is the next one; 0 for none.
+	// Window is closed with Counts if it is the next one; 0 for none.
 	Window metering.Window
 	Counts metering.Counts
-	// Begins says that metering begins after the window, of which nobody is
-	// told.
+	// Begins says that metering starts after Window, which is not reported itself.
 	Begins bool
-	// Told is the newest window of which the platform has been told.
+	// Told is the newest window that the platform has.
 	Told metering.Window
 }
 
-// ClosedWindow is a window with the counts that are told, whoever tells them.
+// ClosedWindow is a closed window with its committed counts.
 type ClosedWindow struct {
 	Window metering.Window
 	Counts metering.Counts
 }
 
-// windows are the windows of metering that the control group has agreed on.
+// windows is the replicated state of metering windows.
 type windows struct {
-	Next   metering.Window // the first that is not closed; 0 before metering begins
-	Told   metering.Window // newest of which the platform has been told
+	Next   metering.Window // first open window; 0 before metering starts
+	Told   metering.Window // newest that the platform has or that was dropped
 	Untold []ClosedWindow  // closed, oldest first
 }
 
-// newest returns the newest window that is closed; 0 before metering begins.
+// newest returns the newest closed window; 0 before metering starts.
 func (w *windows) newest() metering.Window { return max(w.Next, 1) - 1 }
 
-// close applies a command. What an earlier leader closed already stays as it
-// was.
+// close applies a command. A window that is closed already does not change.
 func (w *windows) close(c *CloseWindow) Result {
 	if c.Told < w.Next {
-		w.forget(c.Told)
+		w.markReported(c.Told)
 	}
 	switch {
 	case c.Begins && w.Next == 0:
@@ -56,22 +52,22 @@
 		w.Next++
 		w.Untold = append(w.Untold, ClosedWindow{Window: c.Window, Counts: c.Counts})
 	}
-	if len(w.Untold) > mostUntold {
+	if len(w.Untold) > maxUnreported {
 		oldest := w.Untold[0].Window
-		klog.InfoS("Window given up", "window", oldest, "why", "too many wait for the platform")
-		w.forget(oldest)
+		klog.InfoS("Window given up", "window", oldest, "why", "too many unreported windows")
+		w.markReported(oldest)
 	}
 	return Result{Code: walnutramp.CodeOK}
 }
 
-// forget drops the windows of which the platform has been told. No other
-// counts can ever be told of them: only the next window can be closed.
-func (w *windows) forget(told metering.Window) {
+// markReported drops the windows up to told. They can't be reported with other
+// counts later, since only the next window can be closed.
+func (w *windows) markReported(told metering.Window) {
 	w.Told = max(w.Told, told)
 	w.Untold = slices.DeleteFunc(w.Untold, func(c ClosedWindow) bool { return c.Window <= w.Told })
 }
 
-// image returns a copy for a snapshot; nil before metering begins.
+// image returns a copy for a snapshot; nil before metering starts.
 func (w *windows) image() *windows {
 	if w.Next == 0 {
 		return nil
@@ -79,7 +75,7 @@
 	return &windows{Next: w.Next, Told: w.Told, Untold: slices.Clone(w.Untold)}
 }
 
-// usageWindows returns the windows of metering.
+// usageWindows returns a copy of the metering windows.
 func (s *State) usageWindows() windows {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -88,8 +84,7 @@
 	return w
 }
 
-// newestClosed returns the newest window that is closed; 0 before metering
-// begins.
+// newestClosed returns the newest closed window; 0 before metering starts.
 func (s *State) newestClosed() metering.Window {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/control/windows_test.go
+++ b/control/windows_test.go
@@ -8,8 +8,8 @@
 	"github.com/walnutramp/walnutramp/metering"
 )
 
-// applyClose applies commands as the log hands them over.
-func applyClose(s *State, commands ...CloseWindow) {
+// applyCloseWindows applies encoded commands.
+func applyCloseWindows(s *State, commands ...CloseWindow) {
 	for i, c := range commands {
 		text, err := msgpack.Marshal(Command{Close: &c})
 		if err != nil {
@@ -21,38 +21,38 @@
 
 func counts(n uint64) metering.Counts { return metering.Counts{"a": n} }
 
-func TestWindowIsClosedOnce(t *testing.T) {
+func TestWindowClosesOnce(t *testing.T) {
 	s := NewState()
-	applyClose(s, CloseWindow{Window: 7, Counts: counts(9)})
-	require.Empty(t, s.usageWindows().Untold, "metering has not begun")
+	applyCloseWindows(s, CloseWindow{Window: 7, Counts: counts(9)})
+	require.Empty(t, s.usageWindows().Untold, "metering has not started")
 	require.Zero(t, s.newestClosed())
-	applyClose(s,
+	applyCloseWindows(s,
 		CloseWindow{Window: 6, Begins: true},
-		CloseWindow{Window: 90, Begins: true}, // of a leader that did not know of the first
+		CloseWindow{Window: 90, Begins: true}, // from a leader that missed the first
 		CloseWindow{Window: 8, Counts: counts(9)},
 		CloseWindow{Window: 7, Counts: counts(1)},
-		CloseWindow{Window: 7, Counts: counts(2)}, // of a leader that was late
+		CloseWindow{Window: 7, Counts: counts(2)}, // from a late leader
 		CloseWindow{Window: 8})
 	want := windows{Next: 9, Told: 6, Untold: []ClosedWindow{{7, counts(1)}, {8, nil}}}
 	require.Equal(t, want, s.usageWindows())
 
 	restored := NewState()
 	require.NoError(t, restored.Restore(s.Snapshot()))
-	require.Equal(t, want, restored.usageWindows(), "snapshots hold the windows")
+	require.Equal(t, want, restored.usageWindows(), "restored from a snapshot")
 
-	applyClose(s, CloseWindow{Window: 9, Counts: counts(3), Told: 7}, CloseWindow{Told: 6}, CloseWindow{Told: 70})
+	applyCloseWindows(s, CloseWindow{Window: 9, Counts: counts(3), Told: 7}, CloseWindow{Told: 6}, CloseWindow{Told: 70})
 	require.Equal(t, windows{Next: 10, Told: 7, Untold: []ClosedWindow{{8, nil}, {9, counts(3)}}}, s.usageWindows())
 	require.EqualValues(t, 9, s.newestClosed())
 }
 
-func TestWindowsThatNobodyCanBeToldOfAreBounded(t *testing.T) {
+func TestUnreportedWindowsAreBounded(t *testing.T) {
 	s := NewState()
-	applyClose(s, CloseWindow{Window: 1, Begins: true})
-	for w := metering.Window(2); w < mostUntold+50; w++ {
-		applyClose(s, CloseWindow{Window: w, Counts: counts(uint64(w))})
+	applyCloseWindows(s, CloseWindow{Window: 1, Begins: true})
+	for w := metering.Window(2); w < maxUnreported+50; w++ {
+		applyCloseWindows(s, CloseWindow{Window: w, Counts: counts(uint64(w))})
 	}
 	w := s.usageWindows()
-	require.Len(t, w.Untold, mostUntold)
+	require.Len(t, w.Untold, maxUnreported)
 	require.Equal(t, w.Told+1, w.Untold[0].Window)
 }
 
