--- a/control/group_test.go
+++ b/control/group_test.go
@@ -44,7 +44,8 @@
 	return reply, err == nil && reply.Code == walnutramp.CodeOK
 }
 
-// The model's state is the concatenated digests of the accepted versions.
+// The state of the linearizability model is the digests of the accepted versions,
+// concatenated in order.
 type bundleInput struct {
 	read    bool
 	version uint64
@@ -131,7 +132,8 @@
 	return ops
 }
 
-// pickMember returns a random member, most often one that believes to be the leader.
+// pickMember returns a random member, most often one that considers itself the
+// leader.
 func (g *group) pickMember() walnutramp.NodeName {
 	var leaders []walnutramp.NodeName
 	for _, n := range g.names {
@@ -149,8 +151,8 @@
 	return leaders[g.random(len(leaders))]
 }
 
-// randomOperation makes one random call: a read, or a submission of the next version or
-// an older one.
+// randomOperation makes one random call: a read, or a submission of the next version
+// or an older one.
 func (g *group) randomOperation(id, i int) (porcupine.Operation, bool) {
 	time.Sleep(time.Duration(g.random(400)) * time.Millisecond)
 	to := g.pickMember()
@@ -229,8 +231,8 @@
 	require.Greater(t, total.Load(), int64(historySeeds*historyOps), "too few operations for a meaningful check")
 }
 
-// TestCheckerDetectsVotesWithEmptiedDisks checks that the linearizability check detects
-// members that vote with an emptied disk.
+// TestCheckerDetectsVotesWithEmptiedDisks checks that the linearizability check
+// detects members that vote with an emptied disk.
 func TestCheckerDetectsVotesWithEmptiedDisks(t *testing.T) {
 	wipeAndRejoin := func(g *group, n int) {
 		a := g.names[g.random(len(g.names))]
@@ -246,7 +248,7 @@
 		}
 	}
 	require.NotZero(t, detected)
-	t.Logf("caught in %d of 20 histories", detected)
+	t.Logf("detected in %d of 20 histories", detected)
 }
 
 // TestEmptiedDiskNeverVotes checks that a member with an emptied disk does not
@@ -425,7 +427,7 @@
 	})
 }
 
-// TestLearnerDoesNotCountTowardsMajority checks that learners do not count towards a majority.
+// Guards against commits that depend on a learner.
 func TestLearnerDoesNotCountTowardsMajority(t *testing.T) {
 	inGroup(t, 4, 6, func(t *testing.T, g *group) {
 		g.change(func(vs []consensus.Voter) []consensus.Voter {
--- a/control/kept_test.go
+++ b/control/kept_test.go
@@ -38,17 +38,17 @@
 
 // storedState is the expected content of a stored disk.
 type storedState struct {
-	Versions int    // accepted
+	Versions int    // number of accepted versions
 	Newest   uint64 // of the newest document
 	Document int    // size of the newest document in bytes
 	Rollouts []rollout.Record
 	Duty     duty.Record
 }
 
-// TestStoredDisksAreReadable checks that this build reads the disks of older builds. Each
-// folder in testdata/kept holds the disk of a member after seven seconds of the
-// soak with seed 4, and is named after the build that wrote it; "this" is the first
-// one that was stored.
+// TestStoredDisksAreReadable checks that this build reads the disks of older builds.
+// Each directory in testdata/kept holds the disk of a member after seven seconds of
+// the soak with seed 4, and is named after the build that wrote it; "this" is the
+// first one that was stored.
 func TestStoredDisksAreReadable(t *testing.T) {
 	dirs, err := filepath.Glob("testdata/kept/*")
 	require.NoError(t, err)
--- a/control/large_test.go
+++ b/control/large_test.go
@@ -23,7 +23,7 @@
 		for i := uint64(2); i <= 4; i++ {
 			acknowledged := fl.offer(i, routesDocument(i, int(i-1)*1400+40))
 			time.Sleep(2 * inForceTime)
-			require.Zero(t, fl.countLate(i, acknowledged), "entries without version %d in time", i)
+			require.Zero(t, fl.countLate(i, acknowledged), "entry nodes without version %d in time", i)
 			require.Equal(t, leader.name, fl.leader().name, "the leader was deposed")
 		}
 	})
@@ -40,7 +40,7 @@
 			fl.startEntry(i)
 		}
 		time.Sleep(inForceTime)
-		require.Zero(t, fl.countLate(1, start), "entries without the document in time")
+		require.Zero(t, fl.countLate(1, start), "entry nodes without the document in time")
 		require.Equal(t, term, leader.raft.Status().Term, "the leader was deposed")
 	})
 }
--- a/control/regions_test.go
+++ b/control/regions_test.go
@@ -48,8 +48,8 @@
 	})
 }
 
-// keepTargetList sets the site's target list on the current leader, as the discovery task
-// does.
+// keepTargetList sets the site's target list on the current leader, as the discovery
+// task does.
 func (fl *fleet) keepTargetList(list []discovery.Target) {
 	fl.spawn(func(ctx context.Context) {
 		for pause.For(ctx, targetReadDelay) {
@@ -150,7 +150,7 @@
 			version++
 			fl.offer(version, routesDocument(version, 40))
 			require.Less(t, time.Since(stoppedAt), failoverAckTimeout)
-			t.Logf("acknowledged %v after the leader's end", time.Since(stoppedAt))
+			t.Logf("acknowledged %v after the leader stopped", time.Since(stoppedAt))
 			time.Sleep(5 * time.Second)
 		}
 	})
@@ -172,8 +172,8 @@
 	})
 }
 
-// eachPairAcross applies change to every pair of hosts of which only the first is on the
-// side.
+// eachPairAcross applies change to every pair of hosts of which only the first is on
+// the side.
 func (fl *fleet) eachPairAcross(side func(host string) bool, change func(a, b string)) {
 	var hosts []string
 	for _, m := range fl.members {
@@ -285,8 +285,8 @@
 	})
 }
 
-// Bounds the traffic of the busiest member while the configuration changes every 3
-// s.
+// Bounds the traffic of the busiest member during regular changes of the
+// configuration.
 func TestTrafficAtBusiestMember(t *testing.T) {
 	const (
 		entries  = 300
@@ -307,7 +307,7 @@
 		for name, bytes := range fl.memberBytes() {
 			busiest = max(busiest, float64(bytes-before[name])/(changes*interval.Seconds()))
 		}
-		t.Logf("%d entries, a change every %v: %.0f kB a second at the busiest member", entries, interval, busiest/1e3)
+		t.Logf("%d entry nodes, a change every %v: %.0f kB a second at the busiest member", entries, interval, busiest/1e3)
 		require.Less(t, busiest, maxRate)
 	})
 }
@@ -318,7 +318,7 @@
 	const (
 		entries  = 300
 		period   = 3 * time.Second
-		maxBytes = 4 << 20 // bytes
+		maxBytes = 4 << 20
 	)
 	inRegions(t, entries, func(t *testing.T, fl *fleet) {
 		fl.offer(1, routesDocument(1, 40))
--- a/control/state_test.go
+++ b/control/state_test.go
@@ -33,7 +33,8 @@
 	s.submit(&sub, 0)
 }
 
-// A node that polls irregularly must get to the newest document, mostly by deltas.
+// A node that polls irregularly must get to the newest document, by deltas where the
+// gap is small.
 func TestClientFollowsVersionsByDeltas(t *testing.T) {
 	rng := rand.New(rand.NewPCG(7, 9))
 	s := NewState(WithRule(AcceptHighest))
