--- a/control/introducer.go
+++ b/control/introducer.go
@@ -76,5 +76,5 @@
 }
 
 // Introduce implements the RPC by which a member sends the list of members. Members
-// ignore it: they know the group from the log.
+// ignore it: they ask the group themselves.
 func (s *Server) Introduce(IntroduceArgs, *IntroduceReply) error { return nil }
