--- a/control/duty_calls.go
+++ b/control/duty_calls.go
@@ -36,7 +36,7 @@
 }
 
 // acquireSubject waits until no other call on the subject is in flight and
-// reserves the subject.
+// reserves the subject; false if calls are stopped or ctx is done.
 func (h *DutyHolder) acquireSubject(ctx context.Context, s duty.Subject) bool {
 	for {
 		h.mu.Lock()
--- a/control/duty_release.go
+++ b/control/duty_release.go
@@ -44,8 +44,8 @@
 	}
 }
 
-// release waits for calls in flight and commits that this process makes no more
-// calls. The caller holds stepLock and has stopped new calls.
+// release waits for calls in flight and commits the release of the duty. The caller
+// holds stepLock and has stopped new calls.
 func (h *DutyHolder) release(ctx context.Context, unreachable bool) {
 	idle := h.drain(ctx)
 	h.mu.Lock()
--- a/control/rollout_controller.go
+++ b/control/rollout_controller.go
@@ -108,13 +108,13 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.confirmedAt = requestedAt
-	c.startJudging()
+	c.startEvaluations()
 	return true
 }
 
-// startJudging starts new evaluations after a majority has confirmed that this
+// startEvaluations starts new evaluations after a majority has confirmed that this
 // member leads. The caller holds the mutex.
-func (c *RolloutController) startJudging() {
+func (c *RolloutController) startEvaluations() {
 	if c.judgeID == 0 {
 		c.judgeID, c.judgeSince = rand.Uint64()|1, uptime.Now()
 		c.tally, c.evaluations = rollout.NewTally(), map[string]*evaluation{}
