--- a/control/duty_release.go
+++ b/control/duty_release.go
@@ -59,7 +59,7 @@
 	ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
 	defer cancel()
 	ok := h.group.Commit(ctx, Command{Release: &duty.Release{Token: token, Pending: pending, Unreachable: unreachable}})
-	klog.InfoS("Duty released", "token", token, "pending", pending, "unreachable", unreachable, "committed", ok)
+	klog.InfoS("Duty released", "token", token, "pending", pending, "unreachable", unreachable, "agreed", ok)
 }
 
 // drain waits until no call is in flight. It leaves half of the time until ctx's
@@ -108,7 +108,7 @@
 	ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
 	defer cancel()
 	ok := h.transfer.HandOver(ctx)
-	klog.InfoS("Platform unresponsive, transferring leadership", "unresponsive_ms", unresponsive.Milliseconds(), "transferred", ok)
+	klog.InfoS("Platform unresponsive, transferring leadership", "silent_ms", unresponsive.Milliseconds(), "handedOver", ok)
 }
 
 func (h *DutyHolder) setDraining(on bool) {
--- a/control/fleet_base.go
+++ b/control/fleet_base.go
@@ -33,7 +33,7 @@
 	}
 	c.baseRaisedAt[service] = time.Now()
 	committed := c.commit(ctx, orders)
-	klog.InfoS("Recorded base targets", "service", service, "base", orders.Base, "committed", committed)
+	klog.InfoS("Recorded base targets", "service", service, "base", orders.Base, "agreed", committed)
 	*record, _ = c.state.fleetRecord(service)
 	return committed
 }
--- a/control/fleet_controller.go
+++ b/control/fleet_controller.go
@@ -333,7 +333,7 @@
 		before := step.Order
 		before.Count = step.Before
 		committed := c.commit(ctx, FleetOrders{Service: before.Service, Orders: []fleet.Order{before}})
-		klog.InfoS("Reverted a rejected order", "service", before.Service, "dataHall", before.DataHall, "kind", before.Kind, "committed", committed)
+		klog.InfoS("Reverted a rejected order", "service", before.Service, "dataHall", before.DataHall, "kind", before.Kind, "agreed", committed)
 	}
 	return outcome
 }
@@ -343,7 +343,7 @@
 	klog.InfoS("Scaling fleet", "service", d.service, "method", d.plan.Method, "load", d.load, "wanted", d.plan.Wanted,
 		"ordered", d.view.Ordered, "serving", d.view.Serving, "leaving", d.view.Leaving, "stuck", d.stuck,
 		"costPerSecond", d.view.Scaling.Cost(d.plan.Wanted), "expectedCost", d.plan.Cost,
-		"alternative", d.plan.Other, "alternativeWanted", d.plan.OtherWanted, "alternativeCost", d.plan.OtherCost, "idle", d.view.Idle)
+		"other", d.plan.Other, "otherWanted", d.plan.OtherWanted, "otherCost", d.plan.OtherCost, "idle", d.view.Idle)
 }
 
 // logState logs the observed and ordered targets at intervals.
--- a/control/report_client.go
+++ b/control/report_client.go
@@ -75,7 +75,7 @@
 	var reply TellReply
 	err := t.client.peers.Call(ctx, t.member, Service+".Tell", args, &reply)
 	if err != nil || reply.Code != walnutramp.CodeOK {
-		klog.V(1).InfoS("Usage report failed", "member", t.member, "code", int(reply.Code), "err", err)
+		klog.V(1).InfoS("Usage report failed", "asked", t.member, "code", int(reply.Code), "err", err)
 		t.handleFailure(reply.Leader)
 		return
 	}
--- a/control/rollout_client.go
+++ b/control/rollout_client.go
@@ -64,7 +64,7 @@
 	args := ReportArgs{Node: c.self.Address, Life: r.incarnation, Judge: r.judgeID, Cells: c.agent.Report(r.judgeID)}
 	err := c.peers.Call(ctx, r.leader, Service+".Report", args, &reply)
 	if err != nil || reply.Code != walnutramp.CodeOK {
-		klog.V(1).InfoS("Roll-out report failed", "member", r.leader, "code", int(reply.Code), "err", err)
+		klog.V(1).InfoS("Roll-out report failed", "asked", r.leader, "code", int(reply.Code), "err", err)
 		c.agent.Unreported()
 		r.leader = reply.Leader
 		return
--- a/control/rollout_controller.go
+++ b/control/rollout_controller.go
@@ -143,7 +143,7 @@
 			continue
 		}
 		_, ok := c.server.proposeOwn(ctx, Command{Known: &KnownVersions{Service: service, Versions: versions}})
-		klog.InfoS("Versions noted", "service", service, "versions", versions, "committed", ok)
+		klog.InfoS("Versions noted", "service", service, "versions", versions, "agreed", ok)
 		complete = complete && ok
 	}
 	if complete {
--- a/control/usage_controller.go
+++ b/control/usage_controller.go
@@ -131,7 +131,7 @@
 	}
 	c.countClosed()
 	klog.InfoS("Window closed", "window", w.Next, "late_ms", ago.Milliseconds(), "requests", status.Total, "accounts", len(status.Counts),
-		"rows", status.Rows, "nodes", status.Nodes, "silent", status.Silent, "newestReport_ms", newestReportAge(status.Sum))
+		"rows", status.Rows, "nodes", status.Nodes, "silent", status.Silent, "lastWord_ms", newestReportAge(status.Sum))
 	return true
 }
 
@@ -154,7 +154,7 @@
 // startMetering commits the first window of metering.
 func (c *UsageController) startMetering(ctx context.Context, first metering.Window) bool {
 	ok := c.commit(ctx, CloseWindow{Window: first - 1, Begins: true})
-	klog.InfoS("Metering started", "window", first, "committed", ok)
+	klog.InfoS("Metering started", "window", first, "agreed", ok)
 	return ok
 }
 
