--- a/serve/bounded.go
+++ b/serve/bounded.go
@@ -7,42 +7,43 @@
 	"github.com/walnutramp/walnutramp/gateway"
 )
 
-// boundedListener gives connections the bounds of the configuration in force,
-// which changes while the server runs; net/http takes its own only once.
-type boundedListener struct {
+// timeoutListener applies the header and idle timeouts of the current
+// configuration to its connections. http.Server reads its own timeouts only
+// once, but the configuration can change while the server runs.
+type timeoutListener struct {
 	net.Listener
 	limits func() gateway.Limits
 }
 
 // Accept implements net.Listener.
-func (l *boundedListener) Accept() (net.Conn, error) {
+func (l *timeoutListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return &boundedConn{Conn: c, limits: l.limits}, nil
+	return &timeoutConn{Conn: c, limits: l.limits}, nil
 }
 
-type boundedConn struct {
+type timeoutConn struct {
 	net.Conn
 	limits func() gateway.Limits
 }
 
-// SetReadDeadline implements net.Conn. The server sets a deadline far ahead
-// for a connection at rest and a near one for a request's head; each is
-// brought forward to what the configuration allows.
-func (c *boundedConn) SetReadDeadline(t time.Time) error {
-	wait := time.Until(t)
-	if t.IsZero() || wait <= 0 {
+// SetReadDeadline implements net.Conn. http.Server sets the deadline to
+// idleTimeout for an idle connection and to headerTimeout while it reads
+// request headers; a shorter configured timeout takes precedence.
+func (c *timeoutConn) SetReadDeadline(t time.Time) error {
+	remaining := time.Until(t)
+	if t.IsZero() || remaining <= 0 {
 		return c.Conn.SetReadDeadline(t)
 	}
 	limits := c.limits()
-	bound := limits.HeaderTimeout
-	if wait > headTimeout {
-		bound = limits.IdleTimeout
+	timeout := limits.HeaderTimeout
+	if remaining > headerTimeout {
+		timeout = limits.IdleTimeout
 	}
-	if bound > 0 && bound < wait {
-		t = time.Now().Add(bound)
+	if timeout > 0 && timeout < remaining {
+		t = time.Now().Add(timeout)
 	}
 	return c.Conn.SetReadDeadline(t)
 }
--- a/serve/duties.go
+++ b/serve/duties.go
@@ -11,14 +11,16 @@
 	"github.com/walnutramp/walnutramp/peer"
 )
 
-// Platform takes the calls that one process of the site at a time may make.
+// Platform makes the calls to the site's platform that only one process of the
+// site may make at a time: usage reports and scaling orders.
 type Platform interface {
 	metering.Reporter
 	fleet.Scaler
 }
 
-// startDuties has this member hold the site's duties while it leads the control
-// group. A site without any gets no holder.
+// startDuties makes this member hold the site's duties (leases for exclusive
+// platform calls) while it leads the control group. It returns nil if duties
+// are disabled.
 func (p *Process) startDuties(self peer.Identity, m *consensus.Member, s *control.Server) *control.DutyHolder {
 	if !p.settings.Duties.Enabled() {
 		return nil
@@ -28,17 +30,17 @@
 	return holder
 }
 
-// dutyFinish is for calls under way when the process stops, and for the word
-// that none follows.
-const dutyFinish = 1 * time.Second
+// dutyReleaseTimeout bounds the wait for in-flight platform calls and for the
+// release of the lease when the process stops.
+const dutyReleaseTimeout = 1 * time.Second
 
-// releaseDuties gives up what the process holds, so that another member can go
-// on at once.
+// releaseDuties releases the duty lease, so that another member can take it
+// without waiting for it to expire.
 func (r *replica) releaseDuties() {
 	if r.duties == nil {
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), dutyFinish)
+	ctx, cancel := context.WithTimeout(context.Background(), dutyReleaseTimeout)
 	defer cancel()
 	r.duties.Release(ctx)
 }
--- a/serve/entry.go
+++ b/serve/entry.go
@@ -22,56 +22,59 @@
 	"k8s.io/klog/v2"
 )
 
-// Times of a planned stop, since the order. Where the grace is short, they are
-// its parts.
+// Times of a graceful shutdown, measured from the stop request. With a short
+// grace period the shares of it apply instead.
 const (
-	stopClosing      = 2500 * time.Millisecond // connections are closed after their answer
-	stopRefuse       = 3 * time.Second         // connections at rest are closed, requests refused
-	stopReserve      = 300 * time.Millisecond  // before the kill
-	stopClosingShare = 0.6
-	stopRefuseShare  = 0.75
+	connCloseDelay = 2500 * time.Millisecond // from then on connections are closed after each response
+	rejectDelay    = 3 * time.Second         // from then on new requests are rejected
+	killMargin     = 300 * time.Millisecond  // left between the shutdown deadline and the kill
+	connCloseShare = 0.6
+	rejectShare    = 0.75
 )
 
-// stopTimes are the steps of a planned stop, since the order.
-type stopTimes struct {
-	closing time.Duration
-	refuse  time.Duration
-	end     time.Duration // what is left is cut off
+// shutdownSchedule holds the steps of a graceful shutdown, measured from the
+// stop request.
+type shutdownSchedule struct {
+	closeConns time.Duration
+	reject     time.Duration
+	deadline   time.Duration // remaining requests are aborted
 }
 
-func stopTimesOf(grace time.Duration) stopTimes {
-	end := max(0, grace-stopReserve)
-	part := func(share float64) time.Duration { return time.Duration(share * float64(end)) }
-	return stopTimes{closing: min(stopClosing, part(stopClosingShare)), refuse: min(stopRefuse, part(stopRefuseShare)), end: end}
+func newShutdownSchedule(grace time.Duration) shutdownSchedule {
+	deadline := max(0, grace-killMargin)
+	fraction := func(share float64) time.Duration { return time.Duration(share * float64(deadline)) }
+	return shutdownSchedule{closeConns: min(connCloseDelay, fraction(connCloseShare)), reject: min(rejectDelay, fraction(rejectShare)), deadline: deadline}
 }
 
-// Bounds of what clients may take up before a configuration is known.
+// Upper limits for client connections; the configuration can only lower the
+// timeouts.
 const (
-	headTimeout  = 10 * time.Second
-	idleTimeout  = 2 * time.Minute
-	maxHeadBytes = 64 << 10
+	headerTimeout  = 10 * time.Second
+	idleTimeout    = 2 * time.Minute
+	maxHeaderBytes = 64 << 10
 )
 
-// A node is told the list of targets by the control group. One that is not told it reads
-// it itself, after a time drawn between these: of hundreds that start together few do.
+// An entry node normally receives the target list from the control group. If it
+// does not, it reads the list itself after a random wait between these bounds, so
+// that nodes that start together do not all query the platform.
 const (
-	leastListWait   = 2 * time.Second
-	longestListWait = 10 * time.Second
+	minListWait = 2 * time.Second
+	maxListWait = 10 * time.Second
 )
 
-// tracesFile keeps where the copies of runs are, over a kill.
+// tracesFile stores the locations of the KV-cache copies of runs across restarts.
 const tracesFile = "traces"
 
-// entry answers clients.
+// entry is the part of a process that serves clients.
 type entry struct {
-	gateway *gateway.Gateway
-	pool    *targetconn.Pool
-	sharer  *loadshare.Sharer
-	front   *http.Server
-	ready   *http.Server
-	agent   *rollout.Agent    // of roll-outs; nil where there are none
-	counter *metering.Counter // of requests; nil where nothing is metered
-	witness *quarantine.Witness
+	gateway        *gateway.Gateway
+	pool           *targetconn.Pool
+	sharer         *loadshare.Sharer
+	clientServer   *http.Server
+	readyServer    *http.Server
+	rolloutAgent   *rollout.Agent    // nil if roll-outs are disabled
+	requestCounter *metering.Counter // nil if metering is disabled
+	quarantine     *quarantine.Witness
 }
 
 func (p *Process) startEntry() error {
@@ -80,44 +83,44 @@
 	pool := targetconn.NewPool(targetconn.WithIdentityHeader(names.Identity), targetconn.WithDialed(
 		func(e targetconn.Endpoint, took time.Duration) { targets.NoteRoundTrip(e.ID, took) }),
 		targetconn.WithKept(func(e targetconn.Endpoint, until time.Time) { targets.SetKept(e.ID, until) }))
-	bound := balance.BudgetConfig{Ratio: s.RepeatRatio, Slack: s.RepeatSlack, Window: s.RepeatWindow}
-	part := quota.NewHolder(bound.TakenWithin())
-	bound.Part = part.Part
-	budgets := balance.NewBudgets(bound)
-	witness := quarantine.NewWitness(quarantine.New(), pool.Dial)
-	sharer, err := p.newSharer(targets, budgets, witness.Ledger)
+	budgetConfig := balance.BudgetConfig{Ratio: s.RepeatRatio, Slack: s.RepeatSlack, Window: s.RepeatWindow}
+	quotaHolder := quota.NewHolder(budgetConfig.TakenWithin())
+	budgetConfig.Part = quotaHolder.Part
+	budgets := balance.NewBudgets(budgetConfig)
+	monitor := quarantine.NewWitness(quarantine.New(), pool.Dial)
+	sharer, err := p.newSharer(targets, budgets, monitor.Ledger)
 	if err != nil {
 		return err
 	}
 	var g *gateway.Gateway
-	taker := &targetTaker{targets: targets, pool: pool, started: func() { g.Started() }}
-	poller := discovery.NewPoller(p.adapter.Source(true), taker, discovery.WithPatience(leastListWait+rand.N(longestListWait-leastListWait)))
-	adopt := func(version uint64, doc []byte) error {
+	receiver := &targetReceiver{targets: targets, pool: pool, onList: func() { g.Started() }}
+	poller := discovery.NewPoller(p.adapter.Source(true), receiver, discovery.WithPatience(minListWait+rand.N(maxListWait-minListWait)))
+	apply := func(version uint64, doc []byte) error {
 		table, err := p.adapter.Table(doc)
 		if err == nil {
 			g.SetTable(table)
 		}
 		return err
 	}
-	p.client = control.NewDocumentClient(p.peers, s.Seeds, adopt)
-	options := []gateway.Option{gateway.WithNames(names), gateway.WithLease(p.lease()), gateway.WithFind(findBy(sharer)), gateway.WithBorrow(sharer.Borrow),
-		gateway.WithQuarantine(witness)}
+	p.client = control.NewDocumentClient(p.peers, s.Seeds, apply)
+	options := []gateway.Option{gateway.WithNames(names), gateway.WithLease(p.leaseCheck()), gateway.WithFind(priorRunFinder(sharer)), gateway.WithBorrow(sharer.Borrow),
+		gateway.WithQuarantine(monitor)}
 	var agent *rollout.Agent
 	if s.Rollouts.Enabled() {
 		agent = rollout.NewAgent(rand.Uint64())
 		options = append(options, gateway.WithRollouts(agent))
 		p.client.WithRollouts(agent)
 	}
-	counter := p.meterEntry()
+	counter := p.newRequestCounter()
 	options = append(options, gateway.WithMetering(counter))
 	g = gateway.New(targets, pool, budgets, poller.Soon, options...)
 	if s.Scales {
 		p.client.WithDemand(g.Demand)
 	}
-	p.client.WithQuota(part)
-	p.client.AsEntry(control.EntryPlace{Address: s.PeerListen, DataHall: s.DataHall, Disk: s.DataDir != ""}, tellPeers(sharer))
+	p.client.WithQuota(quotaHolder)
+	p.client.AsEntry(control.EntryPlace{Address: s.PeerListen, DataHall: s.DataHall, Disk: s.DataDir != ""}, peerUpdater(sharer))
 	p.client.FeedTargets(poller.Fed)
-	p.entry = &entry{gateway: g, pool: pool, agent: agent, counter: counter, sharer: sharer, witness: witness}
+	p.entry = &entry{gateway: g, pool: pool, rolloutAgent: agent, requestCounter: counter, sharer: sharer, quarantine: monitor}
 	if err := p.listenEntry(g); err != nil {
 		return err
 	}
@@ -127,30 +130,29 @@
 	return nil
 }
 
-// targetTaker takes the list of targets for an entry.
-type targetTaker struct {
+// targetReceiver applies target list updates to an entry.
+type targetReceiver struct {
 	targets *balance.Tracker
 	pool    *targetconn.Pool
-	started func()
+	onList  func()
 }
 
 // TakeList implements discovery.Taker.
-func (t *targetTaker) TakeList(list []discovery.Target) {
-	t.forget(t.targets.Update(list))
-	t.started()
+func (t *targetReceiver) TakeList(list []discovery.Target) {
+	t.closeConnections(t.targets.Update(list))
+	t.onList()
 }
 
 // TakeChange implements discovery.Taker.
-func (t *targetTaker) TakeChange(c discovery.Change) { t.forget(t.targets.Change(c)) }
+func (t *targetReceiver) TakeChange(c discovery.Change) { t.closeConnections(t.targets.Change(c)) }
 
-// forget closes the connections to lives of targets that are over.
-func (t *targetTaker) forget(lives []string) {
-	for _, life := range lives {
-		t.pool.Forget(life)
+// closeConnections closes the connections to target incarnations that have ended.
+func (t *targetReceiver) closeConnections(incarnations []string) {
+	for _, incarnation := range incarnations {
+		t.pool.Forget(incarnation)
 	}
 }
 
-// newTracker returns the tracker of targets.
 func (p *Process) newTracker() *balance.Tracker {
 	options := []balance.Option{balance.WithDataHall(p.settings.DataHall), balance.WithTopology(p.settings.Topology)}
 	if p.settings.Policy != "" {
@@ -159,7 +161,8 @@
 	return balance.NewTracker(options...)
 }
 
-// newSharer returns what tells other entries of this one's runs.
+// newSharer returns the sharer that exchanges load and run state with other
+// entries over UDP.
 func (p *Process) newSharer(targets *balance.Tracker, budgets *balance.Budgets, ledger *quarantine.Ledger) (*loadshare.Sharer, error) {
 	s := p.settings
 	conn, err := net.ListenPacket("udp", s.PeerListen)
@@ -174,10 +177,10 @@
 	return loadshare.New(conn, targets, budgets, options...), nil
 }
 
-// tellPeers returns what names the site's entries to a sharer.
-func tellPeers(sharer *loadshare.Sharer) control.SeenFunc {
-	return func(entries []control.EntryPlace, same bool) {
-		if same {
+// peerUpdater returns a callback that passes the site's entries on to a sharer.
+func peerUpdater(sharer *loadshare.Sharer) control.SeenFunc {
+	return func(entries []control.EntryPlace, unchanged bool) {
+		if unchanged {
 			sharer.PeersStill()
 			return
 		}
@@ -189,11 +192,12 @@
 	}
 }
 
-// findBy returns what learns of runs of a key that other nodes had. A request
-// that comes again may have run in any region.
-func findBy(sharer *loadshare.Sharer) func(ctx context.Context, key string, again bool) {
-	return func(ctx context.Context, key string, again bool) {
-		if again {
+// priorRunFinder returns a function that looks up earlier runs of a request key at
+// other nodes. For a retry it also asks other regions, since the first attempt may
+// have run in any of them.
+func priorRunFinder(sharer *loadshare.Sharer) func(ctx context.Context, key string, again bool) {
+	return func(ctx context.Context, key string, retry bool) {
+		if retry {
 			sharer.FindAnywhere(ctx, key)
 		} else {
 			sharer.Find(ctx, key)
@@ -201,67 +205,70 @@
 	}
 }
 
-// listenEntry answers clients and the balancer.
+// listenEntry starts the servers for clients and for the load balancer's
+// readiness checks.
 func (p *Process) listenEntry(g *gateway.Gateway) error {
 	clients, err := net.Listen("tcp", p.settings.EntryListen)
 	if err != nil {
 		return err
 	}
-	p.entry.front = newServer(g)
-	serveOn(p.entry.front, &boundedListener{Listener: clients, limits: g.Limits})
-	p.entry.ready, err = listen(p.settings.ReadyListen, p.adapter.Ready(g.Ready))
+	p.entry.clientServer = newServer(g)
+	serveInBackground(p.entry.clientServer, &timeoutListener{Listener: clients, limits: g.Limits})
+	p.entry.readyServer, err = listen(p.settings.ReadyListen, p.adapter.Ready(g.Ready))
 	return err
 }
 
-// lease says whether new work may be taken: always, unless the site wants
-// nodes that are cut off from the control group to take none.
-func (p *Process) lease() func() bool {
+// leaseCheck returns a function that reports whether new requests may be accepted.
+// It returns nil (no check) unless FailClosed is set, in which case a node without
+// contact to the control group rejects new requests.
+func (p *Process) leaseCheck() func() bool {
 	if !p.settings.FailClosed {
 		return nil
 	}
 	return func() bool { return p.client.InForce() }
 }
 
-// listen serves HTTP on an address.
+// listen starts an HTTP server on address.
 func listen(address string, h http.Handler) (*http.Server, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, err
 	}
 	server := newServer(h)
-	serveOn(server, l)
+	serveInBackground(server, l)
 	return server, nil
 }
 
 func newServer(h http.Handler) *http.Server {
-	return &http.Server{Handler: h, ReadHeaderTimeout: headTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeadBytes}
+	return &http.Server{Handler: h, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes}
 }
 
-func serveOn(server *http.Server, l net.Listener) {
+func serveInBackground(server *http.Server, l net.Listener) {
 	go func() {
 		if err := server.Serve(l); err != http.ErrServerClosed {
-			klog.ErrorS(err, "Listener ended", "address", l.Addr())
+			klog.ErrorS(err, "HTTP server failed", "address", l.Addr())
 		}
 	}()
 }
 
-// stop lets the balancer see that the node leaves, serves what still comes,
-// and finishes what is under way.
+// stop shuts the entry down gracefully: it reports not ready to the load balancer,
+// goes on serving until the balancer has reacted, then rejects new requests and
+// waits for those in flight.
 func (e *entry) stop(grace time.Duration) {
-	times := stopTimesOf(grace)
-	end := uptime.Now().Add(times.end)
-	e.gateway.Leave(end)
-	time.Sleep(times.closing)
+	schedule := newShutdownSchedule(grace)
+	deadline := uptime.Now().Add(schedule.deadline)
+	e.gateway.Leave(deadline)
+	time.Sleep(schedule.closeConns)
 	e.gateway.CloseConnections()
-	time.Sleep(times.refuse - times.closing)
+	time.Sleep(schedule.reject - schedule.closeConns)
 	e.gateway.Refuse()
-	ctx, cancel := context.WithTimeout(context.Background(), uptime.Until(end))
+	ctx, cancel := context.WithTimeout(context.Background(), uptime.Until(deadline))
 	defer cancel()
-	if err := e.front.Shutdown(ctx); err != nil {
+	if err := e.clientServer.Shutdown(ctx); err != nil {
 		klog.InfoS("Requests are cut off at the end of the grace", "err", err)
-		e.front.Close()
+		e.clientServer.Close()
 	}
-	e.ready.Close()
-	e.witness.Close()
+	e.readyServer.Close()
+	e.quarantine.Close()
 	e.pool.Close()
 }
--- a/serve/entry_test.go
+++ b/serve/entry_test.go
@@ -7,14 +7,14 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A stop whose steps outlast its grace is killed with requests under way.
-func TestStopKeepsWithinItsGrace(t *testing.T) {
+// A shutdown that outlasts its grace period is killed with requests in flight.
+func TestShutdownScheduleFitsGracePeriod(t *testing.T) {
 	for _, grace := range []time.Duration{0, 100 * time.Millisecond, time.Second, 3 * time.Second, 8 * time.Second, time.Minute} {
-		times := stopTimesOf(grace)
-		require.LessOrEqual(t, times.closing, times.refuse, grace)
-		require.LessOrEqual(t, times.refuse, times.end, grace)
-		require.LessOrEqual(t, times.end, grace)
+		schedule := newShutdownSchedule(grace)
+		require.LessOrEqual(t, schedule.closeConns, schedule.reject, grace)
+		require.LessOrEqual(t, schedule.reject, schedule.deadline, grace)
+		require.LessOrEqual(t, schedule.deadline, grace)
 	}
-	require.Equal(t, stopTimes{closing: stopClosing, refuse: stopRefuse, end: 8*time.Second - stopReserve}, stopTimesOf(8*time.Second))
-	require.Less(t, stopTimesOf(3*time.Second).refuse, 2500*time.Millisecond)
+	require.Equal(t, shutdownSchedule{closeConns: connCloseDelay, reject: rejectDelay, deadline: 8*time.Second - killMargin}, newShutdownSchedule(8*time.Second))
+	require.Less(t, newShutdownSchedule(3*time.Second).reject, 2500*time.Millisecond)
 }
--- a/serve/fleet.go
+++ b/serve/fleet.go
@@ -6,23 +6,24 @@
 	"github.com/walnutramp/walnutramp/fleet"
 )
 
-// startFleet has this member order the targets of services while it leads the
-// control group. It returns nil on a site where none can be ordered.
-func (p *Process) startFleet(m *consensus.Member, s *control.Server, caller *control.DutyHolder) (*control.FleetController, error) {
-	if !p.settings.Scales || caller == nil {
+// startFleet starts the controller that scales the services' targets while this
+// member leads the control group. It returns nil if scaling is disabled.
+func (p *Process) startFleet(m *consensus.Member, s *control.Server, holder *control.DutyHolder) (*control.FleetController, error) {
+	if !p.settings.Scales || holder == nil {
 		return nil, nil
 	}
 	platform, err := p.adapter.Platform()
 	if err != nil {
 		return nil, err
 	}
-	controller := control.NewFleetController(m, s, caller, platform, p.scalable)
+	controller := control.NewFleetController(m, s, holder, platform, p.scalableServices)
 	go controller.Run(p.ctx)
 	return controller, nil
 }
 
-// scalable returns the services of a document whose targets can be ordered.
-func (p *Process) scalable(doc []byte) (map[string]fleet.Service, error) {
+// scalableServices returns the services of a configuration document that have a
+// scaling configuration.
+func (p *Process) scalableServices(doc []byte) (map[string]fleet.Service, error) {
 	services := map[string]fleet.Service{}
 	if len(doc) == 0 {
 		return services, nil
--- a/serve/metering.go
+++ b/serve/metering.go
@@ -13,9 +13,9 @@
 	"github.com/walnutramp/walnutramp/peer"
 )
 
-// meterEntry has an entry count the requests that begin, and tell the control
-// group of them. It returns nil on a site without metering.
-func (p *Process) meterEntry() *metering.Counter {
+// newRequestCounter returns a counter of the requests that an entry starts, which
+// the client reports to the control group. It returns nil if metering is disabled.
+func (p *Process) newRequestCounter() *metering.Counter {
 	if !p.settings.Metering.Enabled() {
 		return nil
 	}
@@ -26,27 +26,27 @@
 	return counter
 }
 
-// usage is a member's part in metering.
+// usage is the metering side of a control group member.
 type usage struct {
 	timekeeper *control.Timekeeper
 	reports    *control.Reports
 	controller *control.UsageController
 }
 
-// meterReplica returns what has a member keep the group's time and take what
-// nodes count, once it runs; nil on a site that needs neither.
-func (p *Process) meterReplica(self peer.Identity, m *consensus.Member, answers *control.Server) *usage {
+// newUsage returns the tasks that keep a member's group clock and collect the
+// nodes' usage reports. It returns nil if neither metering nor scaling is enabled.
+func (p *Process) newUsage(self peer.Identity, m *consensus.Member, server *control.Server) *usage {
 	if !p.settings.Metering.Enabled() && !p.settings.Scales {
 		return nil
 	}
 	u := &usage{
-		timekeeper: control.NewTimekeeper(p.peers, self.Node, m, answers),
-		reports:    control.NewReports(p.peers, m, answers),
+		timekeeper: control.NewTimekeeper(p.peers, self.Node, m, server),
+		reports:    control.NewReports(p.peers, m, server),
 	}
 	return u
 }
 
-// run starts keeping the time and passing reports on.
+// run starts the clock and the forwarding of reports to the leader.
 func (u *usage) run(ctx context.Context) {
 	if u == nil {
 		return
@@ -55,9 +55,9 @@
 	go u.reports.Run(ctx)
 }
 
-// reportUsage has the member close windows, and report them while it holds the
-// duty.
-func (p *Process) reportUsage(u *usage, m *consensus.Member, answers *control.Server, holder *control.DutyHolder) error {
+// startUsageReporting starts the controller that closes usage windows and reports
+// them to the platform while the member holds the duty.
+func (p *Process) startUsageReporting(u *usage, m *consensus.Member, server *control.Server, holder *control.DutyHolder) error {
 	if holder == nil || !p.settings.Metering.Enabled() {
 		return nil
 	}
@@ -65,19 +65,19 @@
 	if err != nil {
 		return err
 	}
-	u.controller = control.NewUsageController(m, answers, holder, platform, p.settings.Metering)
+	u.controller = control.NewUsageController(m, server, holder, platform, p.settings.Metering)
 	go u.controller.Run(p.ctx)
 	return nil
 }
 
-// writeMetrics writes what a member knows of metering.
+// writeMetrics writes a member's clock and metering metrics.
 func (u *usage) writeMetrics(w io.Writer) {
 	if u == nil {
 		return
 	}
-	agreed := u.timekeeper.Agreement()
-	fmt.Fprintf(w, "walnutramp_clock_members_heard %d\n", agreed.Heard)
-	fmt.Fprintf(w, "walnutramp_clock_spread_seconds %g\n", agreed.Spread.Seconds())
+	agreement := u.timekeeper.Agreement()
+	fmt.Fprintf(w, "walnutramp_clock_members_heard %d\n", agreement.Heard)
+	fmt.Fprintf(w, "walnutramp_clock_spread_seconds %g\n", agreement.Spread.Seconds())
 	writeClock(w, u.timekeeper.Clock())
 	if u.controller == nil {
 		return
@@ -91,18 +91,18 @@
 	fmt.Fprintf(w, "walnutramp_metering_oldest_untold_window %d\n", s.Oldest)
 }
 
-// writeClock writes by how much the group's clock may be off here, and how far
-// ahead of it the host's own is; nothing while the time is not known.
+// writeClock writes the uncertainty of the group clock and the offset of the
+// host's clock from it. It writes nothing until the clock is synchronized.
 func writeClock(w io.Writer, c groupclock.Clock) {
-	now, within, known := c.Now()
+	now, uncertainty, known := c.Now()
 	if !known {
 		return
 	}
-	fmt.Fprintf(w, "walnutramp_clock_within_seconds %g\n", within.Seconds())
+	fmt.Fprintf(w, "walnutramp_clock_within_seconds %g\n", uncertainty.Seconds())
 	fmt.Fprintf(w, "walnutramp_clock_ahead_seconds %g\n", time.Since(now).Seconds())
 }
 
-// writeCounter writes an entry's figures of metering.
+// writeCounter writes an entry's metering metrics.
 func writeCounter(w io.Writer, c *metering.Counter) {
 	if c == nil {
 		return
--- a/serve/metrics.go
+++ b/serve/metrics.go
@@ -11,10 +11,10 @@
 	"github.com/walnutramp/walnutramp/rollout"
 )
 
-// MetricsPath is where a process tells its figures.
+// MetricsPath is the HTTP path of a process's metrics.
 const MetricsPath = "/metrics"
 
-// serveMetrics answers with the process's figures in the Prometheus text form.
+// serveMetrics serves the process's metrics in the Prometheus text format.
 func (p *Process) serveMetrics() error {
 	if p.settings.MetricsAddr == "" {
 		return nil
@@ -32,31 +32,31 @@
 	fmt.Fprintf(w, "walnutramp_list_entries_passed_over_total %d\n", p.adapter.PassedOver())
 	fmt.Fprintf(w, "walnutramp_peer_sent_bytes_total %d\n", p.traffic.Sent.Load())
 	fmt.Fprintf(w, "walnutramp_peer_received_bytes_total %d\n", p.traffic.Received.Load())
-	if p.dropped != nil {
-		fmt.Fprintf(w, "walnutramp_log_lines_dropped_total %d\n", p.dropped())
+	if p.droppedLogLines != nil {
+		fmt.Fprintf(w, "walnutramp_log_lines_dropped_total %d\n", p.droppedLogLines())
 	}
 	if p.client != nil {
 		fmt.Fprintf(w, "walnutramp_configuration_version %d\n", p.client.Version())
-		asked := p.client.ContactStats()
-		fmt.Fprintf(w, "walnutramp_control_questions_total %d\n", asked.Asked)
-		fmt.Fprintf(w, "walnutramp_control_questions_failed_total %d\n", asked.Failed)
+		contact := p.client.ContactStats()
+		fmt.Fprintf(w, "walnutramp_control_questions_total %d\n", contact.Asked)
+		fmt.Fprintf(w, "walnutramp_control_questions_failed_total %d\n", contact.Failed)
 	}
 	if p.entry != nil {
 		p.entry.gateway.WriteMetrics(w)
 		fmt.Fprintf(w, "walnutramp_target_connections_opened_total %d\n", p.entry.pool.Dialed())
 		writeSharing(w, p.entry.sharer.Stats())
-		if p.entry.agent != nil {
-			writeVersions(w, p.entry.agent)
+		if p.entry.rolloutAgent != nil {
+			writeVersions(w, p.entry.rolloutAgent)
 		}
-		writeCounter(w, p.entry.counter)
+		writeCounter(w, p.entry.requestCounter)
 	}
 	if p.replica != nil && p.replica.member != nil {
 		p.replica.writeMetrics(w)
 	}
 }
 
-// writeVersions writes what an entry knows of its services' versions, and what
-// it saw of them in the roll-outs under way.
+// writeVersions writes the revision of the service versions that an entry knows,
+// and its request counts per version in the active roll-outs.
 func writeVersions(w io.Writer, a *rollout.Agent) {
 	fmt.Fprintf(w, "walnutramp_versions_revision %d\n", a.Revision())
 	byVersion := map[[2]string]rollout.Counts{}
@@ -75,7 +75,8 @@
 	}
 }
 
-// writeSharing writes what an entry tells others of its runs, and for others.
+// writeSharing writes the metrics of an entry's exchange of run state with other
+// entries, and of what it relays for them.
 func writeSharing(w io.Writer, s loadshare.Stats) {
 	relayed := 0
 	if s.Relayed {
@@ -97,24 +98,24 @@
 
 func (r *replica) writeMetrics(w io.Writer) {
 	s := r.member.Status()
-	leads := 0
+	isLeader := 0
 	if r.member.Leads() {
-		leads = 1
+		isLeader = 1
 	}
 	fmt.Fprintf(w, "walnutramp_control_term %d\n", s.Term)
-	fmt.Fprintf(w, "walnutramp_control_leads %d\n", leads)
+	fmt.Fprintf(w, "walnutramp_control_leads %d\n", isLeader)
 	fmt.Fprintf(w, "walnutramp_control_last_index %d\n", s.Last)
 	fmt.Fprintf(w, "walnutramp_control_commit_index %d\n", s.Commit)
 	fmt.Fprintf(w, "walnutramp_control_voters %d\n", s.Group.Counted())
 	fmt.Fprintf(w, "walnutramp_control_members %d\n", len(s.Group.Voters))
-	did := r.member.Stats()
-	fmt.Fprintf(w, "walnutramp_control_elected_total %d\n", did.Elected)
-	fmt.Fprintf(w, "walnutramp_control_deposed_total %d\n", did.Deposed)
-	fmt.Fprintf(w, "walnutramp_control_handed_over_total{why=\"asked\"} %d\n", did.HandedOver)
-	fmt.Fprintf(w, "walnutramp_control_handed_over_total{why=\"nearer\"} %d\n", did.HandedNearer)
-	fmt.Fprintf(w, "walnutramp_control_hand_overs_failed_total %d\n", did.HandOverFails)
-	for node, trip := range r.member.Trips() {
-		fmt.Fprintf(w, "walnutramp_control_round_trip_seconds{member=%q} %.6f\n", node, trip.Seconds())
+	stats := r.member.Stats()
+	fmt.Fprintf(w, "walnutramp_control_elected_total %d\n", stats.Elected)
+	fmt.Fprintf(w, "walnutramp_control_deposed_total %d\n", stats.Deposed)
+	fmt.Fprintf(w, "walnutramp_control_handed_over_total{why=\"asked\"} %d\n", stats.HandedOver)
+	fmt.Fprintf(w, "walnutramp_control_handed_over_total{why=\"nearer\"} %d\n", stats.HandedNearer)
+	fmt.Fprintf(w, "walnutramp_control_hand_overs_failed_total %d\n", stats.HandOverFails)
+	for node, roundTrip := range r.member.Trips() {
+		fmt.Fprintf(w, "walnutramp_control_round_trip_seconds{member=%q} %.6f\n", node, roundTrip.Seconds())
 	}
 	r.usage.writeMetrics(w)
 	if r.duties != nil {
--- a/serve/operator.go
+++ b/serve/operator.go
@@ -6,15 +6,15 @@
 	"github.com/walnutramp/walnutramp/peer"
 )
 
-// operatorNode is how an operator's tool names itself to members.
-const operatorNode = "operator"
+// operatorNodeName is the node name under which operator tools connect.
+const operatorNodeName = "operator"
 
-// NewOperatorClient returns a client of a site's control group for an
-// operator's tool. It asks any member, by numeric host:port, and finds the
-// others through it. Call the function to close it.
+// NewOperatorClient returns a control group client for operator tools, and a
+// function that closes it. The client connects to member, a numeric host:port,
+// and discovers the other members through it.
 func NewOperatorClient(member string) (*control.Client, func()) {
 	var traffic peer.Traffic
-	peers := peer.NewClient(peer.Identity{Site: siteName, Node: operatorNode}, dialer().DialContext, directory{}, &traffic)
+	peers := peer.NewClient(peer.Identity{Site: siteName, Node: operatorNodeName}, dialer().DialContext, directory{}, &traffic)
 	client := control.NewDocumentClient(peers, []walnutramp.NodeName{walnutramp.NodeName(member)}, func(uint64, []byte) error { return nil })
 	return client, func() {
 		client.Close()
--- a/serve/replica.go
+++ b/serve/replica.go
@@ -20,45 +20,45 @@
 	"k8s.io/klog/v2"
 )
 
-// Timing of the control group: a leader that is lost is replaced well within
-// the time in which operators and nodes want an answer.
+// Parameters of the control group. Heartbeat and election timeouts are short
+// enough to replace a failed leader before operator and node calls time out.
 const (
-	heartbeat     = 100 * time.Millisecond
-	election      = 400 * time.Millisecond
-	compactBytes  = 8 << 20
-	replicaFinish = 1 * time.Second // for operators' calls when the process stops
-	exitDiskLost  = 3
-	bytesPerMbit  = 1e6 / 8
+	heartbeatInterval   = 100 * time.Millisecond
+	electionTimeout     = 400 * time.Millisecond
+	compactionThreshold = 8 << 20
+	replicaStopTimeout  = 1 * time.Second // for in-flight operator calls
+	exitDiskFailed      = 3
+	bytesPerMegabit     = 1e6 / 8
 )
 
-// replica serves operators, as a member of the control group or as a proxy of
-// its members.
+// replica serves operators, either as a member of the control group or as a proxy
+// to its members.
 type replica struct {
 	member   *consensus.Member // nil for a proxy
 	server   *peer.Server
 	operator *http.Server
-	duties   *control.DutyHolder      // nil where there are none
-	fleet    *control.FleetController // nil where no targets can be ordered
-	usage    *usage                   // nil where nothing is metered
+	duties   *control.DutyHolder      // nil if duties are disabled
+	fleet    *control.FleetController // nil if scaling is disabled
+	usage    *usage                   // nil if neither metering nor scaling is enabled
 }
 
-// startProxy serves operators without being a member: a machine without a
-// disk can't be one. It passes their calls on to the group.
+// startProxy serves operators on a node without a disk, which can't be a member
+// of the control group, and forwards their calls to the group.
 func (p *Process) startProxy(self peer.Identity) error {
 	s := p.settings
 	p.client = control.NewDocumentClient(p.peers, s.Seeds, func(uint64, []byte) error { return nil })
-	server := peer.NewServer(self, &p.traffic)
-	if err := server.Register(control.Service, control.NewGuide(p.client)); err != nil {
+	peerServer := peer.NewServer(self, &p.traffic)
+	if err := peerServer.Register(control.Service, control.NewGuide(p.client)); err != nil {
 		return err
 	}
 	l, err := net.Listen("tcp", s.PeerListen)
 	if err != nil {
 		return err
 	}
-	go server.Serve(l)
+	go peerServer.Serve(l)
 	p.client.Start()
-	p.replica = &replica{server: server}
-	p.replica.operator, err = listen(s.OperatorAddr, p.adapter.Operator(&documents{client: p.client, limit: s.OperatorIn}))
+	p.replica = &replica{server: peerServer}
+	p.replica.operator, err = listen(s.OperatorAddr, p.adapter.Operator(&documentClient{client: p.client, timeout: s.OperatorIn}))
 	return err
 }
 
@@ -69,14 +69,14 @@
 	if err != nil {
 		return err
 	}
-	var founding consensus.Group
+	var initialGroup consensus.Group
 	if identity == consensus.Founder {
-		founding = control.FoundingGroup(s.Seeds)
+		initialGroup = control.FoundingGroup(s.Seeds)
 	}
 	state := control.NewState(control.WithRule(control.AcceptHighest))
-	member, err := consensus.New(self.Node, identity, disk, founding, p.peers, state,
-		consensus.WithTiming(heartbeat, election), consensus.WithCompaction(compactBytes), consensus.WithCommitNotes(),
-		consensus.WithSeed(uint64(time.Now().UnixNano())), consensus.WithOnFatal(diskLost))
+	member, err := consensus.New(self.Node, identity, disk, initialGroup, p.peers, state,
+		consensus.WithTiming(heartbeatInterval, electionTimeout), consensus.WithCompaction(compactionThreshold), consensus.WithCommitNotes(),
+		consensus.WithSeed(uint64(time.Now().UnixNano())), consensus.WithOnFatal(exitOnDiskFailure))
 	if err != nil {
 		return err
 	}
@@ -84,17 +84,17 @@
 	roster := control.NewRoster()
 	poller := discovery.NewPoller(p.adapter.Source(false), discovery.TakerFunc(roster.Set), discovery.WithOnly(member.Leads))
 	server := peer.NewServer(self, &p.traffic)
-	answers := control.NewOpenServer(member, state, keeper, roster, control.WithLink(s.LinkMbps*bytesPerMbit), control.WithOrderPatience(s.OrderPatience))
-	bound := balance.BudgetConfig{Window: s.RepeatWindow}
-	sharing := control.NewSharing(member, answers, bound.TakenWithin())
-	relay := control.NewRelay(p.peers, self.Node, s.DataHall, member, answers)
-	metered := p.meterReplica(self, member, answers)
+	controlServer := control.NewOpenServer(member, state, keeper, roster, control.WithLink(s.LinkMbps*bytesPerMegabit), control.WithOrderPatience(s.OrderPatience))
+	budgetConfig := balance.BudgetConfig{Window: s.RepeatWindow}
+	sharing := control.NewSharing(member, controlServer, budgetConfig.TakenWithin())
+	relay := control.NewRelay(p.peers, self.Node, s.DataHall, member, controlServer)
+	usage := p.newUsage(self, member, controlServer)
 	if s.Rollouts.Enabled() {
-		go control.NewRolloutController(member, answers, s.Rollouts).Run(p.ctx)
+		go control.NewRolloutController(member, controlServer, s.Rollouts).Run(p.ctx)
 	}
 	if err := errors.Join(
 		server.Register(consensus.Service, member.Handler()),
-		server.Register(control.Service, answers),
+		server.Register(control.Service, controlServer),
 	); err != nil {
 		return err
 	}
@@ -108,78 +108,80 @@
 	go keeper.Run(p.ctx)
 	go poller.Run(p.ctx)
 	go p.readFirstList(roster)
-	go whenLeading(p.ctx, member, poller.Soon)
+	go onElected(p.ctx, member, poller.Soon)
 	go relay.Run(p.ctx)
 	go sharing.Run(p.ctx)
 	go control.NewIntroducer(p.peers, member, p.client).Run(p.ctx)
 	go control.NewJoiner(p.peers, self.Node, identity, member, p.client).Run(p.ctx)
-	duties := p.startDuties(self, member, answers)
-	fleet, err := p.startFleet(member, answers, duties)
+	duties := p.startDuties(self, member, controlServer)
+	fleet, err := p.startFleet(member, controlServer, duties)
 	if err != nil {
 		return err
 	}
-	if fleet != nil && metered != nil {
-		metered.reports.SetDemandSink(fleet.Take)
+	if fleet != nil && usage != nil {
+		usage.reports.SetDemandSink(fleet.Take)
 	}
-	metered.run(p.ctx)
-	if err := p.reportUsage(metered, member, answers, duties); err != nil {
+	usage.run(p.ctx)
+	if err := p.startUsageReporting(usage, member, controlServer, duties); err != nil {
 		return err
 	}
-	p.replica = &replica{member: member, server: server, duties: duties, usage: metered, fleet: fleet}
-	p.replica.operator, err = listen(s.OperatorAddr, p.adapter.Operator(&documents{client: p.client, member: member, limit: s.OperatorIn}))
+	p.replica = &replica{member: member, server: server, duties: duties, usage: usage, fleet: fleet}
+	p.replica.operator, err = listen(s.OperatorAddr, p.adapter.Operator(&documentClient{client: p.client, member: member, timeout: s.OperatorIn}))
 	return err
 }
 
-// readFirstList reads the list of targets for the entries that start together with this
-// member, before there is a leader; one that is long is left to the leader.
+// readFirstList reads the target list before a leader is elected, for entries that
+// start together with this member. A list of many pages is left to the leader.
 func (p *Process) readFirstList(roster *control.Roster) {
 	list, err := p.adapter.ShortSource().Targets(p.ctx)
 	if err != nil {
-		klog.InfoS("List of targets is left to the leader", "err", err)
+		klog.InfoS("Initial target list not read, the leader reads it", "err", err)
 		return
 	}
 	roster.SetFirst(list)
 }
 
-// leadingEvery is the pause between two looks at whether a member leads.
-const leadingEvery = 50 * time.Millisecond
+// leaderPollInterval is the interval between checks for leadership.
+const leaderPollInterval = 50 * time.Millisecond
 
-// whenLeading calls f each time a member has become the leader, until ctx ends.
-func whenLeading(ctx context.Context, m *consensus.Member, f func()) {
-	led := false
-	for pause.For(ctx, leadingEvery) {
-		leads := m.Leads()
-		if leads && !led {
+// onElected calls f each time the member becomes the leader, until ctx ends.
+func onElected(ctx context.Context, m *consensus.Member, f func()) {
+	wasLeader := false
+	for pause.For(ctx, leaderPollInterval) {
+		isLeader := m.Leads()
+		if isLeader && !wasLeader {
 			f()
 		}
-		led = leads
+		wasLeader = isLeader
 	}
 }
 
-// identity returns the disk's identity. A founder's empty disk is marked as
-// one; every other empty disk gets an identity that no group knows.
+// identity returns the disk's identity. An empty disk of a founder is marked as
+// a founder's; any other empty disk gets a new random identity, so that its node
+// has to join the group.
 func (p *Process) identity(disk wal.FS, self walnutramp.NodeName) (consensus.Identity, error) {
 	if p.settings.Founder && slices.Contains(p.settings.Seeds, self) {
 		if err := control.FoundIdentity(disk); err != nil {
-			klog.V(1).InfoS("The disk has an identity", "err", err)
+			klog.V(1).InfoS("Disk not marked as a founder's", "err", err)
 		}
 	}
 	return control.ReadIdentity(disk)
 }
 
-// diskLost ends the process: what a failed sync left behind is not known.
-func diskLost(err error) {
-	klog.ErrorS(err, "The disk failed; the process ends")
+// exitOnDiskFailure ends the process: after a failed sync the contents of the log
+// are undefined.
+func exitOnDiskFailure(err error) {
+	klog.ErrorS(err, "Disk write failed, exiting")
 	klog.Flush()
-	os.Exit(exitDiskLost)
+	os.Exit(exitDiskFailed)
 }
 
 func (r *replica) stop() {
 	r.releaseDuties()
-	ctx, cancel := context.WithTimeout(context.Background(), replicaFinish)
+	ctx, cancel := context.WithTimeout(context.Background(), replicaStopTimeout)
 	defer cancel()
 	if r.member != nil {
-		r.member.HandOver(ctx) // while it still answers, so that nobody waits for an election
+		r.member.HandOver(ctx) // before the server closes, so that no election is needed
 	}
 	r.operator.Shutdown(ctx)
 	if r.member != nil {
@@ -188,54 +190,54 @@
 	r.server.Close()
 }
 
-// documents is an operator's way to the control group.
-type documents struct {
-	client *control.Client
-	member *consensus.Member // of this process; nil for a proxy
-	limit  time.Duration
+// documentClient implements Documents through the control group.
+type documentClient struct {
+	client  *control.Client
+	member  *consensus.Member // nil for a proxy
+	timeout time.Duration
 }
 
-// begin bounds an operator's call, and takes the members that this process
-// knows as one of them.
-func (d *documents) begin(ctx context.Context) (context.Context, context.CancelFunc) {
+// prepareCall sets the call's timeout, and updates the client's member list from
+// this process's own membership.
+func (d *documentClient) prepareCall(ctx context.Context) (context.Context, context.CancelFunc) {
 	if d.member != nil {
 		d.client.LearnGroup(d.member.Status().Group.Nodes())
 	}
-	return context.WithTimeout(ctx, d.limit)
+	return context.WithTimeout(ctx, d.timeout)
 }
 
 // Offer implements Documents.
-func (d *documents) Offer(ctx context.Context, version uint64, doc []byte) error {
-	ctx, cancel := d.begin(ctx)
+func (d *documentClient) Offer(ctx context.Context, version uint64, doc []byte) error {
+	ctx, cancel := d.prepareCall(ctx)
 	defer cancel()
 	r, err := d.client.Offer(ctx, version, doc)
 	if err != nil {
 		return err
 	}
 	if r.Code != walnutramp.CodeOK {
-		return walnutramp.NewError(r.Code, walnutramp.Unknown, "the control group did not take the document")
+		return walnutramp.NewError(r.Code, walnutramp.Unknown, "the control group rejected the document")
 	}
 	return nil
 }
 
 // StartRollout implements Documents.
-func (d *documents) StartRollout(ctx context.Context, service, version string, duration time.Duration) error {
-	ctx, cancel := d.begin(ctx)
+func (d *documentClient) StartRollout(ctx context.Context, service, version string, duration time.Duration) error {
+	ctx, cancel := d.prepareCall(ctx)
 	defer cancel()
 	_, err := d.client.StartRollout(ctx, service, version, duration)
 	return err
 }
 
 // Rollout implements Documents.
-func (d *documents) Rollout(ctx context.Context, service string) (control.RolloutReply, error) {
-	ctx, cancel := d.begin(ctx)
+func (d *documentClient) Rollout(ctx context.Context, service string) (control.RolloutReply, error) {
+	ctx, cancel := d.prepareCall(ctx)
 	defer cancel()
 	return d.client.Rollout(ctx, service)
 }
 
 // Newest implements Documents.
-func (d *documents) Newest(ctx context.Context) (uint64, []byte, bool) {
-	ctx, cancel := d.begin(ctx)
+func (d *documentClient) Newest(ctx context.Context) (uint64, []byte, bool) {
+	ctx, cancel := d.prepareCall(ctx)
 	defer cancel()
 	return d.client.Newest(ctx)
 }
--- a/serve/serve.go
+++ b/serve/serve.go
@@ -1,6 +1,6 @@
-// Package serve wires the parts into a process of a site whose services,
-// operators and machines speak a dialect of their own: an entry that answers
-// clients, a member of the control group, or both.
+// Package serve assembles the server process of a site: an entry that serves
+// clients, a member of the control group, or both. Site-specific settings,
+// protocols and APIs are provided by an Adapter.
 package serve
 
 import (
@@ -25,113 +25,117 @@
 	"k8s.io/klog/v2"
 )
 
-// Settings are what a process is told when it starts. Addresses are numeric
-// host:port; an empty one means that the process does not serve it.
+// Settings configures a process. Addresses are numeric host:port; an empty
+// address disables the listener.
 type Settings struct {
 	Name         string
 	DataHall     string
 	EntryListen  string // for clients
-	ReadyListen  string // for the balancer's questions
+	ReadyListen  string // for the load balancer's readiness checks
 	OperatorAddr string // for operators
-	PeerListen   string // for the system's own nodes
+	PeerListen   string // for other nodes
 	MetricsAddr  string
 
-	Seeds      []walnutramp.NodeName // members' peer addresses
-	Founder    bool                  // this node founds the group if its disk is empty
+	Seeds      []walnutramp.NodeName // peer addresses of control group members
+	Founder    bool                  // bootstraps the control group if its disk is empty
 	DataDir    string
 	MemoryMB   int
-	LinkMbps   float64       // what the machine's link carries, in megabits a second; 0 for unknown
-	Grace      time.Duration // from the order to stop to the kill
-	OperatorIn time.Duration // in which an operator wants an answer
-	// OrderPatience is for how long an operator sends an order of a roll-out
-	// again whose answer was lost.
+	LinkMbps   float64       // capacity of the machine's link in Mbit/s; 0 if unknown
+	Grace      time.Duration // grace period from the stop request to the kill
+	OperatorIn time.Duration // timeout of operator calls
+	// OrderPatience is how long operators retry a roll-out order whose response
+	// was lost.
 	OrderPatience time.Duration
 
-	// FailClosed has entries refuse new work while they can't tell whether
-	// what they hold is the newest.
+	// FailClosed makes entries reject new requests while they can't confirm that
+	// their configuration is the latest.
 	FailClosed bool
 
-	// Rollouts bounds what new versions of services may do before they are
-	// known to be good; not enabled where there are no roll-outs.
+	// Rollouts limits the exposure of new service versions until they are verified.
+	// Roll-outs are disabled unless it is set.
 	Rollouts rollout.Bounds
 
-	// Topology tells how far the site's data halls are from each other.
+	// Topology holds the distances between the site's data halls.
 	Topology topology.Map
 
-	// Duties bounds the calls to the platform that one node at a time makes;
-	// not enabled where there are none.
+	// Duties configures the leases for platform calls that only one node at a time
+	// may make. They are disabled unless it is set.
 	Duties   duty.Config
-	Metering metering.Config // of requests; not enabled where nothing is metered
-	Scales   bool            // services' targets are ordered from the platform
+	Metering metering.Config // of requests; disabled unless set
+	Scales   bool            // scale services through the platform
 
-	Policy balance.Policy // by which targets are chosen; empty for the default
+	Policy balance.Policy // load balancing policy; empty for the default
 
-	RepeatRatio  float64 // of the site's bound on repeated sends
+	RepeatRatio  float64 // of the site's retry budget
 	RepeatSlack  float64
 	RepeatWindow time.Duration
 }
 
-// Adapter speaks a site's dialect for the process.
+// Adapter connects the process to a site's settings, protocols and platform.
 type Adapter interface {
-	// Settings reads the settings file again.
+	// Settings reads the settings file.
 	Settings() (Settings, error)
-	// Names returns the header names of clients and targets.
+	// Names returns the names of the HTTP headers that clients and targets use.
 	Names() gateway.Names
-	// Table reads a document into the form the gateway uses.
+	// Table parses a configuration document into the gateway's routing table.
 	Table(doc []byte) (*gateway.Table, error)
-	// Source reads the site's list of targets. One that may rely on another
-	// node's reading leaves long lists to it.
+	// Source returns the source of the site's target list. A reliant source leaves
+	// lists of many pages to another node, which distributes them.
 	Source(reliant bool) discovery.Source
-	// ShortSource reads the list once, if it has few pages.
+	// ShortSource returns a source that reads the list only if it has few pages.
 	ShortSource() discovery.Source
-	// PassedOver is how many entries of the list named no target to use so far.
+	// PassedOver returns how many list entries were skipped as unusable so far.
 	PassedOver() uint64
-	// Operator answers operators.
+	// Operator returns the handler of the operator API.
 	Operator(d Documents) http.Handler
-	// Ready answers the balancer.
+	// Ready returns the handler of the load balancer's readiness checks.
 	Ready(ready func() bool) http.Handler
-	// Platform makes the site's calls that one process at a time may make.
+	// Platform returns the client of the site's platform.
 	Platform() (Platform, error)
 }
 
-// Documents is what an operator's calls change and read.
+// Documents gives the operator API access to configuration documents and
+// roll-outs.
 type Documents interface {
-	// Offer hands over a document that was checked.
+	// Offer submits a validated document.
 	Offer(ctx context.Context, version uint64, doc []byte) error
-	// Newest returns the newest document, confirmed; false if none can be.
+	// Newest returns the latest committed document, or false if the control group
+	// could not confirm one.
 	Newest(ctx context.Context) (version uint64, doc []byte, ok bool)
-	// StartRollout orders a service to be brought to a version within a time.
-	// An error that is final is a *walnutramp.Error.
+	// StartRollout starts the roll-out of a service's version, to be completed
+	// within duration. Errors that a retry can't resolve are *walnutramp.Error.
 	StartRollout(ctx context.Context, service, version string, duration time.Duration) error
-	// Rollout returns the newest roll-out of a service, confirmed.
+	// Rollout returns the latest roll-out of a service, as confirmed by the control
+	// group.
 	Rollout(ctx context.Context, service string) (control.RolloutReply, error)
 }
 
-// The share of a process's memory that the Go heap may take before the
-// collector works harder.
-const memoryShare = 0.6
+// heapShare is the share of a process's memory limit that is set as the Go
+// runtime's soft memory limit.
+const heapShare = 0.6
 
-// Process is a running process.
+// Process is a running entry, control group member, or both.
 type Process struct {
-	settings Settings
-	adapter  Adapter
-	traffic  peer.Traffic
-	peers    *peer.Client
-	client   *control.Client
-	entry    *entry
-	replica  *replica
-	metrics  *http.Server
-	dropped  func() int // log lines
-	ctx      context.Context
-	cancel   context.CancelFunc
+	settings        Settings
+	adapter         Adapter
+	traffic         peer.Traffic
+	peers           *peer.Client
+	client          *control.Client
+	entry           *entry
+	replica         *replica
+	metrics         *http.Server
+	droppedLogLines func() int
+	ctx             context.Context
+	cancel          context.CancelFunc
 }
 
-// New starts a process; dropped counts the log lines that were dropped.
+// New starts a process. dropped returns the number of log lines dropped so far,
+// for the metrics; it may be nil.
 func New(s Settings, a Adapter, dropped func() int) (*Process, error) {
 	if s.MemoryMB > 0 {
-		debug.SetMemoryLimit(int64(float64(s.MemoryMB<<20) * memoryShare))
+		debug.SetMemoryLimit(int64(float64(s.MemoryMB<<20) * heapShare))
 	}
-	p := &Process{settings: s, adapter: a, dropped: dropped}
+	p := &Process{settings: s, adapter: a, droppedLogLines: dropped}
 	p.ctx, p.cancel = context.WithCancel(context.Background())
 	self := peer.Identity{Site: siteName, Node: walnutramp.NodeName(s.PeerListen)}
 	p.peers = peer.NewClient(self, dialer().DialContext, directory{}, &p.traffic)
@@ -161,18 +165,18 @@
 	return errors.Wrap(p.serveMetrics(), "metrics")
 }
 
-// siteName is what nodes of one site say to each other; sites do not share
-// networks.
+// siteName is the site in the peer handshake. It is the same for all sites, as
+// they do not share networks.
 const siteName = "site"
 
-// directory finds nodes whose names are their peer addresses.
+// directory resolves node names, which are the nodes' peer addresses.
 type directory struct{}
 
 // Address implements peer.Addresses.
 func (directory) Address(node walnutramp.NodeName) (string, bool) { return string(node), node != "" }
 
-// Times of connections between nodes: a link that was cut says nothing, so
-// the kernel is told to give up.
+// Parameters of connections between nodes. TCP keep-alives detect a cut link,
+// which sends no reset.
 const (
 	peerDialTimeout   = 500 * time.Millisecond
 	peerKeepAliveIdle = 1 * time.Second
@@ -184,11 +188,12 @@
 	}}
 }
 
-// Reload takes what may change while the process runs: the seeds.
+// Reload rereads the settings file and applies the seeds, the only setting that
+// can change while the process runs.
 func (p *Process) Reload() {
 	s, err := p.adapter.Settings()
 	if err != nil {
-		klog.ErrorS(err, "Settings not reloaded")
+		klog.ErrorS(err, "Failed to reload settings")
 		return
 	}
 	klog.InfoS("Settings reloaded", "seeds", s.Seeds)
@@ -197,8 +202,8 @@
 	}
 }
 
-// Stop ends the process as planned: what is under way is finished, as far as
-// the grace lets it.
+// Stop shuts the process down gracefully: requests in flight may finish within
+// the grace period.
 func (p *Process) Stop() {
 	klog.InfoS("Process stops", "name", p.settings.Name, "grace", p.settings.Grace)
 	if p.entry != nil {
