--- a/node/booking_test.go
+++ b/node/booking_test.go
@@ -22,22 +22,22 @@
 )
 
 const (
-	bookingSeeds  = 60
-	bookingKeys   = 8
-	bookingTries  = 6
-	bookingEvents = 12
+	bookingSeeds    = 60
+	bookingKeys     = 8
+	bookingAttempts = 6
+	bookingEvents   = 12
 )
 
-// booking is what the callers of one key were told, in order.
+// booking records the results of all requests with one idempotency key.
 type booking struct {
-	key     string
-	answers []bool // an answer came
-	runs    int    // by the service's own count
+	key      string
+	answered []bool // for each request, in order
+	runs     int    // as counted by the service
 }
 
-// TestBookingsRunAtMostOnce sends each booking again and again, through any
-// node, while nodes with and without disks crash, links are cut and the
-// service loses answers. The service's own count is the judge.
+// TestBookingsRunAtMostOnce guards against duplicate execution: bookings are
+// retried through random nodes while nodes crash, links are cut and responses are
+// lost, and the service counts how often each one ran.
 func TestBookingsRunAtMostOnce(t *testing.T) {
 	for seed := range uint64(bookingSeeds) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -51,26 +51,25 @@
 	}
 }
 
-// TestSendingBeforeTheClaimIsCaught breaks the rule that a booking is claimed
-// before it is sent; the schedules must show it.
-func TestSendingBeforeTheClaimIsCaught(t *testing.T) {
-	caught := 0
+// TestBookingScheduleDetectsSendBeforeClaim checks that the schedules detect
+// duplicate runs if bookings are sent before they are claimed.
+func TestBookingScheduleDetectsSendBeforeClaim(t *testing.T) {
+	violations := 0
 	for seed := range uint64(4) {
 		synctest.Test(t, func(t *testing.T) {
-			rule := node.WithCallerOptions(caller.WithSendBeforeClaim())
-			for _, b := range runBookings(t, seed, rule) {
+			brokenRule := node.WithCallerOptions(caller.WithSendBeforeClaim())
+			for _, b := range runBookings(t, seed, brokenRule) {
 				if b.violation() != "" {
-					caught++
+					violations++
 				}
 			}
 		})
 	}
-	require.NotZero(t, caught)
-	t.Logf("%d of %d bookings ran more than once", caught, 4*bookingKeys)
+	require.NotZero(t, violations)
+	t.Logf("%d of %d bookings broke the at-most-once guarantee", violations, 4*bookingKeys)
 }
 
-// runBookings runs the schedule of a seed and returns what became of each
-// booking.
+// runBookings runs the schedule of a seed and returns the results of the bookings.
 func runBookings(t *testing.T, seed uint64, opts ...node.Option) []booking {
 	cfg := site.Default()
 	cfg.NodeOpt = opts
@@ -82,7 +81,7 @@
 	require.NoError(t, s.AwaitMembers(t.Context()))
 	rt := s.Transport()
 	c := &chaos{t: t, rng: rand.New(rand.NewPCG(seed, 13)), site: s, net: net, down: map[int]bool{}}
-	addresses := addressesOf(s)
+	addresses := callerAddresses(s)
 	client := load.NewClient(rt, addresses)
 	results := make([]booking, bookingKeys)
 	var wg sync.WaitGroup
@@ -105,25 +104,25 @@
 	return results
 }
 
-// book sends one booking until it is answered, or a number of times, twice at
-// once now and then.
+// book sends one booking bookingAttempts times, at random with a concurrent
+// duplicate through another node.
 func book(ctx context.Context, client *load.Client, rng *rand.Rand, key string) booking {
 	b := booking{key: key}
-	for range bookingTries {
+	for range bookingAttempts {
 		time.Sleep(time.Duration(rng.IntN(1500)) * time.Millisecond)
 		call := load.Call{
 			APIKey: site.KeyOf("clerks"), Key: key, Method: http.MethodPost,
 			Path: site.ServiceName + "/bookings", Body: key, First: rng.IntN(5),
 		}
 		if rng.IntN(3) == 0 {
-			twin := call
-			twin.First++
-			go client.Call(ctx, twin)
+			duplicate := call
+			duplicate.First++
+			go client.Call(ctx, duplicate)
 		}
 		_, err := client.Call(ctx, call)
-		b.answers = append(b.answers, err == nil)
+		b.answered = append(b.answered, err == nil)
 	}
-	time.Sleep(20 * time.Second) // twins end
+	time.Sleep(20 * time.Second) // let duplicates finish
 	return b
 }
 
@@ -138,12 +137,12 @@
 	return walnutramp.Unknown
 }
 
-// violation says which promise was broken, if any.
+// violation describes the violated guarantee, or returns "" if there is none.
 func (b *booking) violation() string {
 	if b.runs > 1 {
 		return fmt.Sprintf("%s ran %d times", b.key, b.runs)
 	}
-	if slices.Contains(b.answers, true) && b.runs != 1 {
+	if slices.Contains(b.answered, true) && b.runs != 1 {
 		return fmt.Sprintf("%s was answered and ran %d times", b.key, b.runs)
 	}
 	return ""
@@ -166,9 +165,9 @@
 	}
 }
 
-// TestNotRunIsTrue breaks things at each place where a caller of a booking is
-// told that it did not run, and counts the runs.
-func TestNotRunIsTrue(t *testing.T) {
+// TestNotRunOutcomeMeansNoRun checks, for each failure that is reported with the
+// outcome not-run, that the service did not run the booking.
+func TestNotRunOutcomeMeansNoRun(t *testing.T) {
 	cases := map[string]func(s *site.Site, net *site.Memory) load.Call{
 		"no key": func(*site.Site, *site.Memory) load.Call { return load.Call{Key: ""} },
 		"control group without a majority": func(s *site.Site, _ *site.Memory) load.Call {
@@ -219,7 +218,7 @@
 				time.Sleep(time.Second)
 				call := prepare(s, net)
 				call.APIKey, call.Method, call.Path = site.KeyOf("clerks"), http.MethodPost, site.ServiceName+"/bookings"
-				addresses := addressesOf(s)
+				addresses := callerAddresses(s)
 				client := load.NewClient(s.Transport(), addresses)
 				defer client.HTTP.CloseIdleConnections()
 				_, err = client.Call(t.Context(), call)
--- a/node/chaos_test.go
+++ b/node/chaos_test.go
@@ -21,16 +21,16 @@
 	"github.com/walnutramp/walnutramp/standin"
 )
 
-// Sizes of the seeded schedules.
+// Parameters of the random failure schedules.
 const (
-	chaosSeeds  = 120
-	brokenSeeds = 60 // under a rule that is broken on purpose
-	chaosDrafts = 6
-	chaosEvents = 14
-	chaosDelay  = 15 * time.Millisecond // one way, between nodes
+	chaosSeeds      = 120
+	brokenRuleSeeds = 60 // for runs with a safety rule disabled
+	chaosDrafts     = 6
+	chaosEvents     = 14
+	chaosDelay      = 15 * time.Millisecond // one way, between nodes
 )
 
-// chaos is one seeded schedule of failures over a whole site in virtual time.
+// chaos runs a seeded random schedule of failures on a site in virtual time.
 type chaos struct {
 	t    *testing.T
 	rng  *rand.Rand
@@ -39,7 +39,7 @@
 	down map[int]bool // nodes
 }
 
-// chaosOutcome is what the callers of one schedule saw.
+// chaosOutcome sums up the results that the callers of one schedule received.
 type chaosOutcome struct {
 	verdict  standin.Verdict
 	complete int
@@ -71,14 +71,14 @@
 	require.NoError(t, c.site.AwaitMembers(ctx))
 	time.Sleep(time.Second)
 	rt := c.site.Transport()
-	addresses := addressesOf(c.site)
-	out := c.drive(ctx, load.NewClient(rt, addresses))
+	addresses := callerAddresses(c.site)
+	out := c.runDrafts(ctx, load.NewClient(rt, addresses))
 	rt.CloseIdleConnections()
 	c.site.Close()
 	return out
 }
 
-func (c *chaos) drive(ctx context.Context, client *load.Client) chaosOutcome {
+func (c *chaos) runDrafts(ctx context.Context, client *load.Client) chaosOutcome {
 	results := make([]load.Drafted, chaosDrafts)
 	var wg sync.WaitGroup
 	for i := range results {
@@ -106,7 +106,7 @@
 	return out
 }
 
-// event makes one thing fail or come back.
+// event injects one random failure, or repairs one.
 func (c *chaos) event() {
 	engine := c.site.Engines[c.rng.IntN(len(c.site.Engines))]
 	a, b := c.rng.IntN(5), c.rng.IntN(5)
@@ -132,7 +132,7 @@
 	}
 }
 
-// toggle kills a node, or starts it again; at most two are down at once.
+// toggle kills a node or restarts it; at most two are down at once.
 func (c *chaos) toggle(i int) {
 	if c.down[i] {
 		require.NoError(c.t, c.site.Nodes[i].Start())
@@ -156,27 +156,28 @@
 	}
 }
 
-// honest are the codes a caller may end with when a draft can't go on.
-var honest = []walnutramp.Code{
+// allowedCodes are the error codes with which a draft may fail under chaos.
+var allowedCodes = []walnutramp.Code{
 	walnutramp.CodeNotProvable, walnutramp.CodeGenerationUnknown, walnutramp.CodeOutOfTargets,
 	walnutramp.CodeNoTarget, walnutramp.CodeSeamRefused,
 }
 
-// violation says which promise a schedule broke, if any.
+// violation describes the violated guarantee, or returns "" if there is none.
 func (o chaosOutcome) violation() string {
 	if !o.verdict.OK() {
-		return fmt.Sprintf("callers saw %+v", o.verdict)
+		return fmt.Sprintf("token errors: %+v", o.verdict)
 	}
 	for code := range o.refused {
-		if !slices.Contains(honest, code) {
-			return fmt.Sprintf("a caller was told %v", code)
+		if !slices.Contains(allowedCodes, code) {
+			return fmt.Sprintf("unexpected error code %v", code)
 		}
 	}
 	return ""
 }
 
-// schedules runs so many seeds, several at once, and returns what each showed.
-func schedules(t *testing.T, seeds int, change func(*site.Config)) []chaosOutcome {
+// runSchedules runs the schedules of the seeds below seeds in parallel and returns
+// their outcomes.
+func runSchedules(t *testing.T, seeds int, change func(*site.Config)) []chaosOutcome {
 	outcomes := make([]chaosOutcome, seeds)
 	t.Run("seeds", func(t *testing.T) {
 		for seed := range outcomes {
@@ -189,43 +190,42 @@
 	return outcomes
 }
 
-// TestChaosNeverBreaksATokenPromise runs seeded schedules of dying, pausing
-// and restarting engines and nodes and of cuts between nodes. However they
-// fall, no caller may see a token missing, repeated or mixed, and a caller
-// whose draft does not complete is told so by an honest code.
-func TestChaosNeverBreaksATokenPromise(t *testing.T) {
+// TestChaosKeepsTokenSequenceExact guards against missing, repeated or mixed tokens
+// while engines and nodes crash, pause and restart and links are cut. A draft that
+// fails must end with one of allowedCodes.
+func TestChaosKeepsTokenSequenceExact(t *testing.T) {
 	complete := 0
-	for seed, out := range schedules(t, chaosSeeds, nil) {
+	for seed, out := range runSchedules(t, chaosSeeds, nil) {
 		require.Empty(t, out.violation(), "seed %d", seed)
 		complete += out.complete
 	}
-	t.Logf("%d of %d drafts complete", complete, chaosSeeds*chaosDrafts)
-	require.Greater(t, complete, chaosSeeds*chaosDrafts*9/10, "most drafts must survive")
+	t.Logf("%d of %d drafts completed", complete, chaosSeeds*chaosDrafts)
+	require.Greater(t, complete, chaosSeeds*chaosDrafts*9/10, "too few drafts completed")
 }
 
-// requireCaught runs the schedules under a broken safety rule; some must show
-// it, or the test above could not fail.
-func requireCaught(t *testing.T, change func(*site.Config)) {
-	caught := 0
-	for seed, out := range schedules(t, brokenSeeds, change) {
+// requireViolationDetected runs the schedules with a safety rule disabled and checks
+// that at least one detects it.
+func requireViolationDetected(t *testing.T, change func(*site.Config)) {
+	violations := 0
+	for seed, out := range runSchedules(t, brokenRuleSeeds, change) {
 		if v := out.violation(); v != "" {
-			caught++
+			violations++
 			t.Logf("seed %d: %s", seed, v)
 		}
 	}
-	require.NotZero(t, caught, "no schedule caught the broken rule")
+	require.NotZero(t, violations, "no schedule detected the disabled rule")
 }
 
-// TestChaosCatchesEarlyRelease releases tokens before the majority holds them.
-func TestChaosCatchesEarlyRelease(t *testing.T) {
-	requireCaught(t, func(c *site.Config) {
+// TestChaosDetectsEarlyRelease releases tokens before a majority has replicated them.
+func TestChaosDetectsEarlyRelease(t *testing.T) {
+	requireViolationDetected(t, func(c *site.Config) {
 		c.NodeOpt = append(c.NodeOpt, node.WithGenerationOptions(generation.WithBrokenRule(generation.BreakRelease)))
 	})
 }
 
-// TestForgottenReplicaCaught shows that the session in which a replica forgets
-// can fail: with the rule broken its transcript is not the golden one.
-func TestForgottenReplicaCaught(t *testing.T) {
+// TestSessionDetectsReplicaAmnesia checks that the replica_forgets session detects a
+// violation: with the rule disabled its transcript differs from the golden one.
+func TestSessionDetectsReplicaAmnesia(t *testing.T) {
 	doc, err := os.ReadFile("testdata/sessions/replica_forgets.txt")
 	require.NoError(t, err)
 	script, want, _ := strings.Cut(string(doc), divider)
--- a/node/control.go
+++ b/node/control.go
@@ -12,9 +12,10 @@
 	"github.com/walnutramp/walnutramp/placement"
 )
 
-// wireControl connects the node to the control group, and makes it a member
-// where it has a disk and is one of the founders or was added since.
-func (n *Node) wireControl() error {
+// setupControl creates the control group client, and on nodes with a disk the
+// consensus member. Only founders start with the initial group; other nodes have
+// to be added to it.
+func (n *Node) setupControl() error {
 	if len(n.cfg.Control) == 0 {
 		return nil
 	}
@@ -26,13 +27,13 @@
 	if err != nil {
 		return err
 	}
-	var founding consensus.Group
+	var initialGroup consensus.Group
 	if identity == consensus.Founder {
-		founding = control.FoundingGroup(n.cfg.Control)
+		initialGroup = control.FoundingGroup(n.cfg.Control)
 	}
 	n.voterState = control.NewState()
 	opts := append([]consensus.Option{consensus.WithSeed(n.cfg.Seed)}, n.cfg.ControlOpt...)
-	n.voter, err = consensus.New(n.cfg.Name, identity, n.cfg.Disk, founding, n.peers, n.voterState, opts...)
+	n.voter, err = consensus.New(n.cfg.Name, identity, n.cfg.Disk, initialGroup, n.peers, n.voterState, opts...)
 	return err
 }
 
@@ -57,16 +58,16 @@
 		n.control.Start()
 	}
 	if n.voter != nil {
-		n.placer = placement.NewController(leadership{n.voter}, n.pool, n.bundle.Load)
-		n.placer.Start()
+		n.placement = placement.NewController(placementLeader{n.voter}, n.pool, n.bundle.Load)
+		n.placement.Start()
 	}
 }
 
-// leadership shows the control group's leadership to placement.
-type leadership struct{ *consensus.Member }
+// placementLeader adapts a consensus member to placement.Leader.
+type placementLeader struct{ *consensus.Member }
 
-// Term implements placement.Leader.
-func (l leadership) Term() uint64 {
+// Term implements placement.Leader. It returns 0 unless this node is the leader.
+func (l placementLeader) Term() uint64 {
 	if !l.Leads() {
 		return 0
 	}
@@ -74,8 +75,8 @@
 }
 
 func (n *Node) closeControl() {
-	if n.placer != nil {
-		n.placer.Close()
+	if n.placement != nil {
+		n.placement.Close()
 	}
 	if n.control != nil {
 		n.control.Close()
@@ -85,23 +86,23 @@
 	}
 }
 
-// inForce reports whether the node may take new work: always where the bundle
-// comes from a file, else while it holds the lease.
+// inForce reports whether the node may accept new requests: always if the bundle
+// comes from a file, otherwise while the control group's lease is valid.
 func (n *Node) inForce() bool { return n.control == nil || n.control.InForce() }
 
-// Control returns the node's way to the control group, nil if it has none.
+// Control returns the control group client, or nil without a control group.
 func (n *Node) Control() *control.Client { return n.control }
 
-// Voter returns the node's part in the control group, nil if it has none.
+// Voter returns the node's consensus member, or nil without a control group or disk.
 func (n *Node) Voter() *consensus.Member { return n.voter }
 
-// BundleVersion returns the version in force on this node.
+// BundleVersion returns the version of the bundle in force on this node.
 func (n *Node) BundleVersion() uint64 { return n.bundle.Load().Version }
 
-// statusService answers other nodes for the operators.
+// statusService serves the node's status to the other nodes.
 type statusService struct{ n *Node }
 
-// Status implements the RPC for a node's status.
+// Status handles the RPC that returns the node's status.
 func (s *statusService) Status(_ operator.StatusArgs, reply *operator.NodeStatus) error {
 	*reply = s.n.status()
 	return nil
@@ -114,11 +115,11 @@
 	}
 }
 
-const statusLimit = 1 * time.Second
+const statusTimeout = 1 * time.Second
 
-// statusOfAll asks every node that is not known to have left.
+// statusOfAll returns this node's status and that of all live nodes.
 func (n *Node) statusOfAll(ctx context.Context) []operator.NodeStatus {
-	ctx, cancel := context.WithTimeout(ctx, statusLimit)
+	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
 	others := n.members.Live()
 	all := make([]operator.NodeStatus, len(others)+1)
--- a/node/discovery.go
+++ b/node/discovery.go
@@ -12,12 +12,12 @@
 		return
 	}
 	client := resty.New().SetTransport(&http.Transport{DialContext: n.cfg.Dial, DisableKeepAlives: true})
-	n.instances = discovery.NewWatch(client, n.cfg.Platform, n.members, n.router)
-	n.instances.Start()
+	n.instanceWatch = discovery.NewWatch(client, n.cfg.Platform, n.members, n.router)
+	n.instanceWatch.Start()
 }
 
 func (n *Node) closeDiscovery() {
-	if n.instances != nil {
-		n.instances.Close()
+	if n.instanceWatch != nil {
+		n.instanceWatch.Close()
 	}
 }
--- a/node/ends_test.go
+++ b/node/ends_test.go
@@ -17,25 +17,24 @@
 	"github.com/walnutramp/walnutramp/standin"
 )
 
-const fatal = "ends the target that runs it"
+const fatalInput = "crashes the target that runs it"
 
-// restartEnded counts targets whose address nobody listens at any more, and starts
-// the engines again.
-func (s running) restartEnded(t *testing.T) (ended int) {
+// restartCrashed restarts the engines that no longer listen, and returns their number.
+func (s runningSite) restartCrashed(t *testing.T) (crashed int) {
 	for _, e := range s.Engines {
 		c, err := s.net.Dialer("test")(t.Context(), "tcp", e.Target.Address)
 		if err == nil {
 			c.Close()
 			continue
 		}
-		ended++
+		crashed++
 		require.NoError(t, e.Start())
 	}
-	return ended
+	return crashed
 }
 
-// complete asks a node for a completion once.
-func (s running) complete(t *testing.T, node int, body string) (*http.Response, string) {
+// complete sends one completion request to a node.
+func (s runningSite) complete(t *testing.T, node int, body string) (*http.Response, string) {
 	address := s.Nodes[node%len(s.Nodes)].Callers
 	r, err := http.NewRequestWithContext(t.Context(), http.MethodPost, "http://"+address+"/v1/completions", strings.NewReader(body))
 	require.NoError(t, err)
@@ -48,14 +47,13 @@
 	return resp, string(answer)
 }
 
-// A draft whose prompt ends its engines, again and again and at every node: it
-// ends three engines, and is then refused as not run. Drafts beside it are
-// served whole.
-func TestDraftThatEndsItsEnginesIsHeldBack(t *testing.T) {
-	inSite(t, func(cfg *site.Config) {
+// Guards against a prompt that crashes engine after engine: after three crashes it
+// must be rejected as not run at every node, while other drafts complete.
+func TestDraftThatCrashesEnginesIsQuarantined(t *testing.T) {
+	withSite(t, func(cfg *site.Config) {
 		cfg.Nodes, cfg.Engines = 3, 10
-		cfg.Engine.FatalPrompt = fatal
-	}, func(t *testing.T, s running) {
+		cfg.Engine.FatalPrompt = fatalInput
+	}, func(t *testing.T, s runningSite) {
 		model := standin.DefaultEngineConfig().Model
 		var others sync.WaitGroup
 		for i := range 6 {
@@ -66,52 +64,52 @@
 				require.True(t, d.Complete && d.Verdict.OK(), "%+v", d.Refused)
 			})
 		}
-		ended := 0
+		crashed := 0
 		var last *http.Response
-		var told string
+		var body string
 		for i := range 6 {
-			last, told = s.complete(t, i, fmt.Sprintf(`{"model":%q,"prompt":%q,"max_tokens":50}`, model, fatal))
-			ended += s.restartEnded(t)
+			last, body = s.complete(t, i, fmt.Sprintf(`{"model":%q,"prompt":%q,"max_tokens":50}`, model, fatalInput))
+			crashed += s.restartCrashed(t)
 			time.Sleep(time.Second)
 		}
 		others.Wait()
-		t.Logf("%d engines ended", ended)
-		require.LessOrEqual(t, ended, 3)
+		t.Logf("%d engines crashed", crashed)
+		require.LessOrEqual(t, crashed, 3)
 		require.Equal(t, http.StatusServiceUnavailable, last.StatusCode)
-		require.Contains(t, told, strconv.Itoa(int(walnutramp.CodeHeldBack)))
-		require.Contains(t, told, string(walnutramp.NotRun))
+		require.Contains(t, body, strconv.Itoa(int(walnutramp.CodeHeldBack)))
+		require.Contains(t, body, string(walnutramp.NotRun))
 		require.NotEmpty(t, last.Header.Get("Retry-After"))
 	})
 }
 
-// A plain call that ends its targets: one that may be repeated, and one that
-// runs once under a new key each time.
-func TestCallThatEndsItsTargetsIsHeldBack(t *testing.T) {
-	for _, way := range []struct{ name, method, path string }{
-		{"repeated by the system", http.MethodGet, "/lookup/x"}, {"repeated by its caller", http.MethodPost, "/bookings"},
+// Guards against a call that crashes service after service, both if the node retries
+// it and if the caller sends it again with a new idempotency key.
+func TestCallThatCrashesTargetsIsQuarantined(t *testing.T) {
+	for _, tc := range []struct{ name, method, path string }{
+		{"retried by the node", http.MethodGet, "/lookup/x"}, {"retried by the caller", http.MethodPost, "/bookings"},
 	} {
-		t.Run(way.name, func(t *testing.T) {
-			inSite(t, func(cfg *site.Config) {
+		t.Run(tc.name, func(t *testing.T) {
+			withSite(t, func(cfg *site.Config) {
 				cfg.Nodes, cfg.Control, cfg.Services = 3, 3, 8
-				cfg.ServiceCfg = standin.ServiceConfig{Delay: 20 * time.Millisecond, FatalBody: fatal}
-			}, func(t *testing.T, s running) {
+				cfg.ServiceCfg = standin.ServiceConfig{Delay: 20 * time.Millisecond, FatalBody: fatalInput}
+			}, func(t *testing.T, s runningSite) {
 				var err error
 				for i := range 6 {
 					_, err = s.client.Call(t.Context(), load.Call{
-						APIKey: site.KeyOf("clerks"), Key: fmt.Sprintf("key %d", i), Method: way.method,
-						Path: site.ServiceName + way.path, Body: fatal, First: i,
+						APIKey: site.KeyOf("clerks"), Key: fmt.Sprintf("key %d", i), Method: tc.method,
+						Path: site.ServiceName + tc.path, Body: fatalInput, First: i,
 					})
 					require.Error(t, err)
 					time.Sleep(500 * time.Millisecond)
 				}
-				ran := 0
+				runs := 0
 				for _, svc := range s.Services {
 					for _, n := range svc.Runs() {
-						ran += n
+						runs += n
 					}
 				}
-				t.Logf("%d services ended", ran)
-				require.LessOrEqual(t, ran, 3)
+				t.Logf("%d services crashed", runs)
+				require.LessOrEqual(t, runs, 3)
 				require.Equal(t, walnutramp.NotRun, outcomeOf(err))
 			})
 		})
--- a/node/formats_test.go
+++ b/node/formats_test.go
@@ -7,5 +7,5 @@
 	"github.com/walnutramp/walnutramp/node"
 )
 
-// What is sent.
+// Types sent between nodes.
 func TestFormats(t *testing.T) { schema.Check(t, node.Told{}, node.TellReply{}) }
--- a/node/insite_test.go
+++ b/node/insite_test.go
@@ -10,16 +10,16 @@
 	"github.com/walnutramp/walnutramp/load"
 )
 
-// running is a site in virtual time and a client of its nodes.
-type running struct {
+// runningSite is a site in virtual time with a client for its nodes.
+type runningSite struct {
 	*site.Site
 	net    *site.Memory
 	client *load.Client
 }
 
-// inSite runs f in virtual time against the default site with cfg's changes,
-// once its nodes see each other and have heard of their targets.
-func inSite(t *testing.T, change func(*site.Config), f func(t *testing.T, s running)) {
+// withSite runs f in virtual time against the default site, modified by change, once
+// the nodes have discovered each other and received their targets' load reports.
+func withSite(t *testing.T, change func(*site.Config), f func(t *testing.T, s runningSite)) {
 	synctest.Test(t, func(t *testing.T) {
 		cfg := site.Default()
 		net := site.NewMemory()
@@ -32,13 +32,13 @@
 		defer s.Close()
 		require.NoError(t, s.AwaitMembers(t.Context()))
 		time.Sleep(time.Second)
-		client := load.NewClient(s.Transport(), addressesOf(s))
+		client := load.NewClient(s.Transport(), callerAddresses(s))
 		defer client.HTTP.CloseIdleConnections()
-		f(t, running{s, net, client})
+		f(t, runningSite{s, net, client})
 	})
 }
 
-func addressesOf(s *site.Site) []string {
+func callerAddresses(s *site.Site) []string {
 	var addresses []string
 	for _, n := range s.Nodes {
 		addresses = append(addresses, n.Callers)
--- a/node/main_test.go
+++ b/node/main_test.go
@@ -8,7 +8,7 @@
 	"k8s.io/klog/v2"
 )
 
-// TestMain keeps the nodes' logs out of the tests' output.
+// TestMain discards the nodes' log output.
 func TestMain(m *testing.M) {
 	klog.LogToStderr(false)
 	klog.SetOutput(io.Discard)
--- a/node/metrics.go
+++ b/node/metrics.go
@@ -12,7 +12,7 @@
 	"github.com/walnutramp/walnutramp/slo"
 )
 
-// Resume is a generation that was taken up again.
+// Resume describes a generation that was resumed after a failure.
 type Resume struct {
 	Generation walnutramp.GenerationID
 	How        string
@@ -20,20 +20,21 @@
 	Recomputed int // tokens
 }
 
-// metricSet is one node's metrics; several nodes may run in one process.
-type metricSet struct {
-	set      *metrics.Set
-	onResume func(Resume)
-	tracker  *slo.Tracker
-	takeover *metrics.Counter
-	refused  *metrics.Counter
+// nodeMetrics holds one node's metrics. It does not use the global set, as
+// several nodes may run in one process.
+type nodeMetrics struct {
+	set              *metrics.Set
+	onResume         func(Resume)
+	tracker          *slo.Tracker
+	takeovers        *metrics.Counter
+	refusedTakeovers *metrics.Counter
 }
 
-func newMetricSet(n *Node) *metricSet {
-	m := &metricSet{set: metrics.NewSet(), onResume: n.cfg.OnResume}
+func newMetricSet(n *Node) *nodeMetrics {
+	m := &nodeMetrics{set: metrics.NewSet(), onResume: n.cfg.OnResume}
 	m.tracker = slo.NewTracker(func() []bundle.Objective { return n.bundle.Load().Objectives })
-	m.takeover = m.set.NewCounter("walnutramp_takeovers_total")
-	m.refused = m.set.NewCounter("walnutramp_takeovers_refused_total")
+	m.takeovers = m.set.NewCounter("walnutramp_takeovers_total")
+	m.refusedTakeovers = m.set.NewCounter("walnutramp_takeovers_refused_total")
 	m.set.NewGauge("walnutramp_generations_held", func() float64 { return float64(n.generations.Store().Len()) })
 	m.set.NewGauge("walnutramp_nodes_live", func() float64 { return float64(len(n.members.Live()) + 1) })
 	m.set.NewGauge("walnutramp_bundle_version", func() float64 { return float64(n.bundle.Load().Version) })
@@ -43,42 +44,42 @@
 	return m
 }
 
-// serveReport answers with the node's own counts against the objectives.
-func (m *metricSet) serveReport(w http.ResponseWriter, _ *http.Request) {
+// serveReport writes the node's own service-level report as JSON.
+func (m *nodeMetrics) serveReport(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "application/json")
 	json.NewEncoder(w).Encode(m.tracker.Report())
 }
 
-func (m *metricSet) serve(w http.ResponseWriter, _ *http.Request) {
+func (m *nodeMetrics) serve(w http.ResponseWriter, _ *http.Request) {
 	m.set.WritePrometheus(w)
 	metrics.WriteProcessMetrics(w)
 }
 
 // Answered implements caller.Observer.
-func (m *metricSet) Answered(code walnutramp.Code) {
+func (m *nodeMetrics) Answered(code walnutramp.Code) {
 	m.set.GetOrCreateCounter(fmt.Sprintf(`walnutramp_answers_total{code="%d"}`, int(code))).Inc()
 }
 
 // FirstToken implements caller.Observer.
-func (m *metricSet) FirstToken(a walnutramp.ClientAccount, model walnutramp.ModelName, d time.Duration) {
+func (m *nodeMetrics) FirstToken(a walnutramp.ClientAccount, model walnutramp.ModelName, d time.Duration) {
 	m.histogram("walnutramp_first_token_seconds", a, model).Update(d.Seconds())
 	m.tracker.Observe(slo.FirstToken, a, model, d, 1)
 }
 
 // Silence implements caller.Observer.
-func (m *metricSet) Silence(a walnutramp.ClientAccount, model walnutramp.ModelName, d time.Duration, tokens int) {
+func (m *nodeMetrics) Silence(a walnutramp.ClientAccount, model walnutramp.ModelName, d time.Duration, tokens int) {
 	m.histogram("walnutramp_between_tokens_seconds", a, model).Update(d.Seconds() / float64(tokens))
 	m.set.GetOrCreateCounter("walnutramp_released_tokens_total").Add(tokens)
 	m.tracker.Observe(slo.BetweenTokens, a, model, d/time.Duration(tokens), tokens)
 }
 
 // Failed implements caller.Observer.
-func (m *metricSet) Failed(a walnutramp.ClientAccount, model walnutramp.ModelName) {
+func (m *nodeMetrics) Failed(a walnutramp.ClientAccount, model walnutramp.ModelName) {
 	m.set.GetOrCreateCounter(fmt.Sprintf(`walnutramp_broken_generations_total{account=%q,model=%q}`, a, model)).Inc()
 }
 
 // Resumed implements generation.Observer.
-func (m *metricSet) Resumed(id walnutramp.GenerationID, how string, gap time.Duration, recomputed int) {
+func (m *nodeMetrics) Resumed(id walnutramp.GenerationID, how string, gap time.Duration, recomputed int) {
 	m.set.GetOrCreateHistogram(fmt.Sprintf(`walnutramp_resume_seconds{how=%q}`, how)).Update(gap.Seconds())
 	m.set.GetOrCreateCounter("walnutramp_recomputed_tokens_total").Add(recomputed)
 	if m.onResume != nil {
@@ -87,20 +88,20 @@
 }
 
 // ResumeGap implements generation.Observer.
-func (m *metricSet) ResumeGap(a walnutramp.ClientAccount, model walnutramp.ModelName, gap time.Duration) {
+func (m *nodeMetrics) ResumeGap(a walnutramp.ClientAccount, model walnutramp.ModelName, gap time.Duration) {
 	m.histogram("walnutramp_resume_gap_seconds", a, model).Update(gap.Seconds())
 	m.tracker.Observe(slo.ResumeGap, a, model, gap, 1)
 }
 
 // TookOver implements generation.Observer.
-func (m *metricSet) TookOver(err error) {
+func (m *nodeMetrics) TookOver(err error) {
 	if err != nil {
-		m.refused.Inc()
+		m.refusedTakeovers.Inc()
 		return
 	}
-	m.takeover.Inc()
+	m.takeovers.Inc()
 }
 
-func (m *metricSet) histogram(name string, a walnutramp.ClientAccount, model walnutramp.ModelName) *metrics.Histogram {
+func (m *nodeMetrics) histogram(name string, a walnutramp.ClientAccount, model walnutramp.ModelName) *metrics.Histogram {
 	return m.set.GetOrCreateHistogram(fmt.Sprintf(`%s{account=%q,model=%q}`, name, a, model))
 }
--- a/node/node.go
+++ b/node/node.go
@@ -1,6 +1,5 @@
-// Package node wires the parts into one entry node: the HTTP front for
-// callers, the peer server, membership, generations, routing and the bundle
-// in force.
+// Package node assembles an entry node: the HTTP server for callers, the peer
+// server, membership, generations, routing and the bundle in force.
 package node
 
 import (
@@ -36,105 +35,106 @@
 // DialFunc opens a connection; net.Dialer.DialContext is one.
 type DialFunc = func(ctx context.Context, network, address string) (net.Conn, error)
 
-// Config sets up a Node.
+// Config configures a Node.
 type Config struct {
 	Name          walnutramp.NodeName
 	DataHall      walnutramp.DataHall
 	Site          string
-	PeerAddress   string // as other nodes reach this one
+	PeerAddress   string // address at which other nodes reach this one
 	Incarnation   walnutramp.Incarnation
 	Peers         []member.Node // known from the settings
 	Bundle        *bundle.Bundle
 	Dial          DialFunc
 	LoadInterval  time.Duration
 	ProbePeriod   time.Duration
-	StopDeadline  time.Duration // for running work after a stop was asked for
-	HeaderTime    time.Duration // for a request's headers
+	StopDeadline  time.Duration // for requests in flight after Stop
+	HeaderTime    time.Duration // timeout for reading request headers
 	Seed          uint64
 	GenerationOpt []generation.Option
 	RouteOpt      []route.Option
 	CallerOpt     []caller.Option
 	Control       []walnutramp.NodeName // the control group's founders; empty for none
-	Disk          wal.FS                // the data folder, on nodes that have one
-	Platform      string                // URL of the platform's list; empty for none
+	Disk          wal.FS                // data directory; nil on nodes without a disk
+	Platform      string                // URL of the platform's instance list; empty for none
 	Operators     bundle.Operators
 	TLS           *tls.Config // between nodes; nil for none
 	ControlOpt    []consensus.Option
-	OnResume      func(Resume) // told of every resume
+	OnResume      func(Resume) // called on each resume
 }
 
 // Option sets a field of Config.
 type Option func(*Config)
 
-// WithName names the node and its data hall.
+// WithName sets the names of the node and its data hall.
 func WithName(name walnutramp.NodeName, hall walnutramp.DataHall) Option {
 	return func(c *Config) { c.Name, c.DataHall = name, hall }
 }
 
-// WithSite names the site; nodes of different sites refuse each other.
+// WithSite sets the site's name; nodes reject peers of other sites.
 func WithSite(site string) Option { return func(c *Config) { c.Site = site } }
 
-// WithPeers gives this node's peer address and the nodes known at start.
+// WithPeers sets this node's peer address and the initially known nodes.
 func WithPeers(address string, peers []member.Node) Option {
 	return func(c *Config) { c.PeerAddress, c.Peers = address, peers }
 }
 
-// WithBundle gives the bundle the node starts with.
+// WithBundle sets the initial bundle.
 func WithBundle(b *bundle.Bundle) Option { return func(c *Config) { c.Bundle = b } }
 
-// WithDial replaces how connections are opened.
+// WithDial sets the function that opens connections.
 func WithDial(d DialFunc) Option { return func(c *Config) { c.Dial = d } }
 
-// WithSeed makes the node's random choices repeatable.
+// WithSeed seeds the node's random choices.
 func WithSeed(seed uint64) Option { return func(c *Config) { c.Seed = seed } }
 
-// WithIncarnation sets the number of this run; by default it is the time.
+// WithIncarnation sets the incarnation, which has to grow with each start of the
+// node; the default is the current time.
 func WithIncarnation(i walnutramp.Incarnation) Option { return func(c *Config) { c.Incarnation = i } }
 
-// WithProbePeriod sets the time between membership probes.
+// WithProbePeriod sets the interval between membership probes.
 func WithProbePeriod(d time.Duration) Option { return func(c *Config) { c.ProbePeriod = d } }
 
-// WithLoadInterval sets the time between load reports of one target.
+// WithLoadInterval sets the interval between load reports of a target.
 func WithLoadInterval(d time.Duration) Option { return func(c *Config) { c.LoadInterval = d } }
 
-// WithStopDeadline sets how long running work may go on after Stop.
+// WithStopDeadline sets how long requests in flight may run after Stop.
 func WithStopDeadline(d time.Duration) Option { return func(c *Config) { c.StopDeadline = d } }
 
-// WithControl names the control group's founders and the operators whose
-// bundles it takes.
+// WithControl sets the control group's founders and the operators whose signed
+// bundles it accepts.
 func WithControl(founders []walnutramp.NodeName, operators bundle.Operators) Option {
 	return func(c *Config) { c.Control, c.Operators = founders, operators }
 }
 
-// WithDisk gives the data folder; with one, a node can be a member of the
+// WithDisk sets the data directory, which a node needs to be a member of the
 // control group.
 func WithDisk(fs wal.FS) Option { return func(c *Config) { c.Disk = fs } }
 
-// WithPlatform gives the URL of the platform's list of instances.
+// WithPlatform sets the URL of the platform's instance list.
 func WithPlatform(url string) Option { return func(c *Config) { c.Platform = url } }
 
-// WithTLS secures the connections between nodes.
+// WithTLS sets the TLS configuration of connections between nodes.
 func WithTLS(t *tls.Config) Option { return func(c *Config) { c.TLS = t } }
 
-// WithControlOptions passes options on to the control group's member.
+// WithControlOptions appends options of the consensus member.
 func WithControlOptions(opts ...consensus.Option) Option {
 	return func(c *Config) { c.ControlOpt = append(c.ControlOpt, opts...) }
 }
 
-// WithOnResume gives who is told of every resume.
+// WithOnResume sets a callback for each resumed generation.
 func WithOnResume(f func(Resume)) Option { return func(c *Config) { c.OnResume = f } }
 
-// WithGenerationOptions passes options on to the generation manager.
+// WithGenerationOptions appends options of the generation manager.
 func WithGenerationOptions(opts ...generation.Option) Option {
 	return func(c *Config) { c.GenerationOpt = append(c.GenerationOpt, opts...) }
 }
 
-// WithRouteOptions passes options on to the router.
+// WithRouteOptions appends options of the router.
 func WithRouteOptions(opts ...route.Option) Option {
 	return func(c *Config) { c.RouteOpt = append(c.RouteOpt, opts...) }
 }
 
-// WithCallerOptions passes options on to the callers' handler.
+// WithCallerOptions appends options of the HTTP handler for callers.
 func WithCallerOptions(opts ...caller.Option) Option {
 	return func(c *Config) { c.CallerOpt = append(c.CallerOpt, opts...) }
 }
@@ -153,65 +153,65 @@
 	}
 }
 
-// Node is one entry node.
+// Node is an entry node.
 type Node struct {
 	cfg     Config
 	bundle  atomic.Pointer[bundle.Bundle]
 	traffic peer.Traffic
-	metrics *metricSet
-
-	members     *member.Detector
-	peers       *peer.Client
-	peerServer  *peer.Server
-	router      *route.Router
-	generations *generation.Manager
-	pool        *target.Pool
-	watch       *target.Watch
-	http        *http.Server
-	control     *control.Client   // nil where the bundle comes from a file
-	voter       *consensus.Member // nil on nodes without a disk
-	voterState  *control.State
-	placer      *placement.Controller // gives orders while the voter leads
-	instances   *discovery.Watch      // nil for none
-	quarantine  *quarantine.Witness
-
-	quarantineNews chan struct{}      // there are notes to be told
-	quarantineStop context.CancelFunc // of the task that tells them
-	report         *reportKeeper      // nil on nodes without a disk
+	metrics *nodeMetrics
+
+	members       *member.Detector
+	peers         *peer.Client
+	peerServer    *peer.Server
+	router        *route.Router
+	generations   *generation.Manager
+	pool          *target.Pool
+	watch         *target.Watch
+	http          *http.Server
+	control       *control.Client   // nil if the bundle comes from a file
+	voter         *consensus.Member // nil on nodes without a disk
+	voterState    *control.State
+	placement     *placement.Controller // active while the voter is the leader
+	instanceWatch *discovery.Watch      // nil without a platform
+	quarantine    *quarantine.Witness
+
+	newNotes    chan struct{}      // signals that there are quarantine notes to send
+	stopGossip  context.CancelFunc // stops the task that sends them
+	reportSaver *reportSaver       // nil on nodes without a disk
 
 	stopping atomic.Bool
 	tasks    sync.WaitGroup
 }
 
-// New returns a node that is not serving yet.
+// New returns a node; Start makes it serve.
 func New(opts ...Option) (*Node, error) {
 	cfg := defaultConfig()
 	for _, opt := range opts {
 		opt(&cfg)
 	}
 	if cfg.Name == "" || cfg.DataHall == "" {
-		return nil, errors.New("a node needs a name and a data hall")
+		return nil, errors.New("node name and data hall are required")
 	}
 	n := &Node{cfg: cfg}
 	n.bundle.Store(cfg.Bundle)
 	n.metrics = newMetricSet(n)
-	n.wirePeers()
-	n.wireQuarantine()
-	if err := n.wireControl(); err != nil {
+	n.setupPeers()
+	n.setupQuarantine()
+	if err := n.setupControl(); err != nil {
 		return nil, err
 	}
-	if err := n.wireReport(); err != nil {
+	if err := n.setupReport(); err != nil {
 		return nil, err
 	}
-	n.wireTargets()
-	n.wireGenerations()
-	n.wireCallers()
+	n.setupTargets()
+	n.setupGenerations()
+	n.setupCallers()
 	return n, nil
 }
 
-func (n *Node) wirePeers() {
+func (n *Node) setupPeers() {
 	self := peer.Identity{Site: n.cfg.Site, Node: n.cfg.Name, Incarnation: n.cfg.Incarnation, TLS: n.cfg.TLS}
-	n.peers = peer.NewClient(self, n.cfg.Dial, addresses{n}, &n.traffic)
+	n.peers = peer.NewClient(self, n.cfg.Dial, resolver{n}, &n.traffic)
 	n.peerServer = peer.NewServer(self, &n.traffic)
 	me := member.Node{Name: n.cfg.Name, DataHall: n.cfg.DataHall, Address: n.cfg.PeerAddress, Incarnation: n.cfg.Incarnation}
 	n.members = member.NewDetector(me, n.cfg.Peers, n.peers, member.WithPeriod(n.cfg.ProbePeriod), member.WithSeed(n.cfg.Seed),
@@ -223,13 +223,14 @@
 	n.router.SetNodes(len(n.members.Live()) + 1)
 }
 
-// addresses delays the look-up until the member list exists.
-type addresses struct{ n *Node }
+// resolver implements peer.Addresses with the member list, which is created
+// after the peer client.
+type resolver struct{ n *Node }
 
 // Address implements peer.Addresses.
-func (a addresses) Address(name walnutramp.NodeName) (string, bool) { return a.n.members.Address(name) }
+func (a resolver) Address(name walnutramp.NodeName) (string, bool) { return a.n.members.Address(name) }
 
-func (n *Node) wireTargets() {
+func (n *Node) setupTargets() {
 	n.pool = target.NewPool(n.cfg.Dial)
 	opts := append([]route.Option{
 		route.WithNode(n.cfg.Name, n.cfg.DataHall),
@@ -241,7 +242,7 @@
 	n.watch = target.NewWatch(n.pool, n.router, n.cfg.LoadInterval, n.cfg.Seed)
 }
 
-func (n *Node) wireGenerations() {
+func (n *Node) setupGenerations() {
 	opts := append([]generation.Option{
 		generation.WithPeers(n.peers, directory{n}),
 		generation.WithTargets(n.router, n.pool),
@@ -255,7 +256,7 @@
 	n.generations = generation.NewManager(opts...)
 }
 
-func (n *Node) wireCallers() {
+func (n *Node) setupCallers() {
 	opts := []caller.Option{
 		caller.WithBundle(n.bundle.Load),
 		caller.WithGenerations(n.generations),
@@ -290,18 +291,18 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// directory shows the member list to generations.
+// directory adapts the member list to generation.Directory.
 type directory struct{ n *Node }
 
 // Self implements generation.Directory.
-func (d directory) Self() generation.Node { return asReplica(d.n.members.Self()) }
+func (d directory) Self() generation.Node { return generationNode(d.n.members.Self()) }
 
 // Live implements generation.Directory.
 func (d directory) Live() []generation.Node {
 	var nodes []generation.Node
 	for _, m := range d.n.members.Live() {
 		if m.Status == member.Alive {
-			nodes = append(nodes, asReplica(m))
+			nodes = append(nodes, generationNode(m))
 		}
 	}
 	return nodes
@@ -312,20 +313,20 @@
 	var nodes []generation.Node
 	for _, m := range d.n.members.All() {
 		if m.Status <= member.Suspect {
-			nodes = append(nodes, asReplica(m))
+			nodes = append(nodes, generationNode(m))
 		}
 	}
 	return nodes
 }
 
-func asReplica(m member.Node) generation.Node {
+func generationNode(m member.Node) generation.Node {
 	return generation.Node{
 		Member:   generation.Member{Node: m.Name, Incarnation: m.Incarnation},
 		DataHall: m.DataHall,
 	}
 }
 
-// Start serves callers and peers on the listeners until Stop or Close.
+// Start starts serving callers and peers on the listeners, until Stop or Close.
 func (n *Node) Start(callers, peers net.Listener) error {
 	if err := n.peerServer.Register(generation.Service, n.generations.Store()); err != nil {
 		return err
@@ -333,17 +334,17 @@
 	if err := n.peerServer.Register(member.Service, n.members.Handler()); err != nil {
 		return err
 	}
-	if err := n.peerServer.Register(quarantineName, &quarantineService{n.quarantine.Ledger}); err != nil {
+	if err := n.peerServer.Register(quarantineServiceName, &quarantineService{n.quarantine.Ledger}); err != nil {
 		return err
 	}
 	if err := n.registerControl(); err != nil {
 		return err
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	n.quarantineStop = stop
-	n.task(part.Control, func() { n.tellQuarantine(ctx) })
-	n.task(part.Guard, func() { n.peerServer.Serve(peers) })
-	n.task(part.Callers, func() { n.http.Serve(callers) })
+	n.stopGossip = stop
+	n.startTask(part.Control, func() { n.gossipQuarantine(ctx) })
+	n.startTask(part.Guard, func() { n.peerServer.Serve(peers) })
+	n.startTask(part.Callers, func() { n.http.Serve(callers) })
 	part.Do(part.Control, func() {
 		n.members.Start()
 		n.apply(n.cfg.Bundle)
@@ -354,7 +355,7 @@
 	return nil
 }
 
-func (n *Node) task(name string, f func()) {
+func (n *Node) startTask(name string, f func()) {
 	n.tasks.Add(1)
 	go func() {
 		defer n.tasks.Done()
@@ -368,44 +369,46 @@
 	n.watch.Apply(route.Subset(n.cfg.Name, n.cfg.DataHall, b.Targets, route.PerModel))
 }
 
-// Members returns the node's view of the others.
+// Members returns the membership detector.
 func (n *Node) Members() *member.Detector { return n.members }
 
-// Traffic returns the bytes exchanged with peers so far.
+// Traffic returns the counters of bytes exchanged with peers.
 func (n *Node) Traffic() *peer.Traffic { return &n.traffic }
 
-// Stop is a planned stop: the node says that it isn't ready, takes no new
-// work, lets running work end, hands its replicas over, and leaves. It
-// returns early if ctx ends.
+// Stop shuts the node down gracefully: it reports not ready, stops accepting
+// requests, waits for those in flight up to the stop deadline, announces that it
+// leaves so that its replicas are replaced, and closes. The waits end early if ctx
+// is done.
 func (n *Node) Stop(ctx context.Context) {
 	n.stopping.Store(true)
 	n.http.SetKeepAlivesEnabled(false)
 	klog.InfoS("Node stopping", "node", n.cfg.Name)
 	ctx, cancel := context.WithTimeout(ctx, n.cfg.StopDeadline)
 	defer cancel()
-	pause.For(ctx, noticeTime)
+	pause.For(ctx, readinessDelay)
 	if err := n.http.Shutdown(ctx); err != nil {
-		klog.InfoS("Node stops with work under way", "node", n.cfg.Name, "err", err)
+		klog.InfoS("Stopping with requests in flight", "node", n.cfg.Name, "err", err)
 	}
 	n.members.Leave(ctx)
-	pause.For(ctx, handOverTime)
+	pause.For(ctx, handoverDelay)
 	n.Close()
 }
 
-// Times of a planned stop.
+// Delays of a graceful shutdown.
 const (
-	// noticeTime lets the balancer see that the node isn't ready, while the
-	// node still answers those who come.
-	noticeTime = 2 * time.Second
-	// handOverTime lets other owners replace this node in their replica sets.
-	handOverTime = 2 * time.Second
+	// readinessDelay gives the load balancer time to see that the node isn't
+	// ready, while the node still responds to requests.
+	readinessDelay = 2 * time.Second
+	// handoverDelay gives other generation owners time to replace this node in
+	// their replica sets.
+	handoverDelay = 2 * time.Second
 )
 
-// Close ends the node at once, as a crash would.
+// Close stops the node at once, without a graceful shutdown.
 func (n *Node) Close() {
 	n.stopping.Store(true)
-	if n.quarantineStop != nil {
-		n.quarantineStop()
+	if n.stopGossip != nil {
+		n.stopGossip()
 	}
 	n.http.Close()
 	n.closeControl()
--- a/node/quarantine.go
+++ b/node/quarantine.go
@@ -9,81 +9,83 @@
 	"k8s.io/klog/v2"
 )
 
-// Nodes tell each other under which requests targets ended.
+// Nodes exchange notes on which request contents crashed targets, so that no node
+// sends such a request again.
 
-// quarantineName is the RPC service's name.
-const quarantineName = "Quarantine"
+// quarantineServiceName is the name of the RPC service.
+const quarantineServiceName = "Quarantine"
 
-// Times of telling.
+// Timing of the exchange.
 const (
-	// tellGather is how long notes are gathered: an engine takes longer to begin a
-	// run, so that no node sends such a request on meanwhile.
-	tellGather = 50 * time.Millisecond
-	// tellAgain is how often all that counts is told again, for nodes that started
-	// since or were cut off.
-	tellAgain = 5 * time.Second
-	tellLimit = time.Second // for one node's answer
+	// gossipDelay is how long notes are batched. It is shorter than the time in
+	// which an engine starts a run, so a crashing request is not retried meanwhile.
+	gossipDelay = 50 * time.Millisecond
+	// gossipInterval is the interval at which all current notes are sent again, for
+	// nodes that started later or were unreachable.
+	gossipInterval = 5 * time.Second
+	gossipTimeout  = time.Second // per call
 )
 
-// quarantineService takes other nodes' notes.
+// quarantineService receives the notes of other nodes.
 type quarantineService struct{ ledger *quarantine.Ledger }
 
-// Told is what a node tells another.
+// Told is the argument of the Tell RPC.
 type Told struct{ Notes []quarantine.Note }
 
-// TellReply says how many of the notes were new.
+// TellReply is the reply of the Tell RPC: the number of notes that were new.
 type TellReply struct{ Fresh int }
 
-// Tell implements the RPC by which a node is told.
+// Tell handles the RPC that delivers another node's notes.
 func (s *quarantineService) Tell(t Told, reply *TellReply) error {
 	reply.Fresh = len(s.ledger.Take(t.Notes))
 	return nil
 }
 
-func (n *Node) wireQuarantine() {
+func (n *Node) setupQuarantine() {
 	ledger := quarantine.New()
 	n.quarantine = quarantine.NewWitness(ledger, quarantine.DialFunc(n.cfg.Dial))
-	n.quarantineNews = make(chan struct{}, 1)
+	n.newNotes = make(chan struct{}, 1)
 	ledger.OnNews(func() {
 		select {
-		case n.quarantineNews <- struct{}{}:
+		case n.newNotes <- struct{}{}:
 		default:
 		}
 	})
 }
 
-// tellQuarantine tells the other nodes what is new until ctx ends.
-func (n *Node) tellQuarantine(ctx context.Context) {
-	again := time.NewTicker(tellAgain)
-	defer again.Stop()
-	number := uint64(0)
+// gossipQuarantine sends new notes to the other nodes, and periodically all current
+// ones, until ctx is done.
+func (n *Node) gossipQuarantine(ctx context.Context) {
+	ticker := time.NewTicker(gossipInterval)
+	defer ticker.Stop()
+	lastSeen := uint64(0)
 	for {
 		var notes []quarantine.Note
 		select {
-		case <-n.quarantineNews:
-			if !pause.For(ctx, tellGather) {
+		case <-n.newNotes:
+			if !pause.For(ctx, gossipDelay) {
 				return
 			}
-			notes, number = n.quarantine.News(number)
-		case <-again.C:
+			notes, lastSeen = n.quarantine.News(lastSeen)
+		case <-ticker.C:
 			notes = n.quarantine.Everything()
 		case <-ctx.Done():
 			return
 		}
 		if len(notes) > 0 {
-			n.tellAll(ctx, Told{Notes: notes})
+			n.broadcast(ctx, Told{Notes: notes})
 		}
 	}
 }
 
-func (n *Node) tellAll(ctx context.Context, t Told) {
+func (n *Node) broadcast(ctx context.Context, t Told) {
 	for _, m := range n.members.Live() {
 		go func() {
-			ctx, cancel := context.WithTimeout(ctx, tellLimit)
+			ctx, cancel := context.WithTimeout(ctx, gossipTimeout)
 			defer cancel()
 			var reply TellReply
-			if err := n.peers.Call(ctx, m.Name, quarantineName+".Tell", t, &reply); err != nil {
-				klog.V(1).InfoS("Node not told of targets that ended: it is told again", "node", m.Name, "err", err)
+			if err := n.peers.Call(ctx, m.Name, quarantineServiceName+".Tell", t, &reply); err != nil {
+				klog.V(1).InfoS("Failed to send quarantine notes, retrying with the next full update", "node", m.Name, "err", err)
 			}
 		}()
 	}
--- a/node/report.go
+++ b/node/report.go
@@ -8,18 +8,18 @@
 	"k8s.io/klog/v2"
 )
 
-// reportInterval is how much of the report a crash may lose.
-const reportInterval = 10 * time.Second
+// reportSaveInterval bounds how much of the report a crash can lose.
+const reportSaveInterval = 10 * time.Second
 
-// reportKeeper saves the counts against objectives on nodes with a disk.
-type reportKeeper struct {
+// reportSaver periodically saves the service-level counts on nodes with a disk.
+type reportSaver struct {
 	tracker *slo.Tracker
 	store   *slo.Store
 	cancel  context.CancelFunc
 	done    chan struct{}
 }
 
-func (n *Node) wireReport() error {
+func (n *Node) setupReport() error {
 	if n.cfg.Disk == nil {
 		return nil
 	}
@@ -28,14 +28,14 @@
 		return err
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	n.report = &reportKeeper{tracker: n.metrics.tracker, store: store, cancel: cancel, done: make(chan struct{})}
-	go n.report.run(ctx)
+	n.reportSaver = &reportSaver{tracker: n.metrics.tracker, store: store, cancel: cancel, done: make(chan struct{})}
+	go n.reportSaver.run(ctx)
 	return nil
 }
 
-func (k *reportKeeper) run(ctx context.Context) {
+func (k *reportSaver) run(ctx context.Context) {
 	defer close(k.done)
-	ticker := time.NewTicker(reportInterval)
+	ticker := time.NewTicker(reportSaveInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -47,17 +47,17 @@
 	}
 }
 
-func (k *reportKeeper) save() {
+func (k *reportSaver) save() {
 	if err := k.store.Save(k.tracker); err != nil {
-		klog.ErrorS(err, "Report not saved")
+		klog.ErrorS(err, "Failed to save service-level counts")
 	}
 }
 
 func (n *Node) closeReport() {
-	if n.report == nil {
+	if n.reportSaver == nil {
 		return
 	}
-	n.report.cancel()
-	<-n.report.done
-	n.report.store.Close()
+	n.reportSaver.cancel()
+	<-n.reportSaver.done
+	n.reportSaver.store.Close()
 }
--- a/node/rest_test.go
+++ b/node/rest_test.go
@@ -16,22 +16,22 @@
 )
 
 const (
-	overloaded = 4 * time.Second
-	restWanted = 3 * time.Second
+	overloadDuration = 4 * time.Second
+	restPeriod       = 3 * time.Second
 )
 
-// oneNode is a site of one node: a target asks each for rest by itself.
+// oneNode configures a site with one node, since targets ask each node separately to
+// back off.
 func oneNode(cfg *site.Config) {
 	cfg.Nodes, cfg.Services, cfg.Guard.Replicas = 1, 3, 1
 }
 
-// An engine that has too much to do asks for rest. It gets none of the drafts that
-// begin meanwhile, none that go on after their engines died, and no question for
-// its load; all drafts are served by others.
-func TestEngineThatAskedForRestIsLeftAlone(t *testing.T) {
-	inSite(t, oneNode, func(t *testing.T, s running) {
+// Guards against requests to an overloaded engine that asked to back off: it must get
+// no new drafts, no resumed ones and no load queries, while others serve all drafts.
+func TestEngineBackoffIsHonored(t *testing.T) {
+	withSite(t, oneNode, func(t *testing.T, s runningSite) {
 		model := standin.DefaultEngineConfig().Model
-		s.Engines[0].Overload(overloaded, restWanted)
+		s.Engines[0].Overload(overloadDuration, restPeriod)
 		s.Engines[1].SetFault(standin.Fault{Kind: standin.FaultDie, AtToken: 100})
 		var drafts sync.WaitGroup
 		for i := range 60 {
@@ -45,48 +45,47 @@
 		}
 		drafts.Wait()
 		require.LessOrEqual(t, s.Engines[0].Disturbances(), 2)
-		require.NotZero(t, s.Engines[0].Counts().Decoded, "it gets drafts again")
+		require.NotZero(t, s.Engines[0].Counts().Decoded, "engine gets no drafts after its back-off")
 	})
 }
 
-// The same of plain services, for calls that may be repeated and those that may
-// not; and while all of them rest, callers are told at once, as not run, when to
-// come back.
-func TestServiceThatAskedForRestIsLeftAlone(t *testing.T) {
-	for _, way := range []struct {
+// The same for plain services, with idempotent and other calls. While all services
+// back off, calls must be rejected at once as not run, with a Retry-After.
+func TestServiceBackoffIsHonored(t *testing.T) {
+	for _, tc := range []struct {
 		name, method, path string
-		tired              int
+		numOverloaded      int
 	}{
-		{"may be repeated", http.MethodGet, "/lookup/x", 1},
-		{"runs once", http.MethodPost, "/bookings", 1},
-		{"all rest", http.MethodGet, "/lookup/x", 3},
+		{"idempotent", http.MethodGet, "/lookup/x", 1},
+		{"not idempotent", http.MethodPost, "/bookings", 1},
+		{"all overloaded", http.MethodGet, "/lookup/x", 3},
 	} {
-		t.Run(way.name, func(t *testing.T) {
-			inSite(t, func(cfg *site.Config) { oneNode(cfg); cfg.Control = 1 }, func(t *testing.T, s running) {
-				for _, svc := range s.Services[:way.tired] {
-					svc.Overload(overloaded, restWanted)
+		t.Run(tc.name, func(t *testing.T) {
+			withSite(t, func(cfg *site.Config) { oneNode(cfg); cfg.Control = 1 }, func(t *testing.T, s runningSite) {
+				for _, svc := range s.Services[:tc.numOverloaded] {
+					svc.Overload(overloadDuration, restPeriod)
 				}
 				refused := 0
 				for i := range 140 {
-					began := time.Now()
+					start := time.Now()
 					_, err := s.client.Call(t.Context(), load.Call{
-						APIKey: site.KeyOf("clerks"), Key: fmt.Sprintf("key %d", i), Method: way.method, Path: site.ServiceName + way.path, Body: "x",
+						APIKey: site.KeyOf("clerks"), Key: fmt.Sprintf("key %d", i), Method: tc.method, Path: site.ServiceName + tc.path, Body: "x",
 					})
 					var e *load.Refusal
 					if errors.As(err, &e) && e.Code == walnutramp.CodeTargetsRest {
 						refused++
 						require.Equal(t, walnutramp.NotRun, e.Outcome)
 						require.Positive(t, e.RetryAfter)
-						require.LessOrEqual(t, e.RetryAfter, restWanted*5/4)
-						require.Less(t, time.Since(began), 100*time.Millisecond)
+						require.LessOrEqual(t, e.RetryAfter, restPeriod*5/4)
+						require.Less(t, time.Since(start), 100*time.Millisecond)
 					}
 					time.Sleep(100 * time.Millisecond)
 				}
-				for _, svc := range s.Services[:way.tired] {
+				for _, svc := range s.Services[:tc.numOverloaded] {
 					require.LessOrEqual(t, svc.Disturbances(), 2)
-					require.NotEmpty(t, svc.Runs(), "it gets calls again")
+					require.NotEmpty(t, svc.Runs(), "service gets no calls after its back-off")
 				}
-				if way.tired == len(s.Services) {
+				if tc.numOverloaded == len(s.Services) {
 					require.NotZero(t, refused)
 				}
 			})
--- a/node/session_test.go
+++ b/node/session_test.go
@@ -27,13 +27,13 @@
 	"github.com/walnutramp/walnutramp/standin"
 )
 
-var update = flag.Bool("update", false, "rewrite the golden part of session files")
+var update = flag.Bool("update", false, "rewrite the golden transcripts of session files")
 
 // divider separates a session's script from its golden transcript.
 const divider = "----\n"
 
-// TestSessions runs each script under testdata/sessions against a whole site
-// in virtual time and compares what callers saw with the file.
+// TestSessions runs each script in testdata/sessions against a site in virtual time
+// and compares the transcript with the golden one in the file.
 func TestSessions(t *testing.T) {
 	files, err := filepath.Glob("testdata/sessions/*.txt")
 	require.NoError(t, err)
@@ -54,7 +54,7 @@
 	}
 }
 
-// session is a script's run.
+// session executes a script.
 type session struct {
 	t      *testing.T
 	site   *site.Site
@@ -87,7 +87,7 @@
 			i++
 			body = append(body, lines[i][1:])
 		}
-		s.run(strings.Fields(line), strings.Join(body, "\n"))
+		s.execute(strings.Fields(line), strings.Join(body, "\n"))
 	}
 	s.wait.Wait()
 	s.http.CloseIdleConnections()
@@ -98,9 +98,9 @@
 
 func (s *session) printf(format string, args ...any) { fmt.Fprintf(&s.out, format, args...) }
 
-func (s *session) run(words []string, body string) {
-	args := words[1:]
-	switch words[0] {
+func (s *session) execute(fields []string, body string) {
+	args := fields[1:]
+	switch fields[0] {
 	case "site":
 		s.start(options(args))
 	case "send":
@@ -116,7 +116,7 @@
 	case "restart":
 		s.restart(args[0])
 	case "cut", "heal":
-		s.cut(words[0], args[0], args[1])
+		s.setLink(fields[0], args[0], args[1])
 	case "fault":
 		s.fault(args[0], options(args[1:]))
 	case "await":
@@ -134,11 +134,11 @@
 	case "runs":
 		s.printf("runs %v\n", s.site.Services[0].Runs())
 	default:
-		s.t.Fatalf("unknown command %q", words[0])
+		s.t.Fatalf("unknown command %q", fields[0])
 	}
 }
 
-// options reads key=value words.
+// options parses key=value arguments.
 func options(words []string) map[string]string {
 	m := map[string]string{}
 	for _, w := range words {
@@ -148,10 +148,10 @@
 	return m
 }
 
-func number(m map[string]string, key string, fallback int) int {
+func number(m map[string]string, key string, defaultValue int) int {
 	n, err := strconv.Atoi(m[key])
 	if err != nil {
-		return fallback
+		return defaultValue
 	}
 	return n
 }
@@ -184,17 +184,17 @@
 	time.Sleep(time.Second) // first load reports
 	rt := s.site.Transport()
 	s.http = &http.Client{Transport: rt}
-	addresses := addressesOf(s.site)
+	addresses := callerAddresses(s.site)
 	s.client = load.NewClient(rt, addresses)
 }
 
 var generationPattern = regexp.MustCompile(`[0-9a-f]{32}`)
 
-// normal replaces what is random: identities. Everything else, times
-// included, is the same in every run.
-func normal(text string) string { return generationPattern.ReplaceAllString(text, "GENERATION") }
+// redactIDs replaces the random generation ids, the only part of a transcript that
+// differs between runs.
+func redactIDs(text string) string { return generationPattern.ReplaceAllString(text, "GENERATION") }
 
-// send makes one HTTP request and prints the whole answer:
+// send sends one HTTP request and prints the response:
 // send METHOD PATH [node=1] [Header=value ...]
 func (s *session) send(args []string, body string) {
 	opts := options(args[2:])
@@ -219,7 +219,7 @@
 		s.printf(" Retry-After=%s", after)
 	}
 	s.printf("\n")
-	for line := range strings.Lines(normal(string(answer))) {
+	for line := range strings.Lines(redactIDs(string(answer))) {
 		s.printf("  %s\n", strings.TrimSuffix(line, "\n"))
 	}
 	if err != nil {
@@ -256,8 +256,8 @@
 	require.NoError(s.t, s.engine(what).Start())
 }
 
-func (s *session) cut(verb, a, b string) {
-	if verb == "cut" {
+func (s *session) setLink(command, a, b string) {
+	if command == "cut" {
 		s.net.Cut(a, b)
 		return
 	}
@@ -273,7 +273,8 @@
 	return nil
 }
 
-// engine finds an engine by name, or with "busy" the one that runs the most.
+// engine returns an engine by name, or for "busy" the one with the most running
+// requests.
 func (s *session) engine(name string) *site.Engine {
 	if name == "busy" {
 		return slices.MaxFunc(s.site.Engines, func(a, b *site.Engine) int { return len(a.Running()) - len(b.Running()) })
@@ -299,7 +300,7 @@
 	s.engine(what).SetFault(f)
 }
 
-// booking starts a booking whose answer nobody waits for.
+// booking sends a booking without waiting for the response.
 func (s *session) booking(opts map[string]string) {
 	call := load.Call{
 		APIKey: site.KeyOf("clerks"), Key: opts["key"], Method: http.MethodPost,
@@ -308,7 +309,7 @@
 	s.wait.Go(func() { s.client.Call(s.ctx, call) })
 }
 
-// submit offers the next bundle: submit node=1 [leaving=engine-1] [version=2]
+// submit submits the next bundle: submit node=1 [leaving=engine-1] [version=2]
 func (s *session) submit(opts map[string]string) {
 	b := *s.site.Bundle
 	b.Version = uint64(number(opts, "version", int(b.Version)+1))
@@ -327,21 +328,22 @@
 	}
 }
 
-// placed prints what each engine holds.
+// placed prints the model copies that each engine holds.
 func (s *session) placed() {
 	for _, e := range s.site.Engines {
 		s.printf("%s holds %v\n", e.Target.Name, e.Book.Placed().Copies)
 	}
 }
 
-// versions prints what is in force on each node.
+// versions prints each node's bundle version and whether it accepts new requests.
 func (s *session) versions() {
 	for _, n := range s.site.Nodes {
 		s.printf("%s: version %d, takes new work %t\n", n.Name, n.BundleVersion(), n.Control().InForce())
 	}
 }
 
-// await prints what a draft's caller saw; gap=500ms bounds its longest pause.
+// await waits for a draft and prints its result; with gap=500ms also whether its
+// longest pause is below that.
 func (s *session) await(name string, opts map[string]string) {
 	r := s.drafts[name]
 	<-r.done
--- a/node/slow_test.go
+++ b/node/slow_test.go
@@ -14,29 +14,29 @@
 	"github.com/walnutramp/walnutramp/standin"
 )
 
-// slowly sends text to a node, keeps the connection, and returns what comes
-// back within a minute, and how long that took.
-func slowly(t *testing.T, s running, text string) (*http.Response, time.Duration) {
+// sendIncomplete sends text to a node and keeps the connection open. It returns the
+// response, nil if the node closed the connection, and the time until then.
+func sendIncomplete(t *testing.T, s runningSite, text string) (*http.Response, time.Duration) {
 	c, err := s.net.Dialer(site.ClientHost)(context.Background(), "tcp", s.Nodes[0].Callers)
 	require.NoError(t, err)
 	defer c.Close()
 	_, err = c.Write([]byte(text))
 	require.NoError(t, err)
 	c.SetReadDeadline(time.Now().Add(time.Minute))
-	began := time.Now()
+	start := time.Now()
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil {
-		return nil, time.Since(began)
+		return nil, time.Since(start)
 	}
 	body, _ := io.ReadAll(resp.Body)
 	resp.Header.Set("Test-Body", string(body))
-	return resp, time.Since(began)
+	return resp, time.Since(start)
 }
 
-// TestSlowCallersAreCutOff sends headers and a body that never end; neither
-// may hold the node up for long, or disturb others.
-func TestSlowCallersAreCutOff(t *testing.T) {
-	inSite(t, nil, func(t *testing.T, s running) {
+// TestSlowCallersAreDisconnected guards against connections held open by incomplete
+// headers or bodies; other callers must not be affected.
+func TestSlowCallersAreDisconnected(t *testing.T) {
+	withSite(t, nil, func(t *testing.T, s runningSite) {
 		client := s.client
 		others := make(chan load.Drafted, 1)
 		go func() {
@@ -44,9 +44,9 @@
 				APIKey: site.KeyOf("clerks"), Model: standin.DefaultEngineConfig().Model, Prompt: "x", MaxTokens: 800,
 			})
 		}()
-		_, took := slowly(t, s, "POST /v1/completions HTTP/1.1\r\nHost: x\r\nX-Half: ")
+		_, took := sendIncomplete(t, s, "POST /v1/completions HTTP/1.1\r\nHost: x\r\nX-Half: ")
 		require.Equal(t, 5*time.Second, took)
-		resp, took := slowly(t, s, "POST /v1/completions HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer "+
+		resp, took := sendIncomplete(t, s, "POST /v1/completions HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer "+
 			site.KeyOf("clerks")+"\r\nContent-Length: 100\r\n\r\n{\"model\"")
 		require.Equal(t, 10*time.Second, took)
 		require.Equal(t, http.StatusRequestTimeout, resp.StatusCode)
@@ -56,9 +56,8 @@
 	})
 }
 
-// TestOversizeBodyIsRefused sends more than a node takes.
-func TestOversizeBodyIsRefused(t *testing.T) {
-	inSite(t, nil, func(t *testing.T, s running) {
+func TestOversizeBodyIsRejected(t *testing.T) {
+	withSite(t, nil, func(t *testing.T, s runningSite) {
 		client := s.client
 		_, err := client.Call(t.Context(), load.Call{
 			APIKey: site.KeyOf("clerks"), Method: http.MethodPost,
--- a/node/stop_test.go
+++ b/node/stop_test.go
@@ -18,12 +18,11 @@
 	"github.com/walnutramp/walnutramp/standin"
 )
 
-// TestRollingRestartFailsNoRequest stops and starts every node in turn, as
-// planned, under drafts, lookups and bookings. A caller that is refused as
-// not-run goes to the next node, as a balancer would send it; no request may
-// fail and no stream may break.
+// TestRollingRestartFailsNoRequest guards against failed requests and broken streams
+// while each node is restarted gracefully in turn. Requests rejected as not-run are
+// sent to the next node, as a load balancer would do.
 func TestRollingRestartFailsNoRequest(t *testing.T) {
-	inSite(t, func(cfg *site.Config) { cfg.Nodes, cfg.Control = 5, 3 }, func(t *testing.T, s running) {
+	withSite(t, func(cfg *site.Config) { cfg.Nodes, cfg.Control = 5, 3 }, func(t *testing.T, s runningSite) {
 		client := s.client
 		ctx, stop := context.WithCancel(t.Context())
 		var wg sync.WaitGroup
@@ -36,7 +35,7 @@
 						Prompt: fmt.Sprintf("log %d %d", i, n), MaxTokens: 60, First: i + n,
 					})
 					require.True(t, d.Complete && d.Verdict.OK(), "%+v", d.Refused)
-					require.Zero(t, d.Reconnects, "a stream was cut off")
+					require.Zero(t, d.Reconnects, "stream interrupted by a graceful stop")
 					drafts.Add(1)
 				}
 			})
@@ -67,18 +66,18 @@
 		for key, runs := range s.Services[0].Runs() {
 			require.Equal(t, 1, runs, key)
 		}
-		t.Logf("%d drafts and %d bookings through five planned restarts", drafts.Load(), calls.Load())
+		t.Logf("%d drafts and %d bookings served during five graceful restarts", drafts.Load(), calls.Load())
 	})
 }
 
-// callUntilServed goes from node to node while it is told not-run.
+// callUntilServed tries node after node while the outcome is not-run.
 func callUntilServed(t *testing.T, client *load.Client, call load.Call) {
 	var err error
 	for range 20 {
 		if _, err = client.Call(t.Context(), call); err == nil {
 			return
 		}
-		if outcomeOf(err) != walnutramp.NotRun && !refusedConnection(err) {
+		if outcomeOf(err) != walnutramp.NotRun && !isConnectionError(err) {
 			break
 		}
 		call.First++
@@ -87,40 +86,40 @@
 	require.NoError(t, err)
 }
 
-// refusedConnection reports whether the node was not there at all.
-func refusedConnection(err error) bool {
+// isConnectionError reports whether err is no response of a node, such as a refused
+// connection.
+func isConnectionError(err error) bool {
 	var refusal *load.Refusal
 	return !errors.As(err, &refusal)
 }
 
-// TestEngineWithManyGenerationsDies kills an engine that carries about a
-// hundred drafts. Every draft goes on, new callers are served meanwhile, and
-// no surviving engine is asked for more prefills at once than its room.
-func TestEngineWithManyGenerationsDies(t *testing.T) {
-	inSite(t, func(cfg *site.Config) {
+// TestCrashOfEngineWithManyGenerations kills an engine with about a hundred drafts and
+// guards against lost drafts, and against new callers starved by the resumed ones.
+func TestCrashOfEngineWithManyGenerations(t *testing.T) {
+	withSite(t, func(cfg *site.Config) {
 		cfg.Nodes, cfg.Engines = 4, 4
 		cfg.Engine.Slots = 160
-	}, func(t *testing.T, s running) {
+	}, func(t *testing.T, s runningSite) {
 		client := s.client
 		results := make([]load.Drafted, 400)
 		var wg sync.WaitGroup
-		ask := func(i, tokens int) load.Drafted {
+		draft := func(i, tokens int) load.Drafted {
 			return client.Draft(t.Context(), load.Draft{
 				APIKey: site.KeyOf("clerks"), Model: standin.DefaultEngineConfig().Model,
 				Prompt: fmt.Sprintf("log %d", i), MaxTokens: tokens, First: i,
 			})
 		}
 		for i := range results {
-			wg.Go(func() { results[i] = ask(i, 120) })
+			wg.Go(func() { results[i] = draft(i, 120) })
 		}
 		time.Sleep(1500 * time.Millisecond)
 		victim := s.Engines[0]
 		lost := len(victim.Running())
 		require.Greater(t, lost, 60)
 		victim.Kill()
-		fresh := ask(1000, 5)
-		require.True(t, fresh.Complete)
-		require.Less(t, fresh.FirstToken, 2*time.Second, "a new caller starved behind the resumes")
+		newDraft := draft(1000, 5)
+		require.True(t, newDraft.Complete)
+		require.Less(t, newDraft.FirstToken, 2*time.Second, "new draft delayed by resumed ones")
 		wg.Wait()
 		var longest time.Duration
 		for _, r := range results {
@@ -128,6 +127,6 @@
 			longest = max(longest, r.LongestGap())
 		}
 		require.Less(t, longest, 4*time.Second)
-		t.Logf("%d drafts lost their engine; longest pause %v, a new caller's first token %v", lost, longest, fresh.FirstToken)
+		t.Logf("%d drafts resumed; longest pause %v, time to first token of a new draft %v", lost, longest, newDraft.FirstToken)
 	})
 }
