--- a/cmd/walnutramp/explain.go
+++ b/cmd/walnutramp/explain.go
@@ -26,17 +26,17 @@
 	if number, ok := strings.CutPrefix(c.Positional.Request, explain.TokenPrefix); ok {
 		return c.tellToken(lines, number)
 	}
-	story, ok := explain.Tell(lines, c.Positional.Request)
+	story, ok := explain.TraceRequest(lines, c.Positional.Request)
 	if ok {
 		story.Write(c.out)
 		return nil
 	}
-	rollout, ok := explain.TellRollout(lines, c.Positional.Request)
+	rollout, ok := explain.TraceRollout(lines, c.Positional.Request)
 	if ok {
 		rollout.Write(c.out)
 		return nil
 	}
-	window, ok := explain.TellWindow(lines, c.Positional.Request)
+	window, ok := explain.TraceWindow(lines, c.Positional.Request)
 	if !ok {
 		return errors.Newf("no log line names request %s, a roll-out of a service or a window of usage of that name", c.Positional.Request)
 	}
@@ -45,7 +45,7 @@
 }
 
 func (c *explainCommand) tellToken(lines []explain.Line, number string) error {
-	token, ok := explain.TellToken(lines, number)
+	token, ok := explain.TraceToken(lines, number)
 	if !ok {
 		return errors.Newf("no log line names token %s", number)
 	}
--- a/explain/duty.go
+++ b/explain/duty.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// Messages about the duty.
+// Log messages about duties.
 const (
 	dutyGranted  = "Duty granted"
 	dutyTaken    = "Duty taken"
@@ -16,55 +16,55 @@
 	dutyCall     = "Duty call"
 )
 
-// TokenPrefix stands before the number of a fencing token, where the story of
-// one is asked for.
+// TokenPrefix marks a query argument as the number of a fencing token.
 const TokenPrefix = "token="
 
-// Token is what the logs tell of a fencing token.
-type Token struct {
+// TokenTrace is the history of a fencing token.
+type TokenTrace struct {
 	Token string
-	Lines []Line // in order of time
+	Lines []Line // in chronological order
 	Cause string
 }
 
-// TellToken tells of a fencing token; false if no line names it.
-func TellToken(lines []Line, token string) (Token, bool) {
-	t := Token{Token: token}
+// TraceToken returns the history of a fencing token, or false if no line names it.
+func TraceToken(lines []Line, token string) (TokenTrace, bool) {
+	t := TokenTrace{Token: token}
 	for _, l := range lines {
 		if strings.HasPrefix(l.Message, "Duty ") && l.Fields["token"] == token {
 			t.Lines = append(t.Lines, l)
 		}
 	}
-	inOrder(t.Lines)
+	sortByTime(t.Lines)
 	t.Cause = t.cause()
 	return t, len(t.Lines) > 0
 }
 
-// cause says who had the token, why, and what came of its calls.
-func (t *Token) cause() string {
+// cause describes who held the token and why, the outcomes of its calls, and its
+// end.
+func (t *TokenTrace) cause() string {
 	cause := "its grant is not in these logs"
-	end := "no end of it is in these logs"
+	end := "its end is not in these logs"
 	outcomes := map[string]int{}
 	for _, l := range t.Lines {
 		switch l.Message {
 		case dutyGranted:
 			cause = fmt.Sprintf("granted to %s (%s)", l.Process, l.Fields["why"])
 			if l.Fields["waits"] == "true" {
-				cause += ", which first waits for a lease, as " + l.Fields["before"] + " may act yet"
+				cause += ", which first waits for a lease, as " + l.Fields["before"] + " may still act"
 			}
 		case dutyLost:
-			end = "lost: " + lossOf(l)
+			end = "lost: " + lossReason(l)
 		case dutyReleased:
 			end = "released"
 		case dutyCall:
 			outcomes[l.Fields["outcome"]]++
 		}
 	}
-	return fmt.Sprintf("%s; calls: %s; %s", cause, tallied(outcomes), end)
+	return fmt.Sprintf("%s; calls: %s; %s", cause, formatCounts(outcomes), end)
 }
 
-// lossOf says why the duty was lost.
-func lossOf(l Line) string {
+// lossReason describes why the duty was lost.
+func lossReason(l Line) string {
 	switch {
 	case l.Fields["released"] == "true":
 		return "it was released"
@@ -76,8 +76,8 @@
 	return "the platform refused it"
 }
 
-// tallied lists how often each outcome came.
-func tallied(outcomes map[string]int) string {
+// formatCounts lists the number of calls with each outcome.
+func formatCounts(outcomes map[string]int) string {
 	if len(outcomes) == 0 {
 		return "none"
 	}
@@ -89,14 +89,14 @@
 	return strings.Join(parts, ", ")
 }
 
-// Write prints what is told.
-func (t *Token) Write(w io.Writer) {
+// Write prints the trace.
+func (t *TokenTrace) Write(w io.Writer) {
 	fmt.Fprintf(w, "token %s\ncause: %s\n\n", t.Token, t.Cause)
 	for _, l := range t.Lines {
 		mark := "  "
 		if l.Message != dutyCall {
 			mark = "* "
 		}
-		fmt.Fprintf(w, "%s%12.4f %-32s %s %s\n", mark, l.Time, l.Process, l.Message, fields(l.Fields, "token"))
+		fmt.Fprintf(w, "%s%12.4f %-32s %s %s\n", mark, l.Time, l.Process, l.Message, formatFields(l.Fields, "token"))
 	}
 }
--- a/explain/duty_test.go
+++ b/explain/duty_test.go
@@ -15,31 +15,31 @@
 I0807 10:00:07.000000 1 x.go:1] "Duty lost" token=15 leads=false left_ms=1800 released=false holder="n1"
 `
 
-func TestStoryOfAToken(t *testing.T) {
+func TestTraceToken(t *testing.T) {
 	lines, err := Read(strings.NewReader(dutyLog), "member-1")
 	require.NoError(t, err)
-	told, ok := TellToken(lines, "15")
+	trace, ok := TraceToken(lines, "15")
 	require.True(t, ok)
-	require.Equal(t, "granted to member-1 (a lease has passed since the first grant); calls: 1 done, 1 unclear; lost: the member no longer leads the control group", told.Cause)
+	require.Equal(t, "granted to member-1 (a lease has passed since the first grant); calls: 1 done, 1 unclear; lost: the member no longer leads the control group", trace.Cause)
 	var text strings.Builder
-	told.Write(&text)
+	trace.Write(&text)
 	require.Contains(t, text.String(), "content=8")
-	require.NotContains(t, text.String(), "waits=true", "another token's")
+	require.NotContains(t, text.String(), "waits=true", "line of another token")
 
-	told, ok = TellToken(lines, "12")
+	trace, ok = TraceToken(lines, "12")
 	require.True(t, ok)
-	require.Contains(t, told.Cause, "first waits for a lease, as n2 may act yet; calls: none; no end of it")
-	_, ok = TellToken(lines, "13")
+	require.Contains(t, trace.Cause, "first waits for a lease, as n2 may still act; calls: none; its end is not in these logs")
+	_, ok = TraceToken(lines, "13")
 	require.False(t, ok)
 }
 
-func TestWhyADutyWasLost(t *testing.T) {
+func TestDutyLossReason(t *testing.T) {
 	for why, fields := range map[string]map[string]string{
 		"it was released": {"released": "true", "leads": "true", "left_ms": "900"},
 		"the member no longer leads the control group":        {"released": "false", "leads": "false", "left_ms": "900"},
 		"no majority confirmed in time that the member leads": {"released": "false", "leads": "true", "left_ms": "-3"},
 		"the platform refused it":                             {"released": "false", "leads": "true", "left_ms": "900"},
 	} {
-		require.Equal(t, why, lossOf(Line{Fields: fields}))
+		require.Equal(t, why, lossReason(Line{Fields: fields}))
 	}
 }
--- a/explain/ends.go
+++ b/explain/ends.go
@@ -8,15 +8,15 @@
 	"github.com/walnutramp/walnutramp"
 )
 
-// Requests under which targets end are held back for what other requests of the
-// same content did, at any node, long before.
+// A request can be rejected because earlier requests with the same content crashed
+// targets, possibly at other nodes and long before.
 
-// contentMessages tell what is known of a content.
+// contentMessages are the messages about the quarantine of a request content.
 var contentMessages = []string{"Looked at a target that broke off", "Content held back", "Content no longer held back"}
 
-// heldContent returns the content for which a request ended as it did; empty
-// where that was for something else.
-func heldContent(last Line) string {
+// quarantinedContent returns the content fingerprint of a request that was rejected
+// because of its quarantine, or "" for any other result.
+func quarantinedContent(last Line) string {
 	switch last.code() {
 	case walnutramp.CodeHeldBack, walnutramp.CodeEndsTargets:
 		return last.Fields["content"]
@@ -24,32 +24,33 @@
 	return ""
 }
 
-// ofContent returns the lines up to a request's last that tell of its content.
-func ofContent(all []Line, last Line) []Line {
-	content := heldContent(last)
+// contentLines returns the lines of other requests about a rejected request's
+// content, up to its last line.
+func contentLines(all []Line, last Line) []Line {
+	content := quarantinedContent(last)
 	if content == "" {
 		return nil
 	}
 	var found []Line
 	for _, l := range all {
-		other := l.Fields["request"] != last.Fields["request"]
-		if l.Fields["content"] == content && other && l.Time <= last.Time && slices.Contains(contentMessages, l.Message) {
+		otherRequest := l.Fields["request"] != last.Fields["request"]
+		if l.Fields["content"] == content && otherRequest && l.Time <= last.Time && slices.Contains(contentMessages, l.Message) {
 			found = append(found, l)
 		}
 	}
 	return found
 }
 
-// endsOf tells under which runs of a content targets ended.
-func (s *Story) endsOf(content string) string {
-	var ends []string
+// crashes lists the targets that crashed while they ran a content.
+func (s *RequestTrace) crashes(content string) string {
+	var crashed []string
 	for _, l := range append(slices.Clone(s.Context), s.Lines...) {
 		if l.Fields["content"] == content && l.Fields["ended"] == "true" {
-			ends = append(ends, fmt.Sprintf("%s (%s, at %.3f under request %s)", l.Fields["target"], l.Fields["standing"], l.Time, l.Fields["request"]))
+			crashed = append(crashed, fmt.Sprintf("%s (%s, at %.3f under request %s)", l.Fields["target"], l.Fields["standing"], l.Time, l.Fields["request"]))
 		}
 	}
-	if len(ends) == 0 {
-		return "no log has the ends; nodes told each other"
+	if len(crashed) == 0 {
+		return "the crashes are not in these logs; other nodes reported them"
 	}
-	return strings.Join(ends, ", ")
+	return strings.Join(crashed, ", ")
 }
--- a/explain/explain.go
+++ b/explain/explain.go
@@ -1,6 +1,7 @@
-// Package explain reads nodes' logs and tells the story of one request over
-// all of them: its lines in order of time, what happened to its targets and
-// nodes meanwhile, and the cause of how it ended.
+// Package explain correlates the logs of several nodes. For a request it returns its
+// lines in chronological order, related events of its targets and nodes, and the
+// probable cause of its result; likewise for fencing tokens, roll-outs and usage
+// windows.
 package explain
 
 import (
@@ -17,17 +18,17 @@
 	"github.com/walnutramp/walnutramp"
 )
 
-// Line is one log line of a process.
+// Line is a parsed log line.
 type Line struct {
-	Time    float64 // seconds since midnight, or of the clock in front of the line
-	Process string  // who wrote it, as far as the file says
+	Time    float64 // seconds since midnight, or the number that precedes the line
+	Process string  // name that precedes the line, or of its file
 	Message string
 	Fields  map[string]string
 	Raw     string
 	order   int
 }
 
-// code returns the result code that a line tells of, 0 for none.
+// code returns the line's result code, or 0 if it has none.
 func (l Line) code() walnutramp.Code {
 	number, err := strconv.Atoi(l.Fields["code"])
 	if err != nil {
@@ -36,16 +37,16 @@
 	return walnutramp.Code(number)
 }
 
-// A klog line, with or without a clock and a process name in front of it.
+// linePattern matches a klog line, optionally preceded by a time and a process name.
 var linePattern = regexp.MustCompile(`^\s*(?:(-?[0-9.]+)\s+(\S+)\s+)?[IWEF]\d{4} (\d\d):(\d\d):(\d\d\.\d+)\s+\S+\s+(?:\S+:\d+\]\s+)?"((?:[^"\\]|\\.)*)"(.*)$`)
 
 var fieldPattern = regexp.MustCompile(`(\w+)=("(?:[^"\\]|\\.)*"|\[[^\]]*\]|\S+)`)
 
-// maxLine bounds a log line, in bytes; a longer one is passed over.
+// maxLine is the maximum length of a log line in bytes.
 const maxLine = 1 << 20
 
-// Read returns the log lines of a reader; name stands for the process where a
-// line does not name it.
+// Read parses log lines from r and skips lines of other formats. name is the process
+// name of lines that don't name one.
 func Read(r io.Reader, name string) ([]Line, error) {
 	scanner := bufio.NewScanner(r)
 	scanner.Buffer(make([]byte, 0, 64<<10), maxLine)
@@ -68,7 +69,7 @@
 	if m[2] != "" {
 		line.Process = m[2]
 	}
-	line.Time = clock(m[3], m[4], m[5])
+	line.Time = secondsSinceMidnight(m[3], m[4], m[5])
 	if m[1] != "" {
 		line.Time, _ = strconv.ParseFloat(m[1], 64)
 	}
@@ -78,47 +79,47 @@
 	return line, true
 }
 
-func clock(hours, minutes, seconds string) float64 {
+func secondsSinceMidnight(hours, minutes, seconds string) float64 {
 	h, _ := strconv.ParseFloat(hours, 64)
 	m, _ := strconv.ParseFloat(minutes, 64)
 	s, _ := strconv.ParseFloat(seconds, 64)
 	return (h*60+m)*60 + s
 }
 
-// Story is what the logs tell of one request.
-type Story struct {
+// RequestTrace is the history of a request.
+type RequestTrace struct {
 	Request string
-	Lines   []Line            // of the request itself, in order of time
-	Context []Line            // of its targets and processes meanwhile
-	Builds  map[string]string // of the processes that it came to, as far as they are told
+	Lines   []Line            // of the request itself, in chronological order
+	Context []Line            // related lines of its targets and processes
+	Builds  map[string]string // by process, where the logs name it
 	Cause   string
 	Advice  string
 }
 
-// Tell tells the story of a request; false if no line names it.
-func Tell(lines []Line, request string) (Story, bool) {
-	story := Story{Request: request}
-	story.Lines = linesOf(lines, "request", request)
-	if len(story.Lines) == 0 {
-		return story, false
-	}
-	story.Context = context(lines, story.Lines)
-	story.Builds = buildsOf(lines, story.Lines)
-	story.Cause, story.Advice = cause(&story)
-	return story, true
+// TraceRequest returns the history of a request, or false if no line names it.
+func TraceRequest(lines []Line, request string) (RequestTrace, bool) {
+	trace := RequestTrace{Request: request}
+	trace.Lines = filterByField(lines, "request", request)
+	if len(trace.Lines) == 0 {
+		return trace, false
+	}
+	trace.Context = relatedLines(lines, trace.Lines)
+	trace.Builds = processBuilds(lines, trace.Lines)
+	trace.Cause, trace.Advice = determineCause(&trace)
+	return trace, true
 }
 
-// buildsOf returns which builds the processes of a request's lines ran then.
-func buildsOf(all, own []Line) map[string]string {
+// processBuilds returns, by process, the builds that served a request.
+func processBuilds(all, own []Line) map[string]string {
 	builds := map[string]string{}
 	for _, l := range own {
 		builds[l.Process] = ""
 	}
 	started := map[string]float64{}
 	for _, l := range all {
-		_, asked := builds[l.Process]
+		_, wanted := builds[l.Process]
 		build := l.Fields["build"]
-		if !asked || l.Message != "Process starts" || build == "" || l.Time > own[len(own)-1].Time {
+		if !wanted || l.Message != "Process starts" || build == "" || l.Time > own[len(own)-1].Time {
 			continue
 		}
 		if before, known := started[l.Process]; !known || l.Time > before {
@@ -129,37 +130,38 @@
 	return builds
 }
 
-// linesOf returns the lines whose field has a value, in order of time.
-func linesOf(lines []Line, field, value string) []Line {
+// filterByField returns the lines with the given value of a field, in chronological
+// order.
+func filterByField(lines []Line, field, value string) []Line {
 	var found []Line
 	for _, l := range lines {
 		if l.Fields[field] == value {
 			found = append(found, l)
 		}
 	}
-	inOrder(found)
+	sortByTime(found)
 	return found
 }
 
-func inOrder(lines []Line) {
+func sortByTime(lines []Line) {
 	sort.SliceStable(lines, func(i, j int) bool { return lines[i].Time < lines[j].Time })
 }
 
-// contextAround is how long before a request's first line and after its last
-// other lines still matter, in seconds.
-const contextAround = 1.5
+// contextMargin is how long before a request's first line and after its last one
+// other lines count as related, in seconds.
+const contextMargin = 1.5
 
-// processMessages change what a process is, and so matter to all it serves.
+// processMessages are the messages about a process that affect all its requests.
 var processMessages = map[string]bool{
 	"Process starts": true, "Process stops": true, "Process ends": true, "Signal to stop": true,
 	"Requests are cut off at the end of the grace": true, "List of targets": true,
 	"Settings reloaded": true, "Log lines dropped": true,
 }
 
-const configured = "Configuration in force"
+const configurationInForce = "Configuration in force"
 
-// decidedByConfiguration reports whether a request ended as it did because of
-// the configuration in force.
+// decidedByConfiguration reports whether a request's result depended on the
+// configuration in force.
 func decidedByConfiguration(last Line) bool {
 	switch last.code() {
 	case walnutramp.CodeUnknownPath, walnutramp.CodeBadKey, walnutramp.CodeNotInForce:
@@ -168,9 +170,9 @@
 	return false
 }
 
-// context returns the lines that bear on a request without naming it.
-func context(all, own []Line) []Line {
-	first, last := own[0].Time-contextAround, own[len(own)-1].Time+contextAround
+// relatedLines returns the lines that are related to a request but don't name it.
+func relatedLines(all, own []Line) []Line {
+	first, last := own[0].Time-contextMargin, own[len(own)-1].Time+contextMargin
 	processes, targets := map[string]bool{}, map[string]bool{}
 	for _, l := range own {
 		processes[l.Process] = true
@@ -179,34 +181,34 @@
 		}
 	}
 	byConfiguration := decidedByConfiguration(own[len(own)-1])
-	found := append(restarts(all, own[len(own)-1]), ofContent(all, own[len(own)-1])...)
+	found := append(nextStart(all, own[len(own)-1]), contentLines(all, own[len(own)-1])...)
 	for _, l := range all {
 		if l.Time < first || l.Time > last || l.Fields["request"] == own[0].Fields["request"] {
 			continue
 		}
-		ofProcess := processes[l.Process] && (processMessages[l.Message] || byConfiguration && l.Message == configured)
-		again := l.Fields["run"] == own[0].Fields["request"]
+		ofProcess := processes[l.Process] && (processMessages[l.Message] || byConfiguration && l.Message == configurationInForce)
+		ofRetry := l.Fields["run"] == own[0].Fields["request"]
 		ofTarget := targets[l.Fields["target"]] && targetMessages[l.Message]
-		if ofProcess || ofTarget || again {
+		if ofProcess || ofTarget || ofRetry {
 			found = append(found, l)
 		}
 	}
-	inOrder(found)
+	sortByTime(found)
 	return found
 }
 
-// targetMessages are those that tell what befell a target, or what it said of itself,
-// under other requests.
+// targetMessages are the messages about failures and states of a target that were
+// seen with other requests.
 var targetMessages = map[string]bool{
 	"Target did not answer": true, "Stream broke off": true, "Target turned the request away": true,
 	"Target asks for rest": true, "Target says that it leaves": true,
 }
 
-// restarts returns the first start of a process behind a line of it, however
-// late, unless the process said before that it ends.
-func restarts(all []Line, after Line) []Line {
+// nextStart returns the next start of the process after one of its lines, however
+// late, unless the process logged an orderly exit in between.
+func nextStart(all []Line, after Line) []Line {
 	for _, l := range all {
-		if l.Process != after.Process || l.Time <= after.Time+contextAround {
+		if l.Process != after.Process || l.Time <= after.Time+contextMargin {
 			continue
 		}
 		switch l.Message {
@@ -219,36 +221,36 @@
 	return nil
 }
 
-// cause names why the request ended as it did.
-func cause(s *Story) (cause, advice string) {
+// determineCause derives the cause of the request's result from its last line.
+func determineCause(s *RequestTrace) (cause, advice string) {
 	last := s.Lines[len(s.Lines)-1]
 	switch last.Message {
 	case "Stream served", "Request served":
 		return servedCause(s, last)
 	case "Request ended here":
-		return ownAnswerCause(s, last)
+		return localResponseCause(s, last)
 	case "Stream given up":
-		return givenUpCause(s, last)
+		return abortedCause(s, last)
 	case "Client left":
 		if s.stopping(last) {
-			return givenUpCause(s, last)
+			return abortedCause(s, last)
 		}
 		return fmt.Sprintf("the client closed its connection after event %s", last.Fields["last"]),
-			"nothing failed here; if it came again, its next attempt has another id"
+			"nothing failed here; if the client retried, the retry has another request id"
 	}
-	if l, ok := s.later("Process stops", last); ok {
-		return fmt.Sprintf("the process %s was stopped as planned at %.3f while it served the request", l.Process, l.Time),
-			"the log ends before the request does: look whether it was killed before its grace was over"
+	if l, ok := s.laterLine("Process stops", last); ok {
+		return fmt.Sprintf("the process %s was stopped gracefully at %.3f while it served the request", l.Process, l.Time),
+			"the log ends before the request does: check whether the process was killed before its grace period ended"
 	}
-	if l, ok := s.later("Process starts", last); ok {
+	if l, ok := s.laterLine("Process starts", last); ok {
 		return fmt.Sprintf("the process %s ended while it served the request and started again at %.3f", l.Process, l.Time),
 			"look for a kill, a loss of power or a crash of that machine; the client resumes at another node"
 	}
 	return "the logs end before the request does: " + last.Message, "the process was killed or its machine lost power or its log; look at that machine"
 }
 
-// later returns a context line of the process that wrote l, behind it.
-func (s *Story) later(message string, l Line) (Line, bool) {
+// laterLine returns a context line with a message that l's process wrote after l.
+func (s *RequestTrace) laterLine(message string, l Line) (Line, bool) {
 	for _, c := range s.Context {
 		if c.Message == message && c.Process == l.Process && c.Time >= l.Time {
 			return c, true
@@ -257,8 +259,8 @@
 	return Line{}, false
 }
 
-// stopping reports whether the process was stopping when it wrote l.
-func (s *Story) stopping(l Line) bool {
+// stopping reports whether the process was about to exit when it wrote l.
+func (s *RequestTrace) stopping(l Line) bool {
 	for _, c := range s.Context {
 		if (c.Message == "Requests are cut off at the end of the grace" || c.Message == "Process ends") &&
 			c.Process == l.Process && c.Time >= l.Time-0.1 && c.Time <= l.Time+0.5 {
@@ -268,24 +270,24 @@
 	return false
 }
 
-func servedCause(s *Story, last Line) (cause, advice string) {
+func servedCause(s *RequestTrace, last Line) (cause, advice string) {
 	switch status := last.Fields["status"]; {
 	case strings.HasPrefix(status, "5"):
-		return fmt.Sprintf("target %s itself answered %s, after %s targets had begun it", last.Fields["target"], status, last.Fields["sent"]),
-			"look at that service; the route's most attempts and the budget for repeats bound how often it is tried"
+		return fmt.Sprintf("target %s responded with status %s; the request was sent to %s targets", last.Fields["target"], status, last.Fields["sent"]),
+			"check that service; the route's maximum of attempts and the retry budget limit how often a request is sent"
 	case status != "":
 		return fmt.Sprintf("served with status %s by target %s in %s ms", status, last.Fields["target"], last.Fields["ms"]), ""
 	}
-	broken := s.count("Stream broke off") + s.count("Target did not answer") + s.count("Run moved: its target is silent to others")
-	if broken == 0 {
-		return fmt.Sprintf("served whole: first event after %s ms, longest pause %s ms", last.Fields["first_ms"], last.Fields["longest_pause_ms"]), ""
+	failures := s.count("Stream broke off") + s.count("Target did not answer") + s.count("Run moved: its target is silent to others")
+	if failures == 0 {
+		return fmt.Sprintf("served completely: first event after %s ms, longest pause %s ms", last.Fields["first_ms"], last.Fields["longest_pause_ms"]), ""
 	}
-	return fmt.Sprintf("served whole over %s runs, since %s: first event after %s ms, longest pause %s ms",
-			last.Fields["runs"], s.breaks(), last.Fields["first_ms"], last.Fields["longest_pause_ms"]),
-		"look at the targets named; a pause above the route's means that no copy of the run was at hand"
+	return fmt.Sprintf("served completely in %s runs (%s): first event after %s ms, longest pause %s ms",
+			last.Fields["runs"], s.targetFailures(), last.Fields["first_ms"], last.Fields["longest_pause_ms"]),
+		"check these targets; a pause longer than the route's limit means that no KV-cache copy of the run was available"
 }
 
-func (s *Story) count(message string) int {
+func (s *RequestTrace) count(message string) int {
 	n := 0
 	for _, l := range s.Lines {
 		if l.Message == message {
@@ -295,19 +297,19 @@
 	return n
 }
 
-// breaks says which targets failed the request, and how.
-func (s *Story) breaks() string {
+// targetFailures lists the targets that failed the request, with the errors.
+func (s *RequestTrace) targetFailures() string {
 	var parts []string
 	for _, l := range s.Lines {
 		switch l.Message {
 		case "Stream broke off", "Target did not answer", "Answer broke off":
-			parts = append(parts, fmt.Sprintf("target %s: %s", l.Fields["target"], plain(l.Fields["err"])))
+			parts = append(parts, fmt.Sprintf("target %s: %s", l.Fields["target"], describeError(l.Fields["err"])))
 		case "Run moved: its target is silent to others":
-			parts = append(parts, fmt.Sprintf("target %s: its data hall fell silent before the first event", l.Fields["target"]))
+			parts = append(parts, fmt.Sprintf("target %s: its data hall stopped responding before the first event", l.Fields["target"]))
 		case "Target asks for rest":
-			parts = append(parts, fmt.Sprintf("target %s asked for %s ms of rest", l.Fields["target"], l.Fields["rest_ms"]))
+			parts = append(parts, fmt.Sprintf("target %s asked to back off for %s ms", l.Fields["target"], l.Fields["rest_ms"]))
 		case "Target turned the request away":
-			parts = append(parts, fmt.Sprintf("target %s turned it away with %s", l.Fields["target"], l.Fields["status"]))
+			parts = append(parts, fmt.Sprintf("target %s rejected it with status %s", l.Fields["target"], l.Fields["status"]))
 		}
 	}
 	if len(parts) == 0 {
@@ -316,30 +318,30 @@
 	return strings.Join(parts, "; ")
 }
 
-// plain puts an error of the connection layer into words.
-func plain(err string) string {
+// describeError translates a connection error into an explanation for operators.
+func describeError(err string) string {
 	switch {
 	case strings.Contains(err, "refused"):
-		return "nobody answered at its address (it had ended)"
+		return "connection refused (its process had ended)"
 	case strings.Contains(err, "exchange failed (dial)"):
 		return "no connection came about (its machine was silent, or the way there was cut)"
 	case strings.Contains(err, "deadline exceeded"), strings.Contains(err, "canceled"):
 		return "it did not answer in the time that was left"
 	case strings.Contains(err, "i/o timeout"), strings.Contains(err, "timed out"):
-		return "it fell silent"
+		return "it stopped responding"
 	case strings.Contains(err, "reset"):
 		return "the connection was reset"
 	case strings.Contains(err, "EOF"):
-		return "it closed the connection in the middle (it crashed, or broke the answer off)"
+		return "it closed the connection during the response (it crashed or aborted the response)"
 	case strings.Contains(err, "garbled"):
-		return "it sent bytes that form no answer to this request"
+		return "its response was malformed"
 	}
 	return err
 }
 
-func ownAnswerCause(s *Story, last Line) (cause, advice string) {
+func localResponseCause(s *RequestTrace, last Line) (cause, advice string) {
 	code := last.code()
-	what := fmt.Sprintf("answered here with code %v (%s, outcome %s): %s", code, code.Info().Text, last.Fields["outcome"], s.breaks())
+	what := fmt.Sprintf("answered here with code %v (%s, outcome %s): %s", code, code.Info().Text, last.Fields["outcome"], s.targetFailures())
 	switch code {
 	case walnutramp.CodeStopping:
 		return what, "the node was stopping; the client is told to come back, and meets another node"
@@ -348,37 +350,37 @@
 	case walnutramp.CodeUnknownPath, walnutramp.CodeBadKey:
 		return what, "compare the configuration in force on the node at that time (version in its log) with the client's request"
 	case walnutramp.CodeHeldBack, walnutramp.CodeEndsTargets:
-		return fmt.Sprintf("targets end when they run content %s: %s", last.Fields["content"], s.endsOf(last.Fields["content"])),
+		return fmt.Sprintf("targets end when they run content %s: %s", last.Fields["content"], s.crashes(last.Fields["content"])),
 			"look at the targets' own logs of these moments; the client is told when the request may be tried again"
 	case walnutramp.CodeTargetsRest:
-		return what, "all targets of the service had asked this node for rest: look at the lines in which they did; the client is told when the first has rested"
+		return what, "all targets of the service had asked this node to back off: see the lines in which they did; Retry-After tells the client when the first is available again"
 	case walnutramp.CodeNoTarget:
 		return what, "no target of the service could be asked: look at its list of targets and at what turned the request away"
 	}
 	return what, "look at the targets named; outcome unknown means that it may have run and was not sent again"
 }
 
-func givenUpCause(s *Story, last Line) (cause, advice string) {
+func abortedCause(s *RequestTrace, last Line) (cause, advice string) {
 	why := last.Fields["cause"]
 	switch {
 	case s.stopping(last):
 		return "the node's planned stop ended before the stream did, and cut it off; the client resumes at another node",
 			"streams that can't end in the grace are refused; one that takes longer than predicted is cut"
 	case strings.Contains(why, "canceled"):
-		return fmt.Sprintf("the client left after event %s (%s)", last.Fields["last"], s.breaks()), "look at the client's own patience, and at the pauses before"
+		return fmt.Sprintf("the client left after event %s (%s)", last.Fields["last"], s.targetFailures()), "look at the client's own patience, and at the pauses before"
 	case strings.Contains(why, "deadline"):
-		return fmt.Sprintf("the client's deadline or the route's time-out passed after event %s (%s)", last.Fields["last"], s.breaks()),
+		return fmt.Sprintf("the client's deadline or the route's time-out passed after event %s (%s)", last.Fields["last"], s.targetFailures()),
 			"if the client came again, little time may have been left"
 	}
 	if s.count("Not repeated: the budget is spent") > 0 {
-		return fmt.Sprintf("the budget for repeats was spent after event %s: %s", last.Fields["last"], s.breaks()),
-			"look at how much the service's targets failed in the ten seconds before"
+		return fmt.Sprintf("the retry budget was exhausted after event %s: %s", last.Fields["last"], s.targetFailures()),
+			"check the failures of the service's targets in the ten seconds before"
 	}
-	return fmt.Sprintf("no target was left to go on at after event %s: %s", last.Fields["last"], s.breaks()), "look at the service's targets at that time"
+	return fmt.Sprintf("no target was left to resume on after event %s: %s", last.Fields["last"], s.targetFailures()), "check the service's targets at that time"
 }
 
-// Write prints a story.
-func (s *Story) Write(w io.Writer) {
+// Write prints the trace; lines of the request itself are marked with *.
+func (s *RequestTrace) Write(w io.Writer) {
 	fmt.Fprintf(w, "request %s\ncause:  %s\n", s.Request, s.Cause)
 	if s.Advice != "" {
 		fmt.Fprintf(w, "advice: %s\n", s.Advice)
@@ -388,17 +390,17 @@
 	}
 	fmt.Fprintln(w)
 	lines := append(append([]Line(nil), s.Lines...), s.Context...)
-	inOrder(lines)
+	sortByTime(lines)
 	for _, l := range lines {
 		mark := "  "
 		if l.Fields["request"] == s.Request {
 			mark = "* "
 		}
-		fmt.Fprintf(w, "%s%12.4f %-32s %s %s\n", mark, l.Time, l.Process, l.Message, fields(l.Fields, s.Request))
+		fmt.Fprintf(w, "%s%12.4f %-32s %s %s\n", mark, l.Time, l.Process, l.Message, formatFields(l.Fields, s.Request))
 	}
 }
 
-func fields(f map[string]string, request string) string {
+func formatFields(f map[string]string, request string) string {
 	names := make([]string, 0, len(f))
 	for name, value := range f {
 		if value != request {
--- a/explain/explain_test.go
+++ b/explain/explain_test.go
@@ -9,9 +9,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The logs in testdata are parts of nodes' logs of bad days on the bench, each
-// with the id of a failed request in its first line.
-func TestStoriesOfFailedRequests(t *testing.T) {
+// The logs in testdata are excerpts of nodes' logs from failure tests; the first line
+// of each names a failed request.
+func TestTracesOfFailedRequests(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.log")
 	require.NoError(t, err)
 	require.NotEmpty(t, files)
@@ -22,10 +22,10 @@
 			head, _, _ := strings.Cut(string(text), "\n")
 			lines, err := Read(strings.NewReader(string(text)), "node")
 			require.NoError(t, err)
-			story, ok := Tell(lines, strings.TrimPrefix(head, "# request "))
+			trace, ok := TraceRequest(lines, strings.TrimPrefix(head, "# request "))
 			require.True(t, ok)
 			var got strings.Builder
-			story.Write(&got)
+			trace.Write(&got)
 			golden := strings.TrimSuffix(file, ".log") + ".txt"
 			if os.Getenv("UPDATE_GOLDEN") != "" {
 				require.NoError(t, os.WriteFile(golden, []byte(got.String()), 0o644))
@@ -46,16 +46,16 @@
 	require.Len(t, lines, 2)
 	require.Equal(t, "node-1.log", lines[0].Process)
 	require.InDelta(t, 36001.5, lines[0].Time, 1e-6)
-	story, ok := Tell(lines, "a1")
+	trace, ok := TraceRequest(lines, "a1")
 	require.True(t, ok)
-	require.Contains(t, story.Cause, "served whole: first event after 700 ms")
-	_, ok = Tell(lines, "a2")
+	require.Contains(t, trace.Cause, "served completely: first event after 700 ms")
+	_, ok = TraceRequest(lines, "a2")
 	require.False(t, ok)
 }
 
-// Why a request was refused is told by another one's line: the target that served it
-// asked for rest before.
-func TestRequestWhoseTargetsRest(t *testing.T) {
+// The reason of a rejection can be in another request's line, here the target's
+// earlier request to back off.
+func TestRequestRejectedWhileTargetsBackOff(t *testing.T) {
 	const text = `I0807 10:00:01.100000   13212 ask.go:90] "Target asks for rest" request="a0" target="i-1" status=503 rest_ms=3000
 I0807 10:00:01.100100   13212 plain.go:99] "Target turned the request away" request="a1" target="i-1" status=503
 I0807 10:00:01.100050   13212 ask.go:90] "Target asks for rest" request="a1" target="i-1" status=503 rest_ms=3000
@@ -63,16 +63,16 @@
 `
 	lines, err := Read(strings.NewReader(text), "node-1.log")
 	require.NoError(t, err)
-	story, ok := Tell(lines, "a1")
+	trace, ok := TraceRequest(lines, "a1")
 	require.True(t, ok)
-	require.Contains(t, story.Cause, "target i-1 asked for 3000 ms of rest")
-	require.Contains(t, story.Advice, "had asked this node for rest")
-	require.Len(t, story.Context, 1)
+	require.Contains(t, trace.Cause, "target i-1 asked to back off for 3000 ms")
+	require.Contains(t, trace.Advice, "had asked this node to back off")
+	require.Len(t, trace.Context, 1)
 }
 
-// While nodes are replaced by those of another build, a story says which one ran the
-// request.
-func TestBuildOfTheNodeThatServed(t *testing.T) {
+// During an upgrade the trace must name the build that served the request, not that
+// of an earlier or later process.
+func TestTraceNamesBuildOfServingProcess(t *testing.T) {
 	const text = `I0807 10:00:00.000000   13212 serve.go:99] "Process starts" name="n" build="aaa"
 I0807 10:00:05.000000   13300 serve.go:99] "Process starts" name="n" build="bbb"
 I0807 10:00:07.000000   13300 stream.go:99] "Stream served" request="a1" runs=1
@@ -80,15 +80,15 @@
 `
 	lines, err := Read(strings.NewReader(text), "node-1.log")
 	require.NoError(t, err)
-	story, ok := Tell(lines, "a1")
+	trace, ok := TraceRequest(lines, "a1")
 	require.True(t, ok)
-	var told strings.Builder
-	story.Write(&told)
-	require.Contains(t, told.String(), "build:  node-1.log ran bbb\n")
-	require.NotContains(t, told.String(), "build:  node-1.log ran aaa")
+	var output strings.Builder
+	trace.Write(&output)
+	require.Contains(t, output.String(), "build:  node-1.log ran bbb\n")
+	require.NotContains(t, output.String(), "build:  node-1.log ran aaa")
 }
 
-func TestClientThatLeft(t *testing.T) {
+func TestClientDisconnect(t *testing.T) {
 	const begun = `I0807 10:00:01.500000   13212 stream.go:10] "Run begins" request="a1" target="i-1" run=1
 I0807 10:00:02.250000   13212 stream.go:99] "Client left" request="a1" route="r" last=9 err="broken pipe"
 `
@@ -98,9 +98,9 @@
 	} {
 		lines, err := Read(strings.NewReader(text), "node-1.log")
 		require.NoError(t, err)
-		story, ok := Tell(lines, "a1")
+		trace, ok := TraceRequest(lines, "a1")
 		require.True(t, ok)
-		require.Contains(t, story.Cause, want)
+		require.Contains(t, trace.Cause, want)
 	}
 }
 
@@ -112,8 +112,8 @@
 			return
 		}
 		for _, l := range lines {
-			if story, ok := Tell(lines, l.Fields["request"]); ok {
-				story.Write(&strings.Builder{})
+			if trace, ok := TraceRequest(lines, l.Fields["request"]); ok {
+				trace.Write(&strings.Builder{})
 			}
 		}
 	})
--- a/explain/rollout_test.go
+++ b/explain/rollout_test.go
@@ -16,25 +16,25 @@
 I0807 10:01:03.000000 1 x.go:1] "Roll-out weighed" service="desk" number=9 version="v2" stage=0 score=8.1
 `
 
-func TestStoryOfARollout(t *testing.T) {
+func TestTraceRollout(t *testing.T) {
 	lines, err := Read(strings.NewReader(rolloutLog), "member-1")
 	require.NoError(t, err)
-	r, ok := TellRollout(lines, "desk")
+	r, ok := TraceRollout(lines, "desk")
 	require.True(t, ok)
-	require.Equal(t, "version v2 is under way, as far as the logs go", r.Cause)
+	require.Equal(t, "version v2 is in progress according to these logs", r.Cause)
 
 	ended, err := Read(strings.NewReader(rolloutLog+`I0807 10:01:03.100000 1 x.go:1] "Roll-out goes on" service="desk" number=9 version="v2" state="rolled-back" elapsed_ms=2100 why="bad: answers failed on route berth" answers=31 excess=4.5 score=8.1
 `), "member-1")
 	require.NoError(t, err)
-	r, ok = TellRollout(ended, "desk")
+	r, ok = TraceRollout(ended, "desk")
 	require.True(t, ok)
 	require.Contains(t, r.Cause, "version v2 is rolled-back after 2100 ms: bad: answers failed on route berth")
 	require.Contains(t, r.Cause, "2 answers against it")
 	var text strings.Builder
 	r.Write(&text)
 	require.Contains(t, text.String(), "request=a1")
-	require.NotContains(t, text.String(), "version=v1", "only the newest")
-	require.NotContains(t, text.String(), "request=b1", "another service's")
-	_, ok = TellRollout(lines, "none")
+	require.NotContains(t, text.String(), "version=v1", "line of an earlier roll-out")
+	require.NotContains(t, text.String(), "request=b1", "line of another service")
+	_, ok = TraceRollout(lines, "none")
 	require.False(t, ok)
 }
--- a/explain/window_test.go
+++ b/explain/window_test.go
@@ -14,33 +14,33 @@
 I0807 09:59:01.700000 1 x.go:1] "Process starts" name="m"
 `
 
-func TestStoryOfAWindow(t *testing.T) {
+func TestTraceWindow(t *testing.T) {
 	lines, err := Read(strings.NewReader(windowLog), "member-1")
 	require.NoError(t, err)
-	w, ok := TellWindow(lines, "7")
+	w, ok := TraceWindow(lines, "7")
 	require.True(t, ok)
-	require.Equal(t, "closed by member-1 1500 ms after its end with 40 requests of 3 accounts from 5 nodes, without the last words of 2; "+
-		"not told, as far as the logs go, after 1 calls in vain", w.Cause)
-	require.Len(t, w.Context, 1, "the time, but not what was a minute before")
+	require.Equal(t, "closed by member-1 1500 ms after its end with 40 requests of 3 accounts from 5 nodes, without the final reports of 2 nodes; "+
+		"not reported according to these logs, after 1 failed calls", w.Cause)
+	require.Len(t, w.Context, 1, "clock agreement, but no line of a minute before")
 
-	again, err := Read(strings.NewReader(`I0807 10:00:04.000000 1 x.go:1] "Window told" window=7 token=5 outcome="done" ms=20
+	later, err := Read(strings.NewReader(`I0807 10:00:04.000000 1 x.go:1] "Window told" window=7 token=5 outcome="done" ms=20
 I0807 10:00:05.000000 1 x.go:1] "Window told" window=7 token=6 outcome="done" ms=20
 `), "member-2")
 	require.NoError(t, err)
-	w, ok = TellWindow(append(lines, again...), "7")
+	w, ok = TraceWindow(append(lines, later...), "7")
 	require.True(t, ok)
-	require.Contains(t, w.Cause, "told by member-2 with token 5 after 1 calls in vain")
+	require.Contains(t, w.Cause, "reported by member-2 with token 5 after 1 failed calls")
 	var text strings.Builder
 	w.Write(&text)
 	require.Contains(t, text.String(), "spread_ms=3001")
 	require.NotContains(t, text.String(), "window=8")
-	_, ok = TellWindow(lines, "9")
+	_, ok = TraceWindow(lines, "9")
 	require.False(t, ok)
 
-	lost, err := Read(strings.NewReader(`I0807 10:00:06.000000 1 x.go:1] "Window given up" window=9 why="the platform rejects it"
+	abandoned, err := Read(strings.NewReader(`I0807 10:00:06.000000 1 x.go:1] "Window given up" window=9 why="the platform rejects it"
 `), "member-2")
 	require.NoError(t, err)
-	w, ok = TellWindow(lost, "9")
+	w, ok = TraceWindow(abandoned, "9")
 	require.True(t, ok)
 	require.Contains(t, w.Cause, "given up: the platform rejects it")
 }
