--- a/cmd/walnutramp/bundle.go
+++ b/cmd/walnutramp/bundle.go
@@ -16,10 +16,10 @@
 	"github.com/walnutramp/walnutramp/wal"
 )
 
-// bundleCommand groups what operators do with bundles.
+// bundleCommand groups the operators' commands on bundles.
 type bundleCommand struct {
-	Check   checkCommand   `command:"check" description:"check a bundle and print every mistake"`
-	Diff    diffCommand    `command:"diff" description:"show what changes from one bundle to another"`
+	Check   checkCommand   `command:"check" description:"validate a bundle and print all errors"`
+	Diff    diffCommand    `command:"diff" description:"show the differences between two bundles"`
 	Sign    signCommand    `command:"sign" description:"sign a bundle"`
 	Submit  submitCommand  `command:"submit" description:"submit a signed bundle"`
 	Status  statusCommand  `command:"status" description:"show which version is in force on which node"`
@@ -61,28 +61,28 @@
 
 // Execute implements flags.Commander.
 func (c *diffCommand) Execute([]string) error {
-	older, err := os.ReadFile(c.Args.Old)
+	oldDoc, err := os.ReadFile(c.Args.Old)
 	if err != nil {
 		return err
 	}
-	newer, err := os.ReadFile(c.Args.New)
+	newDoc, err := os.ReadFile(c.Args.New)
 	if err != nil {
 		return err
 	}
 	text, err := difflib.GetUnifiedDiffString(difflib.UnifiedDiff{
-		A: difflib.SplitLines(string(older)), B: difflib.SplitLines(string(newer)),
+		A: difflib.SplitLines(string(oldDoc)), B: difflib.SplitLines(string(newDoc)),
 		FromFile: c.Args.Old, ToFile: c.Args.New, Context: 2,
 	})
 	fmt.Fprint(c.out, text)
 	return err
 }
 
-// signatureSuffix names the file with a bundle's signature.
+// signatureSuffix is appended to a bundle's file name for its signature.
 const signatureSuffix = ".sig"
 
 type signCommand struct {
 	*program
-	Operator string `long:"operator" env:"WALNUTRAMP_OPERATOR" required:"true" description:"name under which the key is known"`
+	Operator string `long:"operator" env:"WALNUTRAMP_OPERATOR" required:"true" description:"name of the operator that the key belongs to"`
 	Key      string `long:"key" env:"WALNUTRAMP_OPERATOR_KEY" required:"true" description:"file with the private key"`
 	Args     struct {
 		File string `positional-arg-name:"FILE" required:"true"`
@@ -109,7 +109,7 @@
 	return os.WriteFile(c.Args.File+signatureSuffix, []byte(c.Operator+"\n"+encodeSignature(sig)+"\n"), 0o644)
 }
 
-// nodeOption names the node that an operator's command talks to.
+// nodeOption selects the node that an operator's command connects to.
 type nodeOption struct {
 	Node string `long:"node" env:"WALNUTRAMP_NODE" default:"127.0.0.1:8080" description:"numeric IP:port of any node, as callers reach it"`
 }
@@ -150,25 +150,25 @@
 	if err != nil {
 		return err
 	}
-	var a operator.Answer
-	_, err = client.R().SetBody(operator.Submission{Doc: doc, Signature: sig}).SetResult(&a).SetError(&a).Post("/operator/bundles")
+	var answer operator.Answer
+	_, err = client.R().SetBody(operator.Submission{Doc: doc, Signature: sig}).SetResult(&answer).SetError(&answer).Post("/operator/bundles")
 	if err != nil {
-		return errors.Wrap(err, "no answer; the bundle may be accepted: submit the same file again")
+		return errors.Wrap(err, "no response; the bundle may have been accepted, submit the same file again")
 	}
-	if a.Code != walnutramp.CodeOK {
-		return errors.Newf("%v (%s): %s; version %d by %s is in its place", a.Code, a.Outcome, a.Message, a.Version, a.Winner)
+	if answer.Code != walnutramp.CodeOK {
+		return errors.Newf("%v (%s): %s; the accepted bundle is version %d by %s", answer.Code, answer.Outcome, answer.Message, answer.Version, answer.Winner)
 	}
-	fmt.Fprintf(c.out, "bundle %d accepted, digest %s\n", a.Version, a.Digest)
+	fmt.Fprintf(c.out, "bundle %d accepted, digest %s\n", answer.Version, answer.Digest)
 	if c.Wait > 0 {
 		return c.await(client, b.Version)
 	}
 	return nil
 }
 
-const waitPoll = 100 * time.Millisecond
+const statusPollInterval = 100 * time.Millisecond
 
-// await returns when every live node has the version in force, or says which
-// have not.
+// await waits until the version is in force on all live nodes. After the timeout it
+// returns an error that lists the remaining ones.
 func (c *submitCommand) await(client *resty.Client, version uint64) error {
 	deadline := time.Now().Add(c.Wait)
 	for {
@@ -176,33 +176,33 @@
 		if err != nil {
 			return err
 		}
-		late := behind(status, version)
-		if len(late) == 0 {
+		pending := nodesBehind(status, version)
+		if len(pending) == 0 {
 			fmt.Fprintf(c.out, "in force on all %d live nodes\n", len(status.Nodes))
 			return nil
 		}
 		if time.Now().After(deadline) {
-			return errors.Newf("accepted, but not in force after %v on: %v", c.Wait, late)
+			return errors.Newf("accepted, but not in force after %v on: %v", c.Wait, pending)
 		}
-		time.Sleep(waitPoll)
+		time.Sleep(statusPollInterval)
 	}
 }
 
-func behind(s operator.Status, version uint64) []walnutramp.NodeName {
-	var late []walnutramp.NodeName
+func nodesBehind(s operator.Status, version uint64) []walnutramp.NodeName {
+	var pending []walnutramp.NodeName
 	for _, n := range s.Nodes {
 		if n.Version < version || !n.InForce {
-			late = append(late, n.Node)
+			pending = append(pending, n.Node)
 		}
 	}
-	return late
+	return pending
 }
 
 func fetchStatus(client *resty.Client) (operator.Status, error) {
 	var s operator.Status
 	resp, err := client.R().SetResult(&s).Get("/operator/status")
 	if err == nil && resp.IsError() {
-		err = errors.Newf("the node answered status %d", resp.StatusCode())
+		err = errors.Newf("the node responded with status %d", resp.StatusCode())
 	}
 	return s, err
 }
@@ -254,7 +254,7 @@
 		return err
 	}
 	if resp.IsError() {
-		return errors.Newf("the node answered status %d", resp.StatusCode())
+		return errors.Newf("the node responded with status %d", resp.StatusCode())
 	}
 	for _, a := range h.Accepted {
 		if a.Version > 0 {
@@ -265,9 +265,10 @@
 	return nil
 }
 
-// controlCommand groups what is done to control nodes' disks.
+// controlCommand groups the commands on the data directories of control group
+// members.
 type controlCommand struct {
-	Found foundCommand `command:"found" description:"make an empty data folder a founder's, once, when the site is set up"`
+	Found foundCommand `command:"found" description:"initialize an empty data directory of a founder; only once, when the site is set up"`
 }
 
 func newControlCommand(p *program) *controlCommand {
@@ -276,7 +277,7 @@
 
 type foundCommand struct {
 	*program
-	Data string `long:"data" env:"WALNUTRAMP_DATA" required:"true" description:"data folder; it is made if need be"`
+	Data string `long:"data" env:"WALNUTRAMP_DATA" required:"true" description:"data directory, created if missing"`
 }
 
 // Execute implements flags.Commander.
@@ -285,7 +286,7 @@
 		return err
 	}
 	if err := control.FoundIdentity(wal.Dir(c.Data)); err != nil {
-		return &settingError{"--data", c.Data, "a folder that was never used (" + err.Error() + ")"}
+		return &settingError{"--data", c.Data, "an unused data directory (" + err.Error() + ")"}
 	}
 	fmt.Fprintln(c.out, "founded:", c.Data)
 	return nil
@@ -293,30 +294,30 @@
 
 type keysCommand struct {
 	*program
-	Out       string   `long:"out" required:"true" description:"folder for the keys; it is made if need be"`
-	Site      string   `long:"site" env:"WALNUTRAMP_SITE" default:"default" description:"site the keys are for"`
-	Nodes     []string `long:"node" description:"name of a node; may be given again"`
-	Operators []string `long:"operator" description:"name of an operator; may be given again"`
+	Out       string   `long:"out" required:"true" description:"directory for the keys, created if missing"`
+	Site      string   `long:"site" env:"WALNUTRAMP_SITE" default:"default" description:"name of the site"`
+	Nodes     []string `long:"node" description:"name of a node; can be repeated"`
+	Operators []string `long:"operator" description:"name of an operator; can be repeated"`
 }
 
 // Execute implements flags.Commander.
 func (c *keysCommand) Execute([]string) error {
-	if err := keys.MakeSite(c.Out, c.Site, names(c.Nodes)); err != nil {
+	if err := keys.MakeSite(c.Out, c.Site, nodeNames(c.Nodes)); err != nil {
 		return err
 	}
-	var public string
+	var publicKeys string
 	for _, o := range c.Operators {
 		pub, private, err := bundle.NewOperatorKey()
 		if err != nil {
 			return err
 		}
-		public += o + " " + pub + "\n"
+		publicKeys += o + " " + pub + "\n"
 		if err := os.WriteFile(c.Out+"/operator-"+o+".key", []byte(private+"\n"), 0o600); err != nil {
 			return err
 		}
 	}
-	if public != "" {
-		if err := os.WriteFile(c.Out+"/operators", []byte(public), 0o644); err != nil {
+	if publicKeys != "" {
+		if err := os.WriteFile(c.Out+"/operators", []byte(publicKeys), 0o644); err != nil {
 			return err
 		}
 	}
--- a/cmd/walnutramp/capacity.go
+++ b/cmd/walnutramp/capacity.go
@@ -13,12 +13,12 @@
 
 type capacityCommand struct {
 	*program
-	Duration time.Duration `long:"duration" default:"5s" description:"of each measurement"`
+	Duration time.Duration `long:"duration" default:"5s" description:"duration of each measurement"`
 	Members  []int         `long:"members" default:"12" default:"25" default:"50" default:"100" description:"numbers of nodes to measure with"`
 	Targets  []int         `long:"targets" default:"4" default:"50" default:"100" default:"200" description:"numbers of targets to measure with"`
-	Changes  []int         `long:"changes" default:"0" default:"1" default:"4" default:"10" description:"bundle changes a second to measure with"`
-	Data     string        `long:"data" description:"write the result to this file, or with --page read it from there"`
-	Page     string        `long:"page" description:"measure nothing; put the tables of --data into this Markdown page"`
+	Changes  []int         `long:"changes" default:"0" default:"1" default:"4" default:"10" description:"bundle changes per second to measure with"`
+	Data     string        `long:"data" description:"file to write the result to, or with --page to read it from"`
+	Page     string        `long:"page" description:"measure nothing; update the tables of this Markdown page from --data"`
 }
 
 // Execute implements flags.Commander.
@@ -26,8 +26,8 @@
 	if c.Page != "" {
 		return c.writePage()
 	}
-	m := &load.Meter{Duration: c.Duration, Members: c.Members, Targets: c.Targets, Changes: c.Changes, Progress: os.Stderr}
-	result, err := m.Run(context.Background())
+	meter := &load.Meter{Duration: c.Duration, Members: c.Members, Targets: c.Targets, Changes: c.Changes, Progress: os.Stderr}
+	result, err := meter.Run(context.Background())
 	if err != nil {
 		return err
 	}
@@ -42,7 +42,7 @@
 	return os.WriteFile(c.Data, append(encoded, '\n'), 0o644)
 }
 
-// Marks between which a page's tables are generated.
+// Markers around the generated tables of a page.
 const (
 	tablesBegin = "<!-- tables: begin -->\n"
 	tablesEnd   = "<!-- tables: end -->\n"
@@ -64,7 +64,7 @@
 	before, rest, ok := bytes.Cut(page, []byte(tablesBegin))
 	_, after, ok2 := bytes.Cut(rest, []byte(tablesEnd))
 	if !ok || !ok2 {
-		return errors.Newf("%s has no marks for the tables", c.Page)
+		return errors.Newf("%s has no markers for the tables", c.Page)
 	}
 	var tables bytes.Buffer
 	result.WriteTable(&tables)
--- a/cmd/walnutramp/demo.go
+++ b/cmd/walnutramp/demo.go
@@ -21,31 +21,31 @@
 	JSON bool `long:"json" description:"end with one JSON object on the last line"`
 }
 
-// demoResult is what the demo found.
+// demoResult is the result of the demo.
 type demoResult struct {
-	Drafts      int     `json:"drafts"`
-	Complete    int     `json:"complete"`
-	Tokens      int     `json:"tokens"`
-	Missing     int     `json:"missing"`
-	Repeated    int     `json:"repeated"`
-	Mixed       int     `json:"mixed"`
-	ResumeGapMS float64 `json:"resume_gap_ms"`   // longest silence after the engine died
-	TakeoverGap float64 `json:"takeover_gap_ms"` // longest silence after the entry node died
-	Reconnects  int     `json:"reconnects"`
-	LookupsGood int     `json:"lookups_answered"`
-	Prefilled   int     `json:"prefilled_tokens"`
+	Drafts          int     `json:"drafts"`
+	Complete        int     `json:"complete"`
+	Tokens          int     `json:"tokens"`
+	Missing         int     `json:"missing"`
+	Repeated        int     `json:"repeated"`
+	Mixed           int     `json:"mixed"`
+	ResumeGapMS     float64 `json:"resume_gap_ms"`   // longest gap in a stream when an engine crashes
+	TakeoverGapMS   float64 `json:"takeover_gap_ms"` // longest gap in a stream when an entry node crashes
+	Reconnects      int     `json:"reconnects"`
+	LookupsAnswered int     `json:"lookups_answered"`
+	PrefilledTokens int     `json:"prefilled_tokens"`
 }
 
-// The demo's shape.
+// Parameters of the demo.
 const (
 	demoDrafts = 6
 	demoTokens = 200
-	demoKillAt = 60 // tokens into the drafts when the engine dies
+	demoKillAt = 60 // tokens into the drafts at which the failure is injected
 )
 
 // Execute implements flags.Commander.
 func (c *demoCommand) Execute([]string) error {
-	d := &demo{story: c.out}
+	d := &demo{out: c.out}
 	result, err := d.run()
 	if err != nil {
 		return err
@@ -57,25 +57,25 @@
 		}
 		fmt.Fprintln(c.out, string(line))
 	}
-	return result.broken()
+	return result.check()
 }
 
-func (r *demoResult) broken() error {
-	if r.Complete != r.Drafts || r.Missing+r.Repeated+r.Mixed > 0 || r.LookupsGood == 0 {
-		return errors.Newf("a promise broke: %+v", *r)
+func (r *demoResult) check() error {
+	if r.Complete != r.Drafts || r.Missing+r.Repeated+r.Mixed > 0 || r.LookupsAnswered == 0 {
+		return errors.Newf("drafts incomplete or with wrong tokens, or no lookup answered: %+v", *r)
 	}
 	return nil
 }
 
-// demo tells its story while it runs.
+// demo runs the demo and prints its progress.
 type demo struct {
-	story  io.Writer
+	out    io.Writer
 	site   *site.Site
 	client *load.Client
 	result demoResult
 }
 
-func (d *demo) say(format string, args ...any) { fmt.Fprintf(d.story, format+"\n", args...) }
+func (d *demo) printf(format string, args ...any) { fmt.Fprintf(d.out, format+"\n", args...) }
 
 func (d *demo) run() (*demoResult, error) {
 	cfg := site.Default()
@@ -90,14 +90,14 @@
 		return nil, err
 	}
 	d.client = load.NewClient(d.site.Transport(), d.addresses())
-	d.say("A site of %d entry nodes in %d data halls, %d engines and %d service is up.", len(d.site.Nodes), len(cfg.Halls), len(d.site.Engines), len(d.site.Services))
+	d.printf("Started a site of %d entry nodes in %d data halls, %d engines and %d service.", len(d.site.Nodes), len(cfg.Halls), len(d.site.Engines), len(d.site.Services))
 	d.lookup(ctx)
-	d.say("\n1. %d drafts of %d tokens stream; the engine with the most of them dies at token %d.", demoDrafts, demoTokens, demoKillAt)
-	d.result.ResumeGapMS = d.drafts(ctx, d.killEngine)
-	d.say("   longest pause any caller saw: %.0f ms", d.result.ResumeGapMS)
-	d.say("\n2. %d more drafts stream; one entry node dies, its callers reconnect elsewhere with Last-Event-ID.", demoDrafts)
-	d.result.TakeoverGap = d.drafts(ctx, d.killNode)
-	d.say("   longest pause any caller saw: %.0f ms", d.result.TakeoverGap)
+	d.printf("\n1. %d drafts of %d tokens are streaming; the engine with the most streams crashes at token %d.", demoDrafts, demoTokens, demoKillAt)
+	d.result.ResumeGapMS = d.runDrafts(ctx, d.killEngine)
+	d.printf("   longest pause any caller saw: %.0f ms", d.result.ResumeGapMS)
+	d.printf("\n2. %d more drafts are streaming; one entry node crashes, its callers reconnect to others with Last-Event-ID.", demoDrafts)
+	d.result.TakeoverGapMS = d.runDrafts(ctx, d.killNode)
+	d.printf("   longest pause any caller saw: %.0f ms", d.result.TakeoverGapMS)
 	d.lookup(ctx)
 	d.summary()
 	return &d.result, nil
@@ -111,9 +111,9 @@
 	return as
 }
 
-// drafts runs a round of drafts with a failure in it and returns the longest
-// pause in milliseconds.
-func (d *demo) drafts(ctx context.Context, fail func()) float64 {
+// runDrafts runs demoDrafts drafts, injects a failure, and returns the longest pause
+// in milliseconds.
+func (d *demo) runDrafts(ctx context.Context, fail func()) float64 {
 	var wg sync.WaitGroup
 	results := make([]load.Drafted, demoDrafts)
 	for i := range results {
@@ -131,13 +131,13 @@
 	wg.Wait()
 	longest := time.Duration(0)
 	for _, r := range results {
-		d.count(r)
+		d.addResult(r)
 		longest = max(longest, r.LongestGap())
 	}
 	return float64(longest.Microseconds()) / 1000
 }
 
-func (d *demo) count(r load.Drafted) {
+func (d *demo) addResult(r load.Drafted) {
 	d.result.Drafts++
 	if r.Complete {
 		d.result.Complete++
@@ -149,16 +149,16 @@
 	d.result.Reconnects += r.Reconnects
 }
 
-// killEngine ends the engine that has started the most streams.
+// killEngine kills the engine that has started the most streams.
 func (d *demo) killEngine() {
 	busiest := slices.MaxFunc(d.site.Engines, func(a, b *site.Engine) int { return a.Counts().Streams - b.Counts().Streams })
-	d.say("   %s dies with %d streams on it.", busiest.Target.Name, busiest.Counts().Streams)
+	d.printf("   %s crashes with %d streams on it.", busiest.Target.Name, busiest.Counts().Streams)
 	busiest.Kill()
 }
 
 func (d *demo) killNode() {
 	n := d.site.Nodes[0]
-	d.say("   %s dies.", n.Name)
+	d.printf("   %s crashes.", n.Name)
 	n.Kill()
 }
 
@@ -166,19 +166,19 @@
 	last := len(d.site.Nodes) - 1
 	answer, err := d.client.Call(ctx, load.Call{APIKey: site.KeyOf("clerks"), Method: "GET", Path: site.ServiceName + "/lookup/berth-7", First: last})
 	if err != nil {
-		d.say("A lookup failed: %v", err)
+		d.printf("A lookup failed: %v", err)
 		return
 	}
-	d.result.LookupsGood++
-	d.say("A lookup at the plain service answers: %s", strings.TrimSpace(string(answer)))
+	d.result.LookupsAnswered++
+	d.printf("Response to a lookup at the plain service: %s", strings.TrimSpace(string(answer)))
 }
 
 func (d *demo) summary() {
 	for _, e := range d.site.Engines {
-		d.result.Prefilled += e.Counts().Prefilled
+		d.result.PrefilledTokens += e.Counts().Prefilled
 	}
 	r := d.result
-	d.say("\n%d of %d drafts complete, %d tokens checked one by one: %d missing, %d repeated, %d mixed.",
+	d.printf("\n%d of %d drafts completed, %d tokens checked: %d missing, %d repeated, %d mixed.",
 		r.Complete, r.Drafts, r.Tokens, r.Missing, r.Repeated, r.Mixed)
-	d.say("%d reconnects; engines prefilled %d tokens in all, first prompts and resumes together.", r.Reconnects, r.Prefilled)
+	d.printf("%d reconnects; engines prefilled %d tokens in total, for new and resumed drafts.", r.Reconnects, r.PrefilledTokens)
 }
--- a/cmd/walnutramp/experiment.go
+++ b/cmd/walnutramp/experiment.go
@@ -9,10 +9,10 @@
 	"github.com/walnutramp/walnutramp/rollout/experiment"
 )
 
-// experimentCommand plays policies in virtual time.
+// experimentCommand simulates policies in virtual time.
 type experimentCommand struct {
 	*program
-	Rollouts rolloutsCommand `command:"rollouts" description:"play roll-outs of good and bad versions, and count false take-backs, missed bad versions and broken bounds"`
+	Rollouts rolloutsCommand `command:"rollouts" description:"simulate roll-outs of good and bad versions, and count false rollbacks, missed bad versions and violated limits"`
 }
 
 func newExperimentCommand(p *program) *experimentCommand {
@@ -21,13 +21,13 @@
 
 type rolloutsCommand struct {
 	*program
-	Plays    int       `long:"plays" default:"200" description:"roll-outs of each kind of version"`
-	Seed     uint64    `long:"seed" default:"1" description:"of the first; the others follow"`
-	Sites    []string  `long:"site" description:"sizes to play at; all if none is named"`
-	Policies []string  `long:"policy" default:"change-point" choice:"change-point" choice:"likelihood" choice:"threshold" description:"how answers are weighed"`
-	Fails    []float64 `long:"fails" default:"0.3" default:"0.1" description:"shares of answers that bad versions fail"`
-	Slow     float64   `long:"slow" default:"3" description:"how many times longer slow versions take"`
-	Plot     string    `long:"plot" description:"file to write an SVG plot of the missed versions to; none if empty"`
+	Plays    int       `long:"plays" default:"200" description:"number of simulated roll-outs of each kind of version"`
+	Seed     uint64    `long:"seed" default:"1" description:"random seed of the first roll-out; the others use the following numbers"`
+	Sites    []string  `long:"site" description:"simulated site; can be repeated, default is all sites"`
+	Policies []string  `long:"policy" default:"change-point" choice:"change-point" choice:"likelihood" choice:"threshold" description:"how answers are evaluated"`
+	Fails    []float64 `long:"fails" default:"0.3" default:"0.1" description:"share of requests that a bad version fails; can be repeated"`
+	Slow     float64   `long:"slow" default:"3" description:"latency factor of slow versions"`
+	Plot     string    `long:"plot" description:"file for an SVG plot of the missed versions; none if empty"`
 }
 
 // Execute implements flags.Commander.
@@ -50,7 +50,7 @@
 	return writeFile(c.Plot, func(w io.Writer) error { return experiment.WritePlot(w, rows) })
 }
 
-// sites returns the sizes that are played at.
+// sites returns the simulated sites.
 func (c *rolloutsCommand) sites() ([]experiment.Site, error) {
 	all := experiment.Sites()
 	if len(c.Sites) == 0 {
@@ -68,7 +68,7 @@
 	return slices.DeleteFunc(all, func(s experiment.Site) bool { return !slices.Contains(c.Sites, s.Name) }), nil
 }
 
-// versions returns the good one and the bad ones, in every way of being bad.
+// versions returns a good version, and bad ones for each kind of defect.
 func (c *rolloutsCommand) versions() []experiment.Version {
 	versions := []experiment.Version{{}}
 	for _, way := range experiment.Ways() {
--- a/cmd/walnutramp/explain.go
+++ b/cmd/walnutramp/explain.go
@@ -12,23 +12,23 @@
 type explainCommand struct {
 	*program
 	Positional struct {
-		Request string   `positional-arg-name:"ID" required:"true" description:"the request's id, a service whose roll-out is to be explained, token=N for a fencing token, or the number of a window of usage"`
-		Files   []string `positional-arg-name:"FILE" description:"log files of nodes; standard input if there is none"`
+		Request string   `positional-arg-name:"ID" required:"true" description:"id of a request, name of a service for its latest roll-out, token=N for a fencing token, or number of a usage window"`
+		Files   []string `positional-arg-name:"FILE" description:"log files of nodes; default is standard input"`
 	} `positional-args:"true"`
 }
 
 // Execute implements flags.Commander.
 func (c *explainCommand) Execute([]string) error {
-	lines, err := c.read()
+	lines, err := c.readLogs()
 	if err != nil {
 		return err
 	}
 	if number, ok := strings.CutPrefix(c.Positional.Request, explain.TokenPrefix); ok {
-		return c.tellToken(lines, number)
+		return c.explainToken(lines, number)
 	}
-	story, ok := explain.TraceRequest(lines, c.Positional.Request)
+	request, ok := explain.TraceRequest(lines, c.Positional.Request)
 	if ok {
-		story.Write(c.out)
+		request.Write(c.out)
 		return nil
 	}
 	rollout, ok := explain.TraceRollout(lines, c.Positional.Request)
@@ -38,13 +38,13 @@
 	}
 	window, ok := explain.TraceWindow(lines, c.Positional.Request)
 	if !ok {
-		return errors.Newf("no log line names request %s, a roll-out of a service or a window of usage of that name", c.Positional.Request)
+		return errors.Newf("no log line names %s as a request, a service with a roll-out or a usage window", c.Positional.Request)
 	}
 	window.Write(c.out)
 	return nil
 }
 
-func (c *explainCommand) tellToken(lines []explain.Line, number string) error {
+func (c *explainCommand) explainToken(lines []explain.Line, number string) error {
 	token, ok := explain.TraceToken(lines, number)
 	if !ok {
 		return errors.Newf("no log line names token %s", number)
@@ -53,7 +53,7 @@
 	return nil
 }
 
-func (c *explainCommand) read() ([]explain.Line, error) {
+func (c *explainCommand) readLogs() ([]explain.Line, error) {
 	if len(c.Positional.Files) == 0 {
 		return explain.Read(os.Stdin, "standard input")
 	}
--- a/cmd/walnutramp/load.go
+++ b/cmd/walnutramp/load.go
@@ -12,26 +12,26 @@
 	"github.com/walnutramp/walnutramp/load"
 )
 
-// settleTime is how long requests may go on after the last has arrived.
-const settleTime = 30 * time.Second
+// drainTimeout is how long requests in flight may take after the last arrival.
+const drainTimeout = 30 * time.Second
 
-// loadCommand drives a site, or measures what one costs.
+// loadCommand generates load on a site and reports the results.
 type loadCommand struct {
 	*program
-	Routing  routingCommand  `command:"routing" description:"compare this router with baselines at several shares of capacity"`
-	Capacity capacityCommand `command:"capacity" description:"measure how costs grow with a site's size"`
-	Scores   scoresCommand   `command:"scores" description:"show how the worth of measured days went over time, from the journal"`
-	Shape    string          `long:"shape" env:"WALNUTRAMP_LOAD_SHAPE" default:"small" choice:"small" choice:"tortuguero" choice:"po-valley" description:"the site that is run and driven"`
-	Seed     uint64          `long:"seed" env:"WALNUTRAMP_LOAD_SEED" default:"1" description:"of the mix and the failures"`
-	Duration time.Duration   `long:"duration" env:"WALNUTRAMP_LOAD_DURATION" default:"20s" description:"for which new requests arrive"`
-	Drafts   float64         `long:"drafts" env:"WALNUTRAMP_LOAD_DRAFTS" default:"10" description:"long generations that arrive a second"`
-	Lookups  float64         `long:"lookups" env:"WALNUTRAMP_LOAD_LOOKUPS" default:"20" description:"service calls that arrive a second"`
+	Routing  routingCommand  `command:"routing" description:"compare routing policies at several utilizations"`
+	Capacity capacityCommand `command:"capacity" description:"measure how resource usage grows with the size of a site"`
+	Scores   scoresCommand   `command:"scores" description:"show the scores of the measured days in the journal over time"`
+	Shape    string          `long:"shape" env:"WALNUTRAMP_LOAD_SHAPE" default:"small" choice:"small" choice:"tortuguero" choice:"po-valley" description:"simulated site to run"`
+	Seed     uint64          `long:"seed" env:"WALNUTRAMP_LOAD_SEED" default:"1" description:"random seed of the request mix and the failures"`
+	Duration time.Duration   `long:"duration" env:"WALNUTRAMP_LOAD_DURATION" default:"20s" description:"how long new requests arrive"`
+	Drafts   float64         `long:"drafts" env:"WALNUTRAMP_LOAD_DRAFTS" default:"10" description:"arrival rate of long generations per second"`
+	Lookups  float64         `long:"lookups" env:"WALNUTRAMP_LOAD_LOOKUPS" default:"20" description:"arrival rate of service calls per second"`
 	Output   int             `long:"output" env:"WALNUTRAMP_LOAD_OUTPUT" default:"150" description:"mean length of a draft in tokens"`
 	Prompt   int             `long:"prompt" env:"WALNUTRAMP_LOAD_PROMPT" default:"300" description:"mean length of a prompt in tokens"`
-	Failures string          `long:"failures" env:"WALNUTRAMP_LOAD_FAILURES" default:"kill-engine*3,stall-engine*2" description:"plan: kind@time[+outage] or kind*n, by commas; kinds are kill-engine, stall-engine, reset-engine, kill-node, stop-node, kill-hall"`
-	Variants string          `long:"variants" env:"WALNUTRAMP_LOAD_VARIANTS" default:"guarded,unguarded,from-zero" description:"what to run side by side"`
+	Failures string          `long:"failures" env:"WALNUTRAMP_LOAD_FAILURES" default:"kill-engine*3,stall-engine*2" description:"failure plan: comma-separated kind@time[+outage] or kind*n; kinds are kill-engine, stall-engine, reset-engine, kill-node, stop-node, kill-hall"`
+	Variants string          `long:"variants" env:"WALNUTRAMP_LOAD_VARIANTS" default:"guarded,unguarded,from-zero" description:"comma-separated variants to compare"`
 	JSON     bool            `long:"json" description:"end with one JSON object on the last line"`
-	Profile  string          `long:"cpu-profile" description:"write the processor profile of the last variant to this file"`
+	Profile  string          `long:"cpu-profile" description:"write a CPU profile of the last variant to this file"`
 	Plot     string          `long:"plot" description:"write a self-contained HTML page with plots to this file"`
 }
 
@@ -41,11 +41,11 @@
 
 // Execute implements flags.Commander.
 func (c *loadCommand) Execute([]string) error {
-	runner, variants, err := c.settings()
+	runner, variants, err := c.newRunner()
 	if err != nil {
 		return err
 	}
-	limit := time.Duration(len(variants)) * (2*c.Duration + settleTime)
+	limit := time.Duration(len(variants)) * (2*c.Duration + drainTimeout)
 	ctx, cancel := context.WithTimeout(context.Background(), limit)
 	defer cancel()
 	results, err := runner.RunAll(ctx, variants)
@@ -62,7 +62,7 @@
 	}
 	for _, r := range results {
 		if r.Broken() {
-			return errors.Newf("a promise broke in variant %s: %+v", r.Variant, r.Verdict)
+			return errors.Newf("missing, repeated or mixed tokens in variant %s: %+v", r.Variant, r.Verdict)
 		}
 	}
 	return nil
@@ -80,7 +80,7 @@
 	return nil
 }
 
-func (c *loadCommand) settings() (*load.Runner, []load.Variant, error) {
+func (c *loadCommand) newRunner() (*load.Runner, []load.Variant, error) {
 	shape, err := load.ShapeNamed(c.Shape)
 	if err != nil {
 		return nil, nil, err
@@ -91,7 +91,7 @@
 	if mix.Failures, err = load.ParsePlan(c.Failures, c.Duration); err != nil {
 		return nil, nil, &settingError{"--failures", c.Failures, err.Error()}
 	}
-	variants, err := chooseVariants(c.Variants)
+	variants, err := parseVariants(c.Variants)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -102,14 +102,14 @@
 	return runner, variants, nil
 }
 
-func chooseVariants(names string) ([]load.Variant, error) {
+func parseVariants(names string) ([]load.Variant, error) {
 	all := load.Baselines()
-	var chosen []load.Variant
+	var variants []load.Variant
 	for name := range strings.SplitSeq(names, ",") {
 		found := false
 		for _, v := range all {
 			if v.Name == name {
-				chosen = append(chosen, v)
+				variants = append(variants, v)
 				found = true
 			}
 		}
@@ -117,5 +117,5 @@
 			return nil, &settingError{"--variants", name, "a list of guarded, unguarded, from-zero"}
 		}
 	}
-	return chosen, nil
+	return variants, nil
 }
--- a/cmd/walnutramp/main.go
+++ b/cmd/walnutramp/main.go
@@ -1,5 +1,5 @@
-// Command walnutramp is the whole system in one binary: entry node, stand-ins
-// of the systems around it, the demo, the load tool and the operators' tools.
+// Command walnutramp contains the entry node, the site server, stand-ins for external
+// systems, a demo, the load generator and the operators' tools.
 package main
 
 import (
@@ -21,7 +21,7 @@
 	exitSetting = 2
 )
 
-// settingError is a setting with a value that is not allowed.
+// settingError reports an invalid value of a setting.
 type settingError struct {
 	setting string
 	value   string
@@ -33,7 +33,7 @@
 	return fmt.Sprintf("setting %s: value %q is not allowed; allowed is %s", e.setting, e.value, e.allowed)
 }
 
-// program is what commands write to.
+// program holds the output streams of the commands.
 type program struct {
 	out io.Writer
 	err io.Writer
@@ -41,7 +41,7 @@
 
 // globalOptions apply to every command.
 type globalOptions struct {
-	Verbosity int `long:"verbosity" env:"WALNUTRAMP_VERBOSITY" default:"0" description:"log verbosity: 0 says what operators need, 1 adds each decision, 2 everything"`
+	Verbosity int `long:"verbosity" env:"WALNUTRAMP_VERBOSITY" default:"0" description:"log verbosity: 0 for operational messages, 1 adds each decision, 2 logs everything"`
 }
 
 func main() {
@@ -82,7 +82,7 @@
 	return level.Set(fmt.Sprint(v))
 }
 
-// fail prints err, if there is one, and returns the exit code it stands for.
+// fail prints err, if not nil, and returns the corresponding exit code.
 func (p *program) fail(err error) int {
 	if err == nil {
 		return exitOK
@@ -107,17 +107,17 @@
 		data        any
 	}{
 		{"node", "Run an entry node", &nodeCommand{program: p}},
-		{"serve", "Serve a site on the shared platform, as its settings file says", &serveCommand{program: p}},
-		{"explain", "Tell from nodes' logs what became of a request, and why", &explainCommand{program: p}},
-		{"demo", "Show a draft that survives its engine and its entry node", &demoCommand{program: p}},
-		{"load", "Drive a site, check every answer and report what callers saw", newLoadCommand(p)},
-		{"experiment", "Play policies in virtual time and count what they got wrong", newExperimentCommand(p)},
-		{"rollout", "Order a roll-out at a member of the control group, and watch it", newRolloutCommand(p)},
-		{"standin", "Run a stand-in of a system around the node", newStandinCommand(p)},
-		{"bundle", "Check, compare, sign, submit and show bundles", newBundleCommand(p)},
-		{"control", "Set up the control group's disks", newControlCommand(p)},
-		{"keys", "Make a site's keys", &keysCommand{program: p}},
-		{"report", "Show how fast objectives burn what they may fail", &reportCommand{program: p}},
+		{"serve", "Run the server process of a site on the shared platform", &serveCommand{program: p}},
+		{"explain", "Explain the result of a request from nodes' logs", &explainCommand{program: p}},
+		{"demo", "Show drafts that survive the crash of an engine and of an entry node", &demoCommand{program: p}},
+		{"load", "Generate load on a site, check all responses and report the results", newLoadCommand(p)},
+		{"experiment", "Simulate policies in virtual time and count their errors", newExperimentCommand(p)},
+		{"rollout", "Start and watch roll-outs of service versions", newRolloutCommand(p)},
+		{"standin", "Run a stand-in for an external system", newStandinCommand(p)},
+		{"bundle", "Validate, compare, sign, submit and list bundles", newBundleCommand(p)},
+		{"control", "Initialize data directories of the control group", newControlCommand(p)},
+		{"keys", "Generate the keys of a site", &keysCommand{program: p}},
+		{"report", "Show the error budget burn rates of the objectives", &reportCommand{program: p}},
 		{"version", "Print the version", &versionCommand{program: p}},
 	}
 	for _, c := range commands {
--- a/cmd/walnutramp/main_test.go
+++ b/cmd/walnutramp/main_test.go
@@ -10,9 +10,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestSettings reads a case file: after each "$" the arguments, below them the
-// exit code and what is printed.
-func TestSettings(t *testing.T) {
+// TestCommandLine runs the cases in testdata/settings.txt: the arguments after each
+// "$", then the expected exit code and output.
+func TestCommandLine(t *testing.T) {
 	content, err := os.ReadFile("testdata/settings.txt")
 	require.NoError(t, err)
 	cases := strings.Split(string(content), "\n$ ")
@@ -31,8 +31,8 @@
 	}
 }
 
-// TestDemoKeepsItsPromises runs the demo and reads its last line.
-func TestDemoKeepsItsPromises(t *testing.T) {
+// TestDemoCompletesAllDrafts guards against lost drafts and token errors in the demo.
+func TestDemoCompletesAllDrafts(t *testing.T) {
 	var out bytes.Buffer
 	p := &program{out: &out, err: &out}
 	require.Equal(t, exitOK, p.run([]string{"demo", "--json"}), out.String())
@@ -45,17 +45,18 @@
 	require.Positive(t, r.Reconnects)
 }
 
-// TestDemoFailsWhenAPromiseBreaks holds the exit code to the result.
-func TestDemoFailsWhenAPromiseBreaks(t *testing.T) {
-	good := demoResult{Drafts: 1, Complete: 1, LookupsGood: 1}
-	require.NoError(t, good.broken())
+// TestDemoReportsIncompleteResults guards against a demo that succeeds with a bad
+// result.
+func TestDemoReportsIncompleteResults(t *testing.T) {
+	good := demoResult{Drafts: 1, Complete: 1, LookupsAnswered: 1}
+	require.NoError(t, good.check())
 	for _, bad := range []demoResult{
-		{Drafts: 2, Complete: 1, LookupsGood: 1},
-		{Drafts: 1, Complete: 1, LookupsGood: 1, Missing: 1},
-		{Drafts: 1, Complete: 1, LookupsGood: 1, Repeated: 1},
-		{Drafts: 1, Complete: 1, LookupsGood: 1, Mixed: 1},
+		{Drafts: 2, Complete: 1, LookupsAnswered: 1},
+		{Drafts: 1, Complete: 1, LookupsAnswered: 1, Missing: 1},
+		{Drafts: 1, Complete: 1, LookupsAnswered: 1, Repeated: 1},
+		{Drafts: 1, Complete: 1, LookupsAnswered: 1, Mixed: 1},
 		{Drafts: 1, Complete: 1},
 	} {
-		require.Error(t, bad.broken())
+		require.Error(t, bad.check())
 	}
 }
--- a/cmd/walnutramp/node.go
+++ b/cmd/walnutramp/node.go
@@ -24,23 +24,23 @@
 
 type nodeCommand struct {
 	*program
-	Name         string        `long:"name" env:"WALNUTRAMP_NAME" required:"true" description:"name of this node, the same across restarts"`
-	Hall         string        `long:"hall" env:"WALNUTRAMP_HALL" required:"true" description:"data hall this node stands in"`
-	Site         string        `long:"site" env:"WALNUTRAMP_SITE" default:"default" description:"site; nodes of different sites refuse each other"`
-	Callers      string        `long:"callers" env:"WALNUTRAMP_CALLERS" default:"127.0.0.1:8080" description:"numeric IP:port to answer callers on"`
-	PeerListen   string        `long:"peer-listen" env:"WALNUTRAMP_PEER_LISTEN" default:"127.0.0.1:7080" description:"numeric IP:port to answer other nodes on"`
-	PeerAddress  string        `long:"peer-address" env:"WALNUTRAMP_PEER_ADDRESS" description:"numeric IP:port at which other nodes reach this one; default as --peer-listen"`
-	Peers        []string      `long:"peer" env:"WALNUTRAMP_PEERS" env-delim:"," description:"another node, as name=hall@IP:port; may be given again"`
-	Bundle       string        `long:"bundle" env:"WALNUTRAMP_BUNDLE" description:"file with the bundle, on sites without a control group"`
-	Control      []string      `long:"control" env:"WALNUTRAMP_CONTROL" env-delim:"," description:"name of a node of the control group; give each of its 3 or 5"`
-	Data         string        `long:"data" env:"WALNUTRAMP_DATA" description:"data folder, on nodes with a disk; made ready with 'control found' on the founders"`
-	Operators    string        `long:"operators" env:"WALNUTRAMP_OPERATORS" description:"file with the operators' public keys, a name and a key on each line"`
-	Keys         string        `long:"keys" env:"WALNUTRAMP_KEYS" description:"folder with the site's keys; without it nodes trust whoever reaches their peer port"`
-	Platform     string        `long:"platform" env:"WALNUTRAMP_PLATFORM" description:"URL of the platform's list of instances, with a numeric address"`
-	LoadInterval time.Duration `long:"load-interval" env:"WALNUTRAMP_LOAD_INTERVAL" default:"500ms" description:"shortest time between load reports of one target"`
-	ProbePeriod  time.Duration `long:"probe-period" env:"WALNUTRAMP_PROBE_PERIOD" default:"500ms" description:"time between membership probes"`
-	StopDeadline time.Duration `long:"stop-deadline" env:"WALNUTRAMP_STOP_DEADLINE" default:"10m" description:"how long running work may go on after a planned stop was asked for"`
-	Check        bool          `long:"check" description:"check the settings and the bundle, and end"`
+	Name         string        `long:"name" env:"WALNUTRAMP_NAME" required:"true" description:"name of this node; must not change across restarts"`
+	Hall         string        `long:"hall" env:"WALNUTRAMP_HALL" required:"true" description:"data hall of this node"`
+	Site         string        `long:"site" env:"WALNUTRAMP_SITE" default:"default" description:"name of the site; nodes reject peers of other sites"`
+	Callers      string        `long:"callers" env:"WALNUTRAMP_CALLERS" default:"127.0.0.1:8080" description:"numeric IP:port to listen on for callers"`
+	PeerListen   string        `long:"peer-listen" env:"WALNUTRAMP_PEER_LISTEN" default:"127.0.0.1:7080" description:"numeric IP:port to listen on for other nodes"`
+	PeerAddress  string        `long:"peer-address" env:"WALNUTRAMP_PEER_ADDRESS" description:"numeric IP:port at which other nodes reach this one; default is --peer-listen"`
+	Peers        []string      `long:"peer" env:"WALNUTRAMP_PEERS" env-delim:"," description:"another node, as name=hall@IP:port; can be repeated"`
+	Bundle       string        `long:"bundle" env:"WALNUTRAMP_BUNDLE" description:"bundle file, on sites without a control group"`
+	Control      []string      `long:"control" env:"WALNUTRAMP_CONTROL" env-delim:"," description:"name of a control group member; repeat for all 1, 3 or 5"`
+	Data         string        `long:"data" env:"WALNUTRAMP_DATA" description:"data directory, on nodes with a disk; founders' have to be initialized with 'control found'"`
+	Operators    string        `long:"operators" env:"WALNUTRAMP_OPERATORS" description:"file with the operators' public keys, one name and key per line"`
+	Keys         string        `long:"keys" env:"WALNUTRAMP_KEYS" description:"directory with the site's keys; without it connections between nodes are not authenticated"`
+	Platform     string        `long:"platform" env:"WALNUTRAMP_PLATFORM" description:"URL of the platform's instance list, with a numeric address"`
+	LoadInterval time.Duration `long:"load-interval" env:"WALNUTRAMP_LOAD_INTERVAL" default:"500ms" description:"minimum interval between load reports of a target"`
+	ProbePeriod  time.Duration `long:"probe-period" env:"WALNUTRAMP_PROBE_PERIOD" default:"500ms" description:"interval between membership probes"`
+	StopDeadline time.Duration `long:"stop-deadline" env:"WALNUTRAMP_STOP_DEADLINE" default:"10m" description:"how long requests in flight may run after a graceful stop was requested"`
+	Check        bool          `long:"check" description:"validate the settings and the bundle, and exit"`
 }
 
 // Execute implements flags.Commander.
@@ -60,7 +60,7 @@
 	return c.serve(n)
 }
 
-// options checks every setting and turns them into the node's options.
+// options validates all settings and converts them to node options.
 func (c *nodeCommand) options() ([]node.Option, error) {
 	if c.PeerAddress == "" {
 		c.PeerAddress = c.PeerListen
@@ -79,15 +79,15 @@
 	if err != nil {
 		return nil, err
 	}
-	source, err := c.bundleOptions()
+	bundleOpts, err := c.bundleOptions()
 	if err != nil {
 		return nil, err
 	}
-	secured, err := c.keyOptions()
+	keyOpts, err := c.keyOptions()
 	if err != nil {
 		return nil, err
 	}
-	opts := append(source, secured...)
+	opts := append(bundleOpts, keyOpts...)
 	return append(opts,
 		node.WithName(walnutramp.NodeName(c.Name), walnutramp.DataHall(c.Hall)),
 		node.WithSite(c.Site),
@@ -100,8 +100,8 @@
 	), nil
 }
 
-// bundleOptions says where the bundle comes from: a file, or the control
-// group.
+// bundleOptions returns the options for the source of the bundle: a file or the
+// control group.
 func (c *nodeCommand) bundleOptions() ([]node.Option, error) {
 	if len(c.Control) == 0 {
 		if c.Bundle == "" {
@@ -111,7 +111,7 @@
 		return []node.Option{node.WithBundle(b)}, err
 	}
 	if c.Bundle != "" {
-		return nil, &settingError{"--bundle", c.Bundle, "nothing where --control is given: bundles are submitted"}
+		return nil, &settingError{"--bundle", c.Bundle, "no value together with --control, where bundles are submitted"}
 	}
 	if n := len(c.Control); n != 1 && n != 3 && n != 5 {
 		return nil, &settingError{"--control", strings.Join(c.Control, ","), "the names of 1, 3 or 5 nodes"}
@@ -124,22 +124,22 @@
 	if err != nil {
 		return nil, &settingError{"--operators", c.Operators, "a file of names and public keys: " + err.Error()}
 	}
-	opts := []node.Option{node.WithControl(names(c.Control), operators)}
+	opts := []node.Option{node.WithControl(nodeNames(c.Control), operators)}
 	if c.Data == "" {
 		return opts, nil
 	}
 	if info, err := os.Stat(c.Data); err != nil || !info.IsDir() {
-		return nil, &settingError{"--data", c.Data, "a folder that exists"}
+		return nil, &settingError{"--data", c.Data, "an existing directory"}
 	}
-	fatal := consensus.WithOnFatal(func(err error) {
-		klog.ErrorS(err, "The disk failed; the process ends")
+	onFatal := consensus.WithOnFatal(func(err error) {
+		klog.ErrorS(err, "Disk write failed, exiting")
 		klog.Flush()
 		os.Exit(exitFailed)
 	})
-	return append(opts, node.WithDisk(wal.Dir(c.Data)), node.WithControlOptions(fatal)), nil
+	return append(opts, node.WithDisk(wal.Dir(c.Data)), node.WithControlOptions(onFatal)), nil
 }
 
-func names(values []string) []walnutramp.NodeName {
+func nodeNames(values []string) []walnutramp.NodeName {
 	var ns []walnutramp.NodeName
 	for _, v := range values {
 		ns = append(ns, walnutramp.NodeName(v))
@@ -153,7 +153,7 @@
 	}
 	cfg, err := keys.Load(c.Keys, walnutramp.NodeName(c.Name))
 	if err != nil {
-		return nil, &settingError{"--keys", c.Keys, "a folder made by 'walnutramp keys' with this node's keys (" + err.Error() + ")"}
+		return nil, &settingError{"--keys", c.Keys, "a directory made by 'walnutramp keys' with this node's keys (" + err.Error() + ")"}
 	}
 	return []node.Option{node.WithTLS(cfg)}, nil
 }
@@ -165,7 +165,7 @@
 	return nil
 }
 
-// parsePeers reads name=hall@IP:port.
+// parsePeers parses values of the form name=hall@IP:port.
 func parsePeers(values []string) ([]member.Node, error) {
 	var peers []member.Node
 	for _, v := range values {
@@ -186,12 +186,13 @@
 	}
 	b, err := bundle.Parse(doc)
 	if err != nil {
-		return nil, &settingError{setting, file, "a bundle without mistakes:\n" + err.Error()}
+		return nil, &settingError{setting, file, "a valid bundle:\n" + err.Error()}
 	}
 	return b, nil
 }
 
-// serve runs the node until a signal; a second signal ends it at once.
+// serve runs the node until a signal stops it gracefully; a second signal stops it at
+// once.
 func (c *nodeCommand) serve(n *node.Node) error {
 	callers, err := net.Listen("tcp", c.Callers)
 	if err != nil {
--- a/cmd/walnutramp/report.go
+++ b/cmd/walnutramp/report.go
@@ -12,9 +12,9 @@
 
 type reportCommand struct {
 	*program
-	Nodes []string `long:"node" env:"WALNUTRAMP_REPORT_NODES" env-delim:"," default:"127.0.0.1:8080" description:"numeric IP:port of a node, as callers reach it; give each, their counts are added up"`
+	Nodes []string `long:"node" env:"WALNUTRAMP_REPORT_NODES" env-delim:"," default:"127.0.0.1:8080" description:"numeric IP:port of a node, as callers reach it; repeat for all nodes to add up their counts"`
 	JSON  bool     `long:"json" description:"print JSON"`
-	HTML  string   `long:"html" description:"write one self-contained page to this file"`
+	HTML  string   `long:"html" description:"write a self-contained HTML page to this file"`
 }
 
 // Execute implements flags.Commander.
--- a/cmd/walnutramp/rollout.go
+++ b/cmd/walnutramp/rollout.go
@@ -17,49 +17,49 @@
 	"github.com/walnutramp/walnutramp/serve"
 )
 
-// rolloutCommand orders roll-outs and shows how they go.
+// rolloutCommand groups the commands that start and watch roll-outs.
 type rolloutCommand struct {
-	Start  rolloutStart  `command:"start" description:"order a service to be brought to a version"`
-	Status rolloutStatus `command:"status" description:"show the newest roll-out of a service: its state, why it ended, and what was seen by version and route"`
-	Watch  rolloutWatch  `command:"watch" description:"show the status again and again until the roll-out has ended"`
+	Start  rolloutStartCommand  `command:"start" description:"start the roll-out of a version of a service"`
+	Status rolloutStatusCommand `command:"status" description:"show the latest roll-out of a service: its state, the reason of its end, and the request counts by version and route"`
+	Watch  rolloutWatchCommand  `command:"watch" description:"show the status periodically until the roll-out has ended"`
 }
 
 func newRolloutCommand(p *program) *rolloutCommand {
 	return &rolloutCommand{
-		Start:  rolloutStart{rolloutMember: rolloutMember{program: p}},
-		Status: rolloutStatus{rolloutMember: rolloutMember{program: p}},
-		Watch:  rolloutWatch{rolloutStatus: rolloutStatus{rolloutMember: rolloutMember{program: p}}},
+		Start:  rolloutStartCommand{rolloutOptions: rolloutOptions{program: p}},
+		Status: rolloutStatusCommand{rolloutOptions: rolloutOptions{program: p}},
+		Watch:  rolloutWatchCommand{rolloutStatusCommand: rolloutStatusCommand{rolloutOptions: rolloutOptions{program: p}}},
 	}
 }
 
-// rolloutMember is whom an operator asks, and about what.
-type rolloutMember struct {
+// rolloutOptions selects the member to connect to and the service.
+type rolloutOptions struct {
 	*program
-	Member  string `long:"member" env:"WALNUTRAMP_MEMBER" required:"yes" description:"any member of the control group: numeric host:port on which members answer nodes"`
-	Service string `long:"service" required:"yes" description:"the service"`
+	Member  string `long:"member" env:"WALNUTRAMP_MEMBER" required:"yes" description:"any member of the control group, by the numeric host:port of its peer listener"`
+	Service string `long:"service" required:"yes" description:"name of the service"`
 }
 
-func (m *rolloutMember) client() (*control.Client, func(), error) {
+func (m *rolloutOptions) client() (*control.Client, func(), error) {
 	if _, err := netip.ParseAddrPort(m.Member); err != nil {
 		return nil, nil, &settingError{"--member", m.Member, "a numeric host:port"}
 	}
-	client, done := serve.NewOperatorClient(m.Member)
-	return client, done, nil
+	client, closeClient := serve.NewOperatorClient(m.Member)
+	return client, closeClient, nil
 }
 
-type rolloutStart struct {
-	rolloutMember
-	Version  string        `long:"version" required:"yes" description:"the version to bring the service to"`
-	Duration time.Duration `long:"duration" required:"yes" description:"within which the roll-out has to end"`
+type rolloutStartCommand struct {
+	rolloutOptions
+	Version  string        `long:"version" required:"yes" description:"the version to roll out"`
+	Duration time.Duration `long:"duration" required:"yes" description:"time within which the roll-out has to end"`
 }
 
 // Execute implements flags.Commander.
-func (c *rolloutStart) Execute([]string) error {
-	client, done, err := c.client()
+func (c *rolloutStartCommand) Execute([]string) error {
+	client, closeClient, err := c.client()
 	if err != nil {
 		return err
 	}
-	defer done()
+	defer closeClient()
 	rec, err := client.StartRollout(context.Background(), c.Service, c.Version, c.Duration)
 	if err != nil {
 		return err
@@ -68,24 +68,24 @@
 	return nil
 }
 
-type rolloutStatus struct {
-	rolloutMember
+type rolloutStatusCommand struct {
+	rolloutOptions
 	JSON bool `long:"json" description:"print one JSON object"`
 }
 
 // Execute implements flags.Commander.
-func (c *rolloutStatus) Execute([]string) error {
-	client, done, err := c.client()
+func (c *rolloutStatusCommand) Execute([]string) error {
+	client, closeClient, err := c.client()
 	if err != nil {
 		return err
 	}
-	defer done()
+	defer closeClient()
 	_, err = c.show(client)
 	return err
 }
 
 // show prints the status once.
-func (c *rolloutStatus) show(client *control.Client) (rollout.State, error) {
+func (c *rolloutStatusCommand) show(client *control.Client) (rollout.State, error) {
 	reply, err := client.Rollout(context.Background(), c.Service)
 	if err != nil {
 		return "", err
@@ -97,25 +97,25 @@
 	return reply.Record.State, report.write(c.out)
 }
 
-type rolloutWatch struct {
-	rolloutStatus
-	Every time.Duration `long:"every" default:"1s" description:"time between two looks"`
+type rolloutWatchCommand struct {
+	rolloutStatusCommand
+	Every time.Duration `long:"every" default:"1s" description:"interval between status requests"`
 }
 
 // Execute implements flags.Commander.
-func (c *rolloutWatch) Execute([]string) error {
+func (c *rolloutWatchCommand) Execute([]string) error {
 	if c.Every <= 0 {
-		return &settingError{"--every", c.Every.String(), "a time above 0"}
+		return &settingError{"--every", c.Every.String(), "a duration above 0"}
 	}
-	client, done, err := c.client()
+	client, closeClient, err := c.client()
 	if err != nil {
 		return err
 	}
-	defer done()
+	defer closeClient()
 	for {
 		state, err := c.show(client)
 		if walnutramp.HasCode(err, walnutramp.CodeNoLeader) {
-			fmt.Fprintln(c.err, "walnutramp:", err) // another leads soon
+			fmt.Fprintln(c.err, "walnutramp:", err) // a new leader is elected soon
 		} else if err != nil || state != rollout.Running {
 			return err
 		}
@@ -123,7 +123,7 @@
 	}
 }
 
-// rolloutReport is what operators are shown.
+// rolloutReport is the status output, as text or JSON.
 type rolloutReport struct {
 	Service   string       `json:"service"`
 	Number    uint64       `json:"number"`
@@ -139,7 +139,7 @@
 	Answers   []answersRow `json:"answers,omitempty"`
 }
 
-// answersRow is what was seen of one version on one route.
+// answersRow holds the request counts of a version on a route.
 type answersRow struct {
 	Version string `json:"version"`
 	Route   string `json:"route"`
--- a/cmd/walnutramp/scores.go
+++ b/cmd/walnutramp/scores.go
@@ -10,8 +10,8 @@
 
 type scoresCommand struct {
 	*program
-	Journal string `long:"journal" env:"WALNUTRAMP_JOURNAL" default:"journal" description:"folder with the journal of measured days"`
-	Plot    string `long:"plot" env:"WALNUTRAMP_PLOT" description:"file to write an SVG plot to; none if empty"`
+	Journal string `long:"journal" env:"WALNUTRAMP_JOURNAL" default:"journal" description:"directory of the journal of measured days"`
+	Plot    string `long:"plot" env:"WALNUTRAMP_PLOT" description:"file for an SVG plot; none if empty"`
 }
 
 // Execute implements flags.Commander.
@@ -21,7 +21,7 @@
 		return err
 	}
 	if len(sites) == 0 {
-		return errors.Newf("no scoring in %s", c.Journal)
+		return errors.Newf("no scores found in %s", c.Journal)
 	}
 	if err := scores.WriteTable(c.out, sites); err != nil || c.Plot == "" {
 		return err
@@ -29,7 +29,7 @@
 	return writeFile(c.Plot, func(w io.Writer) error { return scores.WritePlot(w, sites) })
 }
 
-// writeFile writes a file in one go.
+// writeFile creates a file with the output of write.
 func writeFile(name string, write func(io.Writer) error) error {
 	f, err := os.Create(name)
 	if err != nil {
--- a/cmd/walnutramp/serve.go
+++ b/cmd/walnutramp/serve.go
@@ -17,59 +17,61 @@
 
 type serveCommand struct {
 	*program
-	Config string `long:"config" env:"WALNUTRAMP_CONFIG" default:"/etc/walnutramp/local.toml" description:"settings file of the platform; it is read again on SIGHUP and when it changes"`
-	Policy string `long:"policy" env:"WALNUTRAMP_POLICY" default:"predicted" choice:"predicted" choice:"least-reported" choice:"round-robin" choice:"random" description:"how a target is chosen; all but the default are there to be compared with"`
-	NoLog  bool   `long:"no-log" env:"WALNUTRAMP_NO_LOG" description:"write no log lines; there to measure what they cost"`
-	Check  bool   `long:"check" description:"check the settings, and end"`
+	Config string `long:"config" env:"WALNUTRAMP_CONFIG" default:"/etc/walnutramp/local.toml" description:"settings file of the platform; reloaded on SIGHUP and when it changes"`
+	Policy string `long:"policy" env:"WALNUTRAMP_POLICY" default:"predicted" choice:"predicted" choice:"least-reported" choice:"round-robin" choice:"random" description:"load balancing policy; all but the default are for comparisons"`
+	NoLog  bool   `long:"no-log" env:"WALNUTRAMP_NO_LOG" description:"write no log lines, to measure the cost of logging"`
+	Check  bool   `long:"check" description:"validate the settings, and exit"`
 }
 
-// settingsEvery is the time between two looks at the settings file.
-const settingsEvery = time.Second
+// settingsPollInterval is the interval between checks of the settings file's
+// modification time.
+const settingsPollInterval = time.Second
 
 // Execute implements flags.Commander.
 func (c *serveCommand) Execute([]string) error {
 	adapter := platform.NewAdapter(c.Config)
 	settings, err := adapter.Settings()
 	if err != nil {
-		return &settingError{"--config", c.Config, "a settings file without mistakes (" + err.Error() + ")"}
+		return &settingError{"--config", c.Config, "a valid settings file (" + err.Error() + ")"}
 	}
 	settings.Policy = balance.Policy(c.Policy)
 	if c.Check {
 		return nil
 	}
 	sink := logsink.New(os.Stdout)
-	logTo(sink)
+	setLogOutput(sink)
 	if c.NoLog {
-		logTo(io.Discard)
+		setLogOutput(io.Discard)
 	}
-	defer sink.Close(logFlush)
+	defer sink.Close(logFlushTimeout)
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
 	p, err := serve.New(settings, adapter, sink.Dropped)
 	if err != nil {
 		return err
 	}
-	c.wait(p, signals)
+	c.reloadUntilStopped(p, signals)
 	p.Stop()
 	return nil
 }
 
-// logFlush bounds the wait for the last log lines when the process ends.
-const logFlush = 200 * time.Millisecond
+// logFlushTimeout limits the wait for buffered log lines when the process exits.
+const logFlushTimeout = 200 * time.Millisecond
 
-// logTo sends every log line to a sink in place of standard error.
-func logTo(w io.Writer) {
-	var set flag.FlagSet
-	klog.InitFlags(&set)
-	set.Set("logtostderr", "false")
-	set.Set("stderrthreshold", "FATAL")
+// setLogOutput redirects all log lines from standard error to w.
+func setLogOutput(w io.Writer) {
+	var klogFlags flag.FlagSet
+	klog.InitFlags(&klogFlags)
+	klogFlags.Set("logtostderr", "false")
+	klogFlags.Set("stderrthreshold", "FATAL")
 	klog.SetOutput(w)
 }
 
-// wait reloads the settings when they change, until a signal to stop.
-func (c *serveCommand) wait(p *serve.Process, signals <-chan os.Signal) {
-	changed := modified(c.Config)
-	ticker := time.NewTicker(settingsEvery)
+// reloadUntilStopped reloads the settings when they change, until the process is
+// signalled to stop.
+func (c *serveCommand) reloadUntilStopped(p *serve.Process, signals <-chan os.Signal) {
+	lastModified := modTime(c.Config)
+	ticker := time.NewTicker(settingsPollInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -80,15 +82,15 @@
 			}
 			p.Reload()
 		case <-ticker.C:
-			if now := modified(c.Config); !now.Equal(changed) {
-				changed = now
+			if now := modTime(c.Config); !now.Equal(lastModified) {
+				lastModified = now
 				p.Reload()
 			}
 		}
 	}
 }
 
-func modified(file string) time.Time {
+func modTime(file string) time.Time {
 	info, err := os.Stat(file)
 	if err != nil {
 		return time.Time{}
--- a/cmd/walnutramp/standin.go
+++ b/cmd/walnutramp/standin.go
@@ -23,13 +23,13 @@
 	return &standinCommand{Engine: engineCommand{program: p}, Service: serviceCommand{program: p}, Platform: platformCommand{program: p}}
 }
 
-// server is a stand-in that can be served and ended.
+// server is implemented by all stand-ins.
 type server interface {
 	Serve(l net.Listener) error
 	Close()
 }
 
-// serveUntilSignal serves on address until the process is told to end.
+// serveUntilSignal serves on address until the process receives SIGTERM or SIGINT.
 func serveUntilSignal(address string, s server) error {
 	if err := checkAddress("--listen", address); err != nil {
 		return err
@@ -50,13 +50,13 @@
 
 type engineCommand struct {
 	*program
-	Listen       string        `long:"listen" env:"WALNUTRAMP_STANDIN_LISTEN" default:"127.0.0.1:9001" description:"numeric IP:port"`
-	Model        string        `long:"model" env:"WALNUTRAMP_STANDIN_MODEL" default:"draft-large" description:"model it serves"`
-	Slots        int           `long:"slots" env:"WALNUTRAMP_STANDIN_SLOTS" default:"16" description:"requests decoded at once"`
-	Interval     time.Duration `long:"interval" env:"WALNUTRAMP_STANDIN_INTERVAL" default:"20ms" description:"between tokens of one stream when alone"`
-	PrefillRate  float64       `long:"prefill-rate" env:"WALNUTRAMP_STANDIN_PREFILL_RATE" default:"8000" description:"prompt tokens a second"`
-	Seed         uint64        `long:"seed" env:"WALNUTRAMP_STANDIN_SEED" default:"1" description:"of its random choices"`
-	HoldTextOver int           `long:"hold-every" env:"WALNUTRAMP_STANDIN_HOLD_EVERY" default:"0" description:"hold back the text of every n-th token until the next"`
+	Listen      string        `long:"listen" env:"WALNUTRAMP_STANDIN_LISTEN" default:"127.0.0.1:9001" description:"numeric IP:port"`
+	Model       string        `long:"model" env:"WALNUTRAMP_STANDIN_MODEL" default:"draft-large" description:"name of the served model"`
+	Slots       int           `long:"slots" env:"WALNUTRAMP_STANDIN_SLOTS" default:"16" description:"maximum number of requests decoded concurrently"`
+	Interval    time.Duration `long:"interval" env:"WALNUTRAMP_STANDIN_INTERVAL" default:"20ms" description:"time between tokens of a single stream"`
+	PrefillRate float64       `long:"prefill-rate" env:"WALNUTRAMP_STANDIN_PREFILL_RATE" default:"8000" description:"prompt tokens per second"`
+	Seed        uint64        `long:"seed" env:"WALNUTRAMP_STANDIN_SEED" default:"1" description:"random seed"`
+	HoldEvery   int           `long:"hold-every" env:"WALNUTRAMP_STANDIN_HOLD_EVERY" default:"0" description:"delay the text of every n-th token until the next one"`
 }
 
 // Execute implements flags.Commander.
@@ -70,14 +70,14 @@
 	cfg.TokenInterval = c.Interval
 	cfg.PrefillRate = c.PrefillRate
 	cfg.Seed = c.Seed
-	cfg.HoldEvery = c.HoldTextOver
+	cfg.HoldEvery = c.HoldEvery
 	return serveUntilSignal(c.Listen, standin.NewEngine(standin.WithEngineConfig(cfg)))
 }
 
 type serviceCommand struct {
 	*program
 	Listen string        `long:"listen" env:"WALNUTRAMP_STANDIN_LISTEN" default:"127.0.0.1:9101" description:"numeric IP:port"`
-	Delay  time.Duration `long:"delay" env:"WALNUTRAMP_STANDIN_DELAY" default:"5ms" description:"before each answer"`
+	Delay  time.Duration `long:"delay" env:"WALNUTRAMP_STANDIN_DELAY" default:"5ms" description:"delay of each response"`
 }
 
 // Execute implements flags.Commander.
@@ -88,7 +88,7 @@
 type platformCommand struct {
 	*program
 	Listen string        `long:"listen" env:"WALNUTRAMP_STANDIN_LISTEN" default:"127.0.0.1:9201" description:"numeric IP:port"`
-	Lag    time.Duration `long:"lag" env:"WALNUTRAMP_STANDIN_LAG" default:"2s" description:"how old its answers are"`
+	Lag    time.Duration `long:"lag" env:"WALNUTRAMP_STANDIN_LAG" default:"2s" description:"age of the returned list"`
 }
 
 // Execute implements flags.Commander.
