--- a/slo/formats_test.go
+++ b/slo/formats_test.go
@@ -6,5 +6,5 @@
 	"github.com/walnutramp/walnutramp/internal/schema"
 )
 
-// What is stored.
+// Types stored on disk.
 func TestFormats(t *testing.T) { schema.Check(t, image{}) }
--- a/slo/page.go
+++ b/slo/page.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// burnColumn is one window of a row.
+// burnColumn is the cell of one window.
 type burnColumn struct {
 	Burn  float64
 	Good  uint64
@@ -21,8 +21,8 @@
 	Columns []burnColumn
 }
 
-// fullBar is the burn at which a bar is as wide as it gets.
-const fullBar = 10
+// fullBarBurn is the burn rate at which a bar reaches its full width.
+const fullBarBurn = 10
 
 func rows(report []Series) []row {
 	var rs []row
@@ -31,7 +31,7 @@
 		for i := range Windows {
 			burn := s.Burn(i)
 			r.Columns = append(r.Columns, burnColumn{
-				Burn: burn, Good: s.Counts[i].Good, Total: s.Counts[i].Total, Width: 100 * min(burn/fullBar, 1),
+				Burn: burn, Good: s.Counts[i].Good, Total: s.Counts[i].Total, Width: 100 * min(burn/fullBarBurn, 1),
 			})
 		}
 		rs = append(rs, r)
@@ -39,12 +39,13 @@
 	return rs
 }
 
-// WriteText prints a report as a table: burn, and in brackets good of total.
+// WriteText prints a report as a table with the burn rate and the counts of good and
+// total events for each window.
 func WriteText(w io.Writer, report []Series) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprint(t, "objective\tbound\taccount\tmodel")
-	for _, win := range Windows {
-		fmt.Fprintf(t, "\tburn %s", short(win.Span))
+	for _, window := range Windows {
+		fmt.Fprintf(t, "\tburn %s", formatSpan(window.Span))
 	}
 	fmt.Fprintln(t)
 	for _, r := range rows(report) {
@@ -57,14 +58,14 @@
 	return t.Flush()
 }
 
-func short(d time.Duration) string {
+func formatSpan(d time.Duration) string {
 	if d >= time.Hour {
 		return fmt.Sprintf("%dh", int(d.Hours()))
 	}
 	return fmt.Sprintf("%dm", int(d.Minutes()))
 }
 
-var page = template.Must(template.New("report").Funcs(template.FuncMap{"short": short}).Parse(`<!DOCTYPE html>
+var pageTemplate = template.Must(template.New("report").Funcs(template.FuncMap{"short": formatSpan}).Parse(`<!DOCTYPE html>
 <html lang="en"><head><meta charset="utf-8"><title>Service-level burn</title>
 <style>
 body{font:15px/1.5 sans-serif;margin:2em;color:#222}
@@ -75,16 +76,16 @@
 td span{font-variant-numeric:tabular-nums}
 </style></head><body>
 <h1>Service-level burn</h1>
-<p>1 uses up exactly what an objective may fail; above it, the budget is gone before the window ends. As of {{.At}}.</p>
+<p>A burn rate of 1 uses up exactly the error budget of the objective; above 1, the budget is exhausted before the window ends. As of {{.At}}.</p>
 <table><tr><th>objective</th><th>bound</th><th>account</th><th>model</th>{{range .Windows}}<th>{{short .Span}}</th>{{end}}</tr>
 {{range .Rows}}<tr><td>{{.Objective}}</td><td>{{.Kind}}</td><td>{{.Account}}</td><td>{{.Model}}</td>
 {{range .Columns}}<td class="{{if gt .Burn 1.0}}over{{end}}"><span>{{printf "%.2f" .Burn}}</span> <small>{{.Good}}/{{.Total}}</small><div class="bar" style="width:{{printf "%.0f" .Width}}%"></div></td>{{end}}</tr>
 {{end}}</table></body></html>
 `))
 
-// WriteHTML writes a report as one self-contained page.
+// WriteHTML writes a report as a self-contained HTML page.
 func WriteHTML(w io.Writer, report []Series, at time.Time) error {
-	return page.Execute(w, struct {
+	return pageTemplate.Execute(w, struct {
 		At      string
 		Windows []Window
 		Rows    []row
--- a/slo/slo.go
+++ b/slo/slo.go
@@ -1,6 +1,6 @@
-// Package slo counts how well the bundle's objectives are kept, per objective,
-// account and model over several windows, and reports how fast each burns what
-// it may fail.
+// Package slo counts events that meet or miss the bundle's service-level objectives,
+// per objective, account and model over several time windows, and computes the burn
+// rates of the error budgets.
 package slo
 
 import (
@@ -13,30 +13,30 @@
 	"github.com/walnutramp/walnutramp/bundle"
 )
 
-// Kind is what an objective bounds.
+// Kind is the latency that an objective bounds.
 type Kind string
 
-// The kinds.
+// Kinds of objectives.
 const (
 	FirstToken    Kind = "first token"
 	BetweenTokens Kind = "between tokens"
 	ResumeGap     Kind = "resume gap"
 )
 
-// Window is a span over which burn is told.
+// Window is a time window for which burn rates are computed.
 type Window struct {
 	Span   time.Duration
 	Bucket time.Duration // resolution
 }
 
-// Windows are the spans that are kept.
+// Windows lists the windows of all series.
 var Windows = []Window{
 	{Span: 5 * time.Minute, Bucket: 10 * time.Second},
 	{Span: time.Hour, Bucket: time.Minute},
 	{Span: 6 * time.Hour, Bucket: 5 * time.Minute},
 }
 
-// Key names one series.
+// Key identifies a series.
 type Key struct {
 	Objective string                   `json:"objective"`
 	Kind      Kind                     `json:"kind"`
@@ -44,21 +44,21 @@
 	Model     walnutramp.ModelName     `json:"model"`
 }
 
-// Count is how many events there were, and how many kept the objective.
+// Count holds the number of events, and of those that met the objective.
 type Count struct {
 	Good  uint64 `json:"good"`
 	Total uint64 `json:"total"`
 }
 
-// Series is one key's counts, a count for each window.
+// Series holds the counts of a key for each window.
 type Series struct {
 	Key
-	Allowed float64 `json:"allowed"` // share of events that may fail
+	Allowed float64 `json:"allowed"` // error budget: share of events that may miss the objective
 	Counts  []Count `json:"counts"`  // in the order of Windows
 }
 
-// Burn returns how many times faster than allowed a window's events fail: 1
-// uses up exactly what may fail.
+// Burn returns the burn rate of the error budget in a window: the share of events
+// that missed the objective, relative to the allowed share.
 func (s Series) Burn(window int) float64 {
 	c := s.Counts[window]
 	if c.Total == 0 || s.Allowed <= 0 {
@@ -67,13 +67,14 @@
 	return float64(c.Total-c.Good) / float64(c.Total) / s.Allowed
 }
 
-// ring is the counts of one window, a slot for each bucket of time.
+// ring holds the counts of a window in a ring buffer with a slot for each bucket of
+// time.
 type ring struct {
 	Slots []slot
 }
 
 type slot struct {
-	Bucket int64 // since 1970, in the window's resolution
+	Bucket int64 // number of the bucket since the Unix epoch
 	Count  Count
 }
 
@@ -101,7 +102,7 @@
 	return c
 }
 
-// Tracker counts events against the objectives in force.
+// Tracker counts events against the current objectives.
 type Tracker struct {
 	objectives func() []bundle.Objective
 
@@ -109,16 +110,16 @@
 	series map[Key][]ring
 }
 
-// NewTracker returns a tracker of what objectives returns.
+// NewTracker returns a tracker; objectives returns the current objectives.
 func NewTracker(objectives func() []bundle.Objective) *Tracker {
 	return &Tracker{objectives: objectives, series: map[Key][]ring{}}
 }
 
-// Observe counts an event n times.
+// Observe counts n events of duration d for all matching objectives.
 func (t *Tracker) Observe(kind Kind, account walnutramp.ClientAccount, model walnutramp.ModelName, d time.Duration, n int) {
 	now := time.Now()
 	for _, o := range t.objectives() {
-		limit := bound(o, kind)
+		limit := threshold(o, kind)
 		if limit == 0 || !matches(o, account, model) {
 			continue
 		}
@@ -127,7 +128,7 @@
 	}
 }
 
-func bound(o bundle.Objective, kind Kind) time.Duration {
+func threshold(o bundle.Objective, kind Kind) time.Duration {
 	switch kind {
 	case FirstToken:
 		return o.FirstToken
@@ -159,7 +160,7 @@
 	}
 }
 
-// Report returns every series as of now, in order of key.
+// Report returns the current counts of all series, sorted by key.
 func (t *Tracker) Report() []Series {
 	now := time.Now()
 	allowed := map[string]float64{}
@@ -187,7 +188,7 @@
 	})
 }
 
-// Merge adds up the reports of several nodes.
+// Merge sums the reports of several nodes, sorted by key.
 func Merge(reports ...[]Series) []Series {
 	sums := map[Key]*Series{}
 	for _, report := range reports {
--- a/slo/slo_test.go
+++ b/slo/slo_test.go
@@ -30,16 +30,16 @@
 
 func TestBurnPerWindow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		tr := NewTracker(objectives)
+		tracker := NewTracker(objectives)
 		for range 8 {
-			tr.Observe(FirstToken, "clerks", "m", 500*time.Millisecond, 1)
+			tracker.Observe(FirstToken, "clerks", "m", 500*time.Millisecond, 1)
 		}
 		time.Sleep(30 * time.Minute)
-		tr.Observe(FirstToken, "clerks", "m", 2*time.Second, 2)
-		tr.Observe(FirstToken, "brokers", "m", 2*time.Second, 1)
-		tr.Observe(BetweenTokens, "clerks", "m", time.Hour, 1)
-		report := tr.Report()
-		require.Len(t, report, 3, "an event without an objective counts nowhere")
+		tracker.Observe(FirstToken, "clerks", "m", 2*time.Second, 2)
+		tracker.Observe(FirstToken, "brokers", "m", 2*time.Second, 1)
+		tracker.Observe(BetweenTokens, "clerks", "m", time.Hour, 1)
+		report := tracker.Report()
+		require.Len(t, report, 3, "events without a matching objective are not counted")
 		drafts := find(t, report, "drafts", "clerks")
 		require.Equal(t, Count{Good: 0, Total: 2}, drafts.Counts[0])
 		require.Equal(t, Count{Good: 8, Total: 10}, drafts.Counts[1])
@@ -47,7 +47,7 @@
 		require.InDelta(t, 2, drafts.Burn(1), 1e-9)
 		require.InDelta(t, 100, find(t, report, "top", "clerks").Burn(1), 1e-6)
 		time.Sleep(7 * time.Hour)
-		require.Zero(t, find(t, tr.Report(), "drafts", "clerks").Counts[2].Total, "old events leave every window")
+		require.Zero(t, find(t, tracker.Report(), "drafts", "clerks").Counts[2].Total, "old events are dropped from all windows")
 	})
 }
 
@@ -75,11 +75,11 @@
 }
 
 func TestPagesShowEverySeries(t *testing.T) {
-	tr := NewTracker(objectives)
-	tr.Observe(FirstToken, "clerks", "m", time.Minute, 1)
+	tracker := NewTracker(objectives)
+	tracker.Observe(FirstToken, "clerks", "m", time.Minute, 1)
 	var text, html strings.Builder
-	require.NoError(t, WriteText(&text, tr.Report()))
-	require.NoError(t, WriteHTML(&html, tr.Report(), time.Now()))
+	require.NoError(t, WriteText(&text, tracker.Report()))
+	require.NoError(t, WriteHTML(&html, tracker.Report(), time.Now()))
 	for _, want := range []string{"drafts", "top", "clerks", "(0/1)"} {
 		require.Contains(t, text.String(), want)
 	}
--- a/slo/store.go
+++ b/slo/store.go
@@ -7,8 +7,7 @@
 
 const storeName = "slo.log"
 
-// Store keeps a tracker's counts in the data folder, so that a restart does
-// not lose them.
+// Store persists a tracker's counts in the data directory across restarts.
 type Store struct {
 	log *wal.Log
 }
@@ -18,7 +17,7 @@
 	Rings [][]ring
 }
 
-// OpenStore opens the store and loads what it holds into t.
+// OpenStore opens the store and loads the saved counts into t.
 func OpenStore(fs wal.FS, t *Tracker) (*Store, error) {
 	log, records, err := wal.Open(fs, storeName)
 	if err != nil {
@@ -39,7 +38,7 @@
 	return &Store{log: log}, nil
 }
 
-// Save replaces what the store holds by the tracker's counts of now.
+// Save replaces the saved counts with the current ones of t.
 func (s *Store) Save(t *Tracker) error {
 	var img image
 	t.mu.Lock()
@@ -55,5 +54,5 @@
 	return s.log.Replace(record)
 }
 
-// Close gives the store up.
+// Close closes the store's log file.
 func (s *Store) Close() error { return s.log.Close() }
