--- a/logsink/logsink.go
+++ b/logsink/logsink.go
@@ -1,6 +1,6 @@
-// Package logsink takes log lines without ever holding up who writes them: a
-// task of its own hands them to the output, and lines that find the queue
-// full are dropped and counted.
+// Package logsink provides an asynchronous log writer that never blocks its callers.
+// A goroutine writes queued lines to the output; lines that exceed the queue's bounds
+// are dropped and counted.
 package logsink
 
 import (
@@ -10,78 +10,79 @@
 	"time"
 )
 
-// Config bounds a Sink.
+// Config bounds the queue of a Sink.
 type Config struct {
-	Lines int // that may wait
-	Bytes int // of all lines that wait
+	Lines int // maximum number of queued lines
+	Bytes int // maximum size of all queued lines
 }
 
 // Option sets a field of Config.
 type Option func(*Config)
 
-// WithBounds sets how many lines and bytes may wait.
+// WithBounds sets the maximum number and total size of queued lines.
 func WithBounds(lines, bytes int) Option {
 	return func(c *Config) { c.Lines, c.Bytes = lines, bytes }
 }
 
-// Sink is an io.Writer whose Write never waits for the output.
+// Sink is an io.Writer whose Write never blocks on the output.
 type Sink struct {
-	cfg  Config
-	out  io.Writer
-	wake chan struct{}
-	done chan struct{}
+	cfg     Config
+	out     io.Writer
+	pending chan struct{}
+	done    chan struct{}
 
-	mu      sync.Mutex
-	waiting [][]byte
-	bytes   int
-	dropped int // since the output was told last
-	total   int // dropped ever
-	closed  bool
+	mu                 sync.Mutex
+	queue              [][]byte
+	queuedBytes        int
+	droppedSinceReport int // since the last "Log lines dropped" line
+	droppedTotal       int // since the start
+	closed             bool
 }
 
-// New returns a sink that hands lines to out.
+// New returns a sink that writes to out.
 func New(out io.Writer, opts ...Option) *Sink {
 	cfg := Config{Lines: 2000, Bytes: 512 << 10}
 	for _, opt := range opts {
 		opt(&cfg)
 	}
-	s := &Sink{cfg: cfg, out: out, wake: make(chan struct{}, 1), done: make(chan struct{})}
+	s := &Sink{cfg: cfg, out: out, pending: make(chan struct{}, 1), done: make(chan struct{})}
 	go s.run()
 	return s
 }
 
-// Write takes one line. It never fails and never waits.
+// Write queues one line, or drops it if the queue is full. It never blocks and never
+// returns an error.
 func (s *Sink) Write(line []byte) (int, error) {
 	s.mu.Lock()
 	switch {
 	case s.closed:
-	case len(s.waiting) >= s.cfg.Lines || s.bytes+len(line) > s.cfg.Bytes:
-		s.dropped++
-		s.total++
+	case len(s.queue) >= s.cfg.Lines || s.queuedBytes+len(line) > s.cfg.Bytes:
+		s.droppedSinceReport++
+		s.droppedTotal++
 	default:
-		s.waiting = append(s.waiting, append([]byte(nil), line...))
-		s.bytes += len(line)
+		s.queue = append(s.queue, append([]byte(nil), line...))
+		s.queuedBytes += len(line)
 	}
 	s.mu.Unlock()
 	select {
-	case s.wake <- struct{}{}:
+	case s.pending <- struct{}{}:
 	default:
 	}
 	return len(line), nil
 }
 
-// Dropped returns how many lines were dropped so far.
+// Dropped returns the number of lines dropped since the start.
 func (s *Sink) Dropped() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.total
+	return s.droppedTotal
 }
 
-// run hands over what waits, all of it in one write.
+// run writes the queued lines, each batch in a single write.
 func (s *Sink) run() {
 	defer close(s.done)
 	for {
-		batch, dropped, closed := s.take()
+		batch, dropped, closed := s.drain()
 		if len(batch) > 0 {
 			s.out.Write(batch)
 		}
@@ -91,28 +92,29 @@
 		if closed {
 			return
 		}
-		<-s.wake
+		<-s.pending
 	}
 }
 
-func (s *Sink) take() (batch []byte, dropped int, closed bool) {
+func (s *Sink) drain() (batch []byte, dropped int, closed bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, line := range s.waiting {
+	for _, line := range s.queue {
 		batch = append(batch, line...)
 	}
-	dropped = s.dropped
-	s.waiting, s.bytes, s.dropped = nil, 0, 0
+	dropped = s.droppedSinceReport
+	s.queue, s.queuedBytes, s.droppedSinceReport = nil, 0, 0
 	return batch, dropped, s.closed
 }
 
-// Close hands over what waits, for at most limit.
+// Close stops accepting lines and waits for queued ones to be written, for at most
+// limit.
 func (s *Sink) Close(limit time.Duration) {
 	s.mu.Lock()
 	s.closed = true
 	s.mu.Unlock()
 	select {
-	case s.wake <- struct{}{}:
+	case s.pending <- struct{}{}:
 	default:
 	}
 	select {
--- a/logsink/logsink_test.go
+++ b/logsink/logsink_test.go
@@ -43,9 +43,9 @@
 	require.Zero(t, s.Dropped())
 }
 
-// A reader that blocks the pipe delays nobody: writes return, lines are
-// dropped and counted, and the count is told once the pipe moves again.
-func TestBlockedReaderDelaysNobody(t *testing.T) {
+// Guards against writers blocked by a full pipe: excess lines must be dropped and
+// counted, and the count logged once the pipe drains.
+func TestWriteDoesNotBlockOnBlockedReader(t *testing.T) {
 	reader, writer, err := os.Pipe()
 	require.NoError(t, err)
 	defer reader.Close()
@@ -62,10 +62,10 @@
 	select {
 	case <-written:
 	case <-time.After(10 * time.Second):
-		t.Fatal("a write waits for the reader")
+		t.Fatal("Write blocked on the reader")
 	}
 	require.Greater(t, s.Dropped(), 4000)
-	told := make(chan string)
+	output := make(chan string)
 	go func() {
 		var all bytes.Buffer
 		chunk := make([]byte, 64<<10)
@@ -76,13 +76,13 @@
 			}
 			all.Write(chunk[:n])
 		}
-		told <- all.String()
+		output <- all.String()
 	}()
 	select {
-	case text := <-told:
+	case text := <-output:
 		require.Contains(t, text, "lines=")
 	case <-time.After(10 * time.Second):
-		t.Fatal("what was dropped is not told")
+		t.Fatal("number of dropped lines not logged")
 	}
 }
 
@@ -93,7 +93,7 @@
 	defer writer.Close()
 	s := New(writer)
 	s.Write(bytes.Repeat([]byte("x"), 400<<10))
-	began := time.Now()
+	start := time.Now()
 	s.Close(20 * time.Millisecond)
-	require.Less(t, time.Since(began), 5*time.Second)
+	require.Less(t, time.Since(start), 5*time.Second)
 }
