--- a/explain/explain.go
+++ b/explain/explain.go
@@ -341,34 +341,34 @@
 
 func localResponseCause(s *RequestTrace, last Line) (cause, advice string) {
 	code := last.code()
-	what := fmt.Sprintf("answered here with code %v (%s, outcome %s): %s", code, code.Info().Text, last.Fields["outcome"], s.targetFailures())
+	description := fmt.Sprintf("answered here with code %v (%s, outcome %s): %s", code, code.Info().Text, last.Fields["outcome"], s.targetFailures())
 	switch code {
 	case walnutramp.CodeStopping:
-		return what, "the node was stopping; the client is told to come back, and meets another node"
+		return description, "the node was stopping; the client is told to come back, and meets another node"
 	case walnutramp.CodeNotInForce:
-		return what, "the node had no configuration yet; look at its start and at the control group's leader"
+		return description, "the node had no configuration yet; look at its start and at the control group's leader"
 	case walnutramp.CodeUnknownPath, walnutramp.CodeBadKey:
-		return what, "compare the configuration in force on the node at that time (version in its log) with the client's request"
+		return description, "compare the configuration in force on the node at that time (version in its log) with the client's request"
 	case walnutramp.CodeHeldBack, walnutramp.CodeEndsTargets:
 		return fmt.Sprintf("targets end when they run content %s: %s", last.Fields["content"], s.crashes(last.Fields["content"])),
 			"look at the targets' own logs of these moments; the client is told when the request may be tried again"
 	case walnutramp.CodeTargetsRest:
-		return what, "all targets of the service had asked this node to back off: see the lines in which they did; Retry-After tells the client when the first is available again"
+		return description, "all targets of the service had asked this node to back off: see the lines in which they did; Retry-After tells the client when the first is available again"
 	case walnutramp.CodeNoTarget:
-		return what, "no target of the service could be asked: look at its list of targets and at what turned the request away"
+		return description, "no target of the service could be asked: look at its list of targets and at what turned the request away"
 	}
-	return what, "look at the targets named; outcome unknown means that it may have run and was not sent again"
+	return description, "look at the targets named; outcome unknown means that it may have run and was not sent again"
 }
 
 func abortedCause(s *RequestTrace, last Line) (cause, advice string) {
-	why := last.Fields["cause"]
+	reason := last.Fields["cause"]
 	switch {
 	case s.stopping(last):
 		return "the node's planned stop ended before the stream did, and cut it off; the client resumes at another node",
 			"streams that can't end in the grace are refused; one that takes longer than predicted is cut"
-	case strings.Contains(why, "canceled"):
+	case strings.Contains(reason, "canceled"):
 		return fmt.Sprintf("the client left after event %s (%s)", last.Fields["last"], s.targetFailures()), "look at the client's own patience, and at the pauses before"
-	case strings.Contains(why, "deadline"):
+	case strings.Contains(reason, "deadline"):
 		return fmt.Sprintf("the client's deadline or the route's time-out passed after event %s (%s)", last.Fields["last"], s.targetFailures()),
 			"if the client came again, little time may have been left"
 	}
--- a/node/control.go
+++ b/node/control.go
@@ -32,7 +32,7 @@
 		initialGroup = control.FoundingGroup(n.cfg.Control)
 	}
 	n.voterState = control.NewState()
-	opts := append([]consensus.Option{consensus.WithSeed(n.cfg.Seed)}, n.cfg.ControlOpt...)
+	opts := append([]consensus.Option{consensus.WithSeed(n.cfg.Seed)}, n.cfg.ControlOptions...)
 	n.voter, err = consensus.New(n.cfg.Name, identity, n.cfg.Disk, initialGroup, n.peers, n.voterState, opts...)
 	return err
 }
--- a/node/formats_test.go
+++ b/node/formats_test.go
@@ -8,4 +8,4 @@
 )
 
 // Types sent between nodes.
-func TestFormats(t *testing.T) { schema.Check(t, node.Told{}, node.TellReply{}) }
+func TestFormats(t *testing.T) { schema.Check(t, node.TellArgs{}, node.TellReply{}) }
--- a/node/node.go
+++ b/node/node.go
@@ -37,29 +37,29 @@
 
 // Config configures a Node.
 type Config struct {
-	Name          walnutramp.NodeName
-	DataHall      walnutramp.DataHall
-	Site          string
-	PeerAddress   string // address at which other nodes reach this one
-	Incarnation   walnutramp.Incarnation
-	Peers         []member.Node // known from the settings
-	Bundle        *bundle.Bundle
-	Dial          DialFunc
-	LoadInterval  time.Duration
-	ProbePeriod   time.Duration
-	StopDeadline  time.Duration // for requests in flight after Stop
-	HeaderTime    time.Duration // timeout for reading request headers
-	Seed          uint64
-	GenerationOpt []generation.Option
-	RouteOpt      []route.Option
-	CallerOpt     []caller.Option
-	Control       []walnutramp.NodeName // the control group's founders; empty for none
-	Disk          wal.FS                // data directory; nil on nodes without a disk
-	Platform      string                // URL of the platform's instance list; empty for none
-	Operators     bundle.Operators
-	TLS           *tls.Config // between nodes; nil for none
-	ControlOpt    []consensus.Option
-	OnResume      func(Resume) // called on each resume
+	Name              walnutramp.NodeName
+	DataHall          walnutramp.DataHall
+	Site              string
+	PeerAddress       string // address at which other nodes reach this one
+	Incarnation       walnutramp.Incarnation
+	Peers             []member.Node // known from the settings
+	Bundle            *bundle.Bundle
+	Dial              DialFunc
+	LoadInterval      time.Duration
+	ProbePeriod       time.Duration
+	StopDeadline      time.Duration // for requests in flight after Stop
+	HeaderTimeout     time.Duration // timeout for reading request headers
+	Seed              uint64
+	GenerationOptions []generation.Option
+	RouteOptions      []route.Option
+	CallerOptions     []caller.Option
+	Control           []walnutramp.NodeName // the control group's founders; empty for none
+	Disk              wal.FS                // data directory; nil on nodes without a disk
+	Platform          string                // URL of the platform's instance list; empty for none
+	Operators         bundle.Operators
+	TLS               *tls.Config // between nodes; nil for none
+	ControlOptions    []consensus.Option
+	OnResume          func(Resume) // called on each resume
 }
 
 // Option sets a field of Config.
@@ -118,7 +118,7 @@
 
 // WithControlOptions appends options of the consensus member.
 func WithControlOptions(opts ...consensus.Option) Option {
-	return func(c *Config) { c.ControlOpt = append(c.ControlOpt, opts...) }
+	return func(c *Config) { c.ControlOptions = append(c.ControlOptions, opts...) }
 }
 
 // WithOnResume sets a callback for each resumed generation.
@@ -126,30 +126,30 @@
 
 // WithGenerationOptions appends options of the generation manager.
 func WithGenerationOptions(opts ...generation.Option) Option {
-	return func(c *Config) { c.GenerationOpt = append(c.GenerationOpt, opts...) }
+	return func(c *Config) { c.GenerationOptions = append(c.GenerationOptions, opts...) }
 }
 
 // WithRouteOptions appends options of the router.
 func WithRouteOptions(opts ...route.Option) Option {
-	return func(c *Config) { c.RouteOpt = append(c.RouteOpt, opts...) }
+	return func(c *Config) { c.RouteOptions = append(c.RouteOptions, opts...) }
 }
 
 // WithCallerOptions appends options of the HTTP handler for callers.
 func WithCallerOptions(opts ...caller.Option) Option {
-	return func(c *Config) { c.CallerOpt = append(c.CallerOpt, opts...) }
+	return func(c *Config) { c.CallerOptions = append(c.CallerOptions, opts...) }
 }
 
 func defaultConfig() Config {
 	var d net.Dialer
 	return Config{
-		Site:         "default",
-		Bundle:       &bundle.Bundle{},
-		Dial:         d.DialContext,
-		LoadInterval: 500 * time.Millisecond,
-		ProbePeriod:  500 * time.Millisecond,
-		StopDeadline: 10 * time.Minute,
-		HeaderTime:   5 * time.Second,
-		Incarnation:  walnutramp.Incarnation(time.Now().UnixNano()),
+		Site:          "default",
+		Bundle:        &bundle.Bundle{},
+		Dial:          d.DialContext,
+		LoadInterval:  500 * time.Millisecond,
+		ProbePeriod:   500 * time.Millisecond,
+		StopDeadline:  10 * time.Minute,
+		HeaderTimeout: 5 * time.Second,
+		Incarnation:   walnutramp.Incarnation(time.Now().UnixNano()),
 	}
 }
 
@@ -237,7 +237,7 @@
 		route.WithSeed(n.cfg.Seed),
 		route.WithInForce(n.inForce),
 		route.WithRestLeft(n.pool.RestLeft),
-	}, n.cfg.RouteOpt...)
+	}, n.cfg.RouteOptions...)
 	n.router = route.New(opts...)
 	n.watch = target.NewWatch(n.pool, n.router, n.cfg.LoadInterval, n.cfg.Seed)
 }
@@ -252,7 +252,7 @@
 		),
 		generation.WithObserver(n.metrics),
 		generation.WithQuarantine(n.quarantine),
-	}, n.cfg.GenerationOpt...)
+	}, n.cfg.GenerationOptions...)
 	n.generations = generation.NewManager(opts...)
 }
 
@@ -270,13 +270,13 @@
 		opts = append(opts, caller.WithLedger(n.control))
 		mux.Handle("/operator/", operator.NewHandler(n.control, n.statusOfAll))
 	}
-	h := caller.New(append(opts, n.cfg.CallerOpt...)...)
+	h := caller.New(append(opts, n.cfg.CallerOptions...)...)
 	mux.Handle("/", h)
 	mux.HandleFunc("GET /healthz", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) })
 	mux.HandleFunc("GET /readyz", n.serveReady)
 	mux.HandleFunc("GET /metrics", n.metrics.serve)
 	mux.HandleFunc("GET /report", n.metrics.serveReport)
-	n.http = &http.Server{Handler: mux, ReadHeaderTimeout: n.cfg.HeaderTime, IdleTimeout: 2 * time.Minute, MaxHeaderBytes: 64 << 10}
+	n.http = &http.Server{Handler: mux, ReadHeaderTimeout: n.cfg.HeaderTimeout, IdleTimeout: 2 * time.Minute, MaxHeaderBytes: 64 << 10}
 }
 
 func (n *Node) serveReady(w http.ResponseWriter, _ *http.Request) {
--- a/node/quarantine.go
+++ b/node/quarantine.go
@@ -29,15 +29,15 @@
 // quarantineService receives the notes of other nodes.
 type quarantineService struct{ ledger *quarantine.Ledger }
 
-// Told is the argument of the Tell RPC.
-type Told struct{ Notes []quarantine.Note }
+// TellArgs is the argument of the Tell RPC.
+type TellArgs struct{ Notes []quarantine.Note }
 
 // TellReply is the reply of the Tell RPC: the number of notes that were new.
 type TellReply struct{ Fresh int }
 
 // Tell handles the RPC that delivers another node's notes.
-func (s *quarantineService) Tell(t Told, reply *TellReply) error {
-	reply.Fresh = len(s.ledger.Take(t.Notes))
+func (s *quarantineService) Tell(args TellArgs, reply *TellReply) error {
+	reply.Fresh = len(s.ledger.Take(args.Notes))
 	return nil
 }
 
@@ -73,18 +73,18 @@
 			return
 		}
 		if len(notes) > 0 {
-			n.broadcast(ctx, Told{Notes: notes})
+			n.broadcast(ctx, TellArgs{Notes: notes})
 		}
 	}
 }
 
-func (n *Node) broadcast(ctx context.Context, t Told) {
+func (n *Node) broadcast(ctx context.Context, args TellArgs) {
 	for _, m := range n.members.Live() {
 		go func() {
 			ctx, cancel := context.WithTimeout(ctx, gossipTimeout)
 			defer cancel()
 			var reply TellReply
-			if err := n.peers.Call(ctx, m.Name, quarantineServiceName+".Tell", t, &reply); err != nil {
+			if err := n.peers.Call(ctx, m.Name, quarantineServiceName+".Tell", args, &reply); err != nil {
 				klog.V(1).InfoS("Failed to send quarantine notes, retrying with the next full update", "node", m.Name, "err", err)
 			}
 		}()
--- a/node/session_test.go
+++ b/node/session_test.go
@@ -139,9 +139,9 @@
 }
 
 // options parses key=value arguments.
-func options(words []string) map[string]string {
+func options(args []string) map[string]string {
 	m := map[string]string{}
-	for _, w := range words {
+	for _, w := range args {
 		k, v, _ := strings.Cut(w, "=")
 		m[k] = v
 	}
--- a/serve/replica.go
+++ b/serve/replica.go
@@ -80,11 +80,11 @@
 	if err != nil {
 		return err
 	}
-	keeper := control.NewKeeper(self.Node, member)
-	roster := control.NewRoster()
-	poller := discovery.NewPoller(p.adapter.Source(false), discovery.TakerFunc(roster.Set), discovery.WithOnly(member.Leads))
+	membershipController := control.NewKeeper(self.Node, member)
+	targetList := control.NewRoster()
+	poller := discovery.NewPoller(p.adapter.Source(false), discovery.TakerFunc(targetList.Set), discovery.WithOnly(member.Leads))
 	server := peer.NewServer(self, &p.traffic)
-	controlServer := control.NewOpenServer(member, state, keeper, roster, control.WithLink(s.LinkMbps*bytesPerMegabit), control.WithOrderPatience(s.OrderPatience))
+	controlServer := control.NewOpenServer(member, state, membershipController, targetList, control.WithLink(s.LinkMbps*bytesPerMegabit), control.WithOrderPatience(s.OrderPatience))
 	budgetConfig := balance.BudgetConfig{Window: s.RepeatWindow}
 	sharing := control.NewSharing(member, controlServer, budgetConfig.TakenWithin())
 	relay := control.NewRelay(p.peers, self.Node, s.DataHall, member, controlServer)
@@ -105,9 +105,9 @@
 	go server.Serve(l)
 	member.Start()
 	p.client = control.NewDocumentClient(p.peers, s.Seeds, func(uint64, []byte) error { return nil })
-	go keeper.Run(p.ctx)
+	go membershipController.Run(p.ctx)
 	go poller.Run(p.ctx)
-	go p.readFirstList(roster)
+	go p.readFirstList(targetList)
 	go onElected(p.ctx, member, poller.Soon)
 	go relay.Run(p.ctx)
 	go sharing.Run(p.ctx)
@@ -132,13 +132,13 @@
 
 // readFirstList reads the target list before a leader is elected, for entries that
 // start together with this member. A list of many pages is left to the leader.
-func (p *Process) readFirstList(roster *control.Roster) {
+func (p *Process) readFirstList(targetList *control.Roster) {
 	list, err := p.adapter.ShortSource().Targets(p.ctx)
 	if err != nil {
 		klog.InfoS("Initial target list not read, the leader reads it", "err", err)
 		return
 	}
-	roster.SetFirst(list)
+	targetList.SetFirst(list)
 }
 
 // leaderPollInterval is the interval between checks for leadership.
