--- a/cmd/walnutramp/node.go
+++ b/cmd/walnutramp/node.go
@@ -32,7 +32,7 @@
 	PeerAddress  string        `long:"peer-address" env:"WALNUTRAMP_PEER_ADDRESS" description:"numeric IP:port at which other nodes reach this one; default is --peer-listen"`
 	Peers        []string      `long:"peer" env:"WALNUTRAMP_PEERS" env-delim:"," description:"another node, as name=hall@IP:port; can be repeated"`
 	Bundle       string        `long:"bundle" env:"WALNUTRAMP_BUNDLE" description:"bundle file, on sites without a control group"`
-	Control      []string      `long:"control" env:"WALNUTRAMP_CONTROL" env-delim:"," description:"name of a control group member; repeat for all 1, 3 or 5"`
+	Control      []string      `long:"control" env:"WALNUTRAMP_CONTROL" env-delim:"," description:"name of a control group member; repeat for each of the 1, 3 or 5 members"`
 	Data         string        `long:"data" env:"WALNUTRAMP_DATA" description:"data directory, on nodes with a disk; founders' have to be initialized with 'control found'"`
 	Operators    string        `long:"operators" env:"WALNUTRAMP_OPERATORS" description:"file with the operators' public keys, one name and key per line"`
 	Keys         string        `long:"keys" env:"WALNUTRAMP_KEYS" description:"directory with the site's keys; without it connections between nodes are not authenticated"`
