--- a/node/formats_test.go
+++ b/node/formats_test.go
@@ -7,5 +7,5 @@
 	"github.com/walnutramp/walnutramp/node"
 )
 
-// What is sent.
-func TestFormats(t *testing.T) { schema.Check(t, node.Told{}, node.TellReply{}) }
+// Types sent between nodes.
+func TestFormats(t *testing.T) { schema.Check(t, node.TellArgs{}, node.TellReply{}) }
