--- a/rollout/agent.go
+++ b/rollout/agent.go
@@ -9,35 +9,36 @@
 	"github.com/walnutramp/walnutramp/internal/uptime"
 )
 
-// Agent is a node's part in roll-outs: which versions its requests go to, and
-// what it saw of their answers.
+// Agent is the node-side part of rollouts. It selects the versions that
+// requests may go to and collects statistics of their answers.
 type Agent struct {
 	mu       sync.Mutex
 	view     View
 	services map[string]*service
-	judge    uint64 // who has had the reports, as they name themselves
+	judge    uint64 // ID of the judge that received the last report
 	rng      *rand.Rand
 	now      func() time.Time
 }
 
-// service is an agent's part in one service's roll-out.
+// service is the agent's state of one service's rollout.
 type service struct {
 	record  Record
 	permit  Permit
-	until   time.Time          // end of the permit
-	credits map[string]float64 // of the new version's requests, by route
+	expires time.Time          // expiry of the permit
+	credits map[string]float64 // accumulated share of requests for the new version, by route
 	counts  map[Key]*Counts
-	changed map[Key]bool          // since they were reported
-	waiting map[*Request]struct{} // for their first event
+	changed map[Key]bool          // keys changed since the last report
+	waiting map[*Request]struct{} // requests without a first event
 }
 
-// AgentOption sets how an Agent works.
+// AgentOption configures an Agent.
 type AgentOption func(*Agent)
 
-// WithClock sets the clock by which permits end.
+// WithClock sets the clock used for permit expiry and latencies.
 func WithClock(now func() time.Time) AgentOption { return func(a *Agent) { a.now = now } }
 
-// NewAgent returns an agent that knows of no versions.
+// NewAgent returns an agent without any rollout state. The seed makes its
+// random choices reproducible.
 func NewAgent(seed uint64, opts ...AgentOption) *Agent {
 	a := &Agent{services: map[string]*service{}, rng: rand.New(rand.NewPCG(seed, 17)), now: uptime.Now}
 	for _, opt := range opts {
@@ -46,13 +47,14 @@
 	return a
 }
 
-// Versions are those that a request may go to; nil for any.
+// Versions is the set of versions that a request may go to; its zero value
+// contains every version.
 type Versions struct {
 	only []string
 	not  string
 }
 
-// Has reports whether a version is among them.
+// Has reports whether the set contains a version.
 func (v Versions) Has(version string) bool {
 	if v.only != nil {
 		return slices.Contains(v.only, version)
@@ -60,24 +62,25 @@
 	return v.not == "" || version != v.not
 }
 
-// Any reports whether all versions are among them.
+// Any reports whether the set contains every version.
 func (v Versions) Any() bool { return v.only == nil && v.not == "" }
 
-// Revision returns that of the view held.
+// Revision returns the revision of the current view.
 func (a *Agent) Revision() uint64 {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.view.Revision
 }
 
-// Running reports whether a roll-out is under way.
+// Running reports whether any rollout is in progress.
 func (a *Agent) Running() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.view.Running()
 }
 
-// SetView takes a view, unless a newer one is held.
+// SetView replaces the view and reports whether it did so. A view that is not
+// newer than the current one is ignored.
 func (a *Agent) SetView(v View) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -96,26 +99,28 @@
 	return true
 }
 
-// SetPermits takes permits that were asked for at a time.
-func (a *Agent) SetPermits(permits []Permit, asked time.Time) {
+// SetPermits stores permits that were requested at the given time. Permits for
+// another rollout, and those that expire before the current one, are ignored.
+func (a *Agent) SetPermits(permits []Permit, requested time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for _, p := range permits {
 		s := a.services[p.Service]
-		if s == nil || s.record.Number != p.Number || asked.Add(p.For).Before(s.until) {
+		if s == nil || s.record.Number != p.Number || requested.Add(p.For).Before(s.expires) {
 			continue
 		}
-		s.permit, s.until = p, asked.Add(p.For)
+		s.permit, s.expires = p, requested.Add(p.For)
 	}
 }
 
-// permitted reports whether requests may go to the new version now. The caller
-// holds the mutex.
+// permitted reports whether the new version may receive requests now. The
+// caller must hold the mutex.
 func (s *service) permitted(now time.Time) bool {
-	return s != nil && s.record.State == Running && now.Before(s.until)
+	return s != nil && s.record.State == Running && now.Before(s.expires)
 }
 
-// share returns the part of a route's requests that go to the new version.
+// share returns the fraction of a route's requests that goes to the new
+// version.
 func (p *Permit) share(route string) float64 {
 	if share, ok := p.Shares[route]; ok {
 		return share
@@ -123,9 +128,10 @@
 	return p.Other
 }
 
-// Draw decides whether a request goes to the new version of its service. Each
-// node's count of them stays within one of the permitted share, and nodes
-// begin anywhere between two, so that many nodes do not begin together.
+// Draw reports whether a request should go to the new version of its service.
+// It spaces such requests evenly, so each node stays within one request of its
+// share. The initial credit is random, so that nodes do not all pick their
+// first requests.
 func (a *Agent) Draw(name, route string) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -133,28 +139,30 @@
 	if !s.permitted(a.now()) {
 		return false
 	}
-	credit, begun := s.credits[route]
-	if !begun {
+	credit, started := s.credits[route]
+	if !started {
 		credit = a.rng.Float64()
 	}
-	credit = min(credit+s.permit.share(route), mostCredit)
-	taken := credit >= 1
-	if taken {
+	credit = min(credit+s.permit.share(route), maxCredit)
+	drawn := credit >= 1
+	if drawn {
 		credit--
 	}
 	s.credits[route] = credit
-	return taken
+	return drawn
 }
 
-// mostCredit bounds what is saved up while there is no target of the version.
-const mostCredit = 2
+// maxCredit limits the credit that accumulates while the new version has no
+// targets, to prevent a burst afterwards.
+const maxCredit = 2
 
-// Undo takes back a draw: no target of the new version was there.
+// Undo returns the credit of a Draw for which no target of the new version was
+// available.
 func (a *Agent) Undo(name, route string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if s := a.services[name]; s != nil {
-		s.credits[route] = min(s.credits[route]+1, mostCredit)
+		s.credits[route] = min(s.credits[route]+1, maxCredit)
 	}
 }
 
@@ -166,8 +174,8 @@
 	return s.permitted(a.now()) && s.permit.Other >= 1
 }
 
-// Versions returns those that a request may go to: the new one where it was
-// drawn, else those in force.
+// Versions returns the versions that a request may go to: the new one if Draw
+// selected it, else those in force.
 func (a *Agent) Versions(name string, drawn bool) Versions {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -182,7 +190,7 @@
 }
 
 // inForce returns the versions that a request may go to without a permit. The
-// caller holds the mutex.
+// caller must hold the mutex.
 func (s *service) inForce() Versions {
 	if len(s.record.InForce) == 0 {
 		return Versions{not: s.record.Target}
@@ -190,7 +198,8 @@
 	return Versions{only: s.record.InForce}
 }
 
-// MayUse reports whether a run may go on at a target of a version.
+// MayUse reports whether a request may continue at a target of the given
+// version.
 func (a *Agent) MayUse(name, version string) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -201,7 +210,7 @@
 	return version == s.record.Target && s.permitted(a.now()) || s.inForce().Has(version)
 }
 
-// Focus returns the part of a service's new targets that requests go to.
+// Focus returns the selection of a service's new targets that receive requests.
 func (a *Agent) Focus(name string) Focus {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -211,8 +220,8 @@
 	return Focus{Part: 1}
 }
 
-// Begin notes a request on its way to a target. It returns nil where there is no
-// roll-out to weigh.
+// Begin records that a request is sent to a target. It returns nil if the
+// service has no running rollout.
 func (a *Agent) Begin(key Key) *Request {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -221,26 +230,26 @@
 		return nil
 	}
 	if key.Version != s.record.Target {
-		key.Target = "" // the old version's are told together
+		key.Target = "" // targets of the old version are counted together
 	}
 	r := &Request{agent: a, service: s, key: key, sent: a.now()}
-	r.change(func(c *Counts) { c.Sent++ })
+	r.update(func(c *Counts) { c.Sent++ })
 	s.waiting[r] = struct{}{}
 	return r
 }
 
-// noteLate counts the requests that wait for longer than sound ones do, before
-// their first event has come. The caller holds the mutex.
-func (s *service) noteLate(now time.Time) {
+// countLate counts the pending requests that are past their Late threshold as
+// slow. The caller must hold the mutex.
+func (s *service) countLate(now time.Time) {
 	for r := range s.waiting {
 		late, known := s.permit.Late[r.key.Route]
 		if known && now.Sub(r.sent) > late {
-			r.noteFirst(now.Sub(r.sent))
+			r.recordFirst(now.Sub(r.sent))
 		}
 	}
 }
 
-// Counts returns what was seen in the roll-outs under way.
+// Counts returns all counts collected for the known rollouts.
 func (a *Agent) Counts() []Cell {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -253,8 +262,8 @@
 	return cells
 }
 
-// Report returns the counts that have changed since the last report, or all
-// where another judge is to have them.
+// Report returns the counts of running rollouts that changed since the last
+// report, or all counts if the last report went to another judge.
 func (a *Agent) Report(judge uint64) []Cell {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -265,7 +274,7 @@
 		if s.record.State != Running {
 			continue
 		}
-		s.noteLate(a.now())
+		s.countLate(a.now())
 		for key, counts := range s.counts {
 			if all || s.changed[key] {
 				cells = append(cells, Cell{Key: key, Counts: counts.clone()})
@@ -276,7 +285,8 @@
 	return cells
 }
 
-// Unreported has the next report tell everything: the last one may be lost.
+// Unreported makes the next report include all counts, because the last one may
+// have been lost.
 func (a *Agent) Unreported() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/rollout/agent_test.go
+++ b/rollout/agent_test.go
@@ -8,14 +8,14 @@
 	"github.com/walnutramp/walnutramp/internal/uptime"
 )
 
-// node is an agent with a clock of its own.
-type node struct {
+// testNode is an agent with a manual clock.
+type testNode struct {
 	*Agent
 	now time.Time
 }
 
-func newNode(seed uint64) *node {
-	n := &node{now: time.Unix(1000, 0)}
+func newTestNode(seed uint64) *testNode {
+	n := &testNode{now: time.Unix(1000, 0)}
 	n.Agent = NewAgent(seed, WithClock(func() time.Time { return n.now }))
 	return n
 }
@@ -28,18 +28,18 @@
 	return []Permit{{Service: "s", Number: 1, Other: share, For: PermitLife}}
 }
 
-func TestVersionsThatRequestsGoTo(t *testing.T) {
-	n := newNode(1)
-	require.True(t, n.Versions("s", false).Any(), "nothing is known yet")
+func TestAgentVersions(t *testing.T) {
+	n := newTestNode(1)
+	require.True(t, n.Versions("s", false).Any(), "no view yet")
 	require.True(t, n.SetView(running(1)))
-	require.False(t, n.SetView(running(1)), "it is known")
+	require.False(t, n.SetView(running(1)), "same revision")
 	require.True(t, n.Versions("s", false).Has("v1"))
 	require.False(t, n.Versions("s", false).Has("v2"))
-	require.False(t, n.Versions("s", false).Has("v3"), "nobody ordered it")
+	require.False(t, n.Versions("s", false).Has("v3"), "version was not ordered")
 	require.False(t, n.Versions("s", true).Has("v1"))
 	require.True(t, n.Versions("s", true).Has("v2"))
 	require.True(t, n.Versions("other", false).Any())
-	require.False(t, n.MayUse("s", "v2"), "there is no permit")
+	require.False(t, n.MayUse("s", "v2"), "no permit")
 	n.SetPermits(permit(0.1), n.now)
 	require.True(t, n.MayUse("s", "v2"))
 	require.True(t, n.MayUse("s", "v1"))
@@ -47,19 +47,19 @@
 	done.Revision, done.Records[0].State, done.Records[0].InForce = 2, Completed, []string{"v2"}
 	n.SetView(done)
 	require.False(t, n.Versions("s", false).Has("v1"))
-	require.False(t, n.SetView(running(1)), "a view never goes back")
-	require.False(t, n.Draw("s", "r"), "it is over")
+	require.False(t, n.SetView(running(1)), "older revision")
+	require.False(t, n.Draw("s", "r"), "rollout has ended")
 	require.True(t, n.Versions("s", false).Has("v2"))
 }
 
-// A node that was cut off or frozen sends nothing to the new version when its
-// permit is over, by its own clock and from when it asked.
-func TestPermitEnds(t *testing.T) {
-	n := newNode(1)
+// Guards against a partitioned or suspended node that keeps sending to the new
+// version after its permit has expired.
+func TestPermitExpires(t *testing.T) {
+	n := newTestNode(1)
 	n.SetView(running(1))
 	require.False(t, n.Draw("s", "r"))
 	asked := n.now
-	n.now = n.now.Add(300 * time.Millisecond) // the answer took so long
+	n.now = n.now.Add(300 * time.Millisecond) // latency of the permit request
 	n.SetPermits(permit(1), asked)
 	require.True(t, n.Draw("s", "r"))
 	require.True(t, n.Shifted("s"))
@@ -67,15 +67,16 @@
 	require.False(t, n.Draw("s", "r"))
 	require.False(t, n.Shifted("s"))
 	n.SetPermits([]Permit{{Service: "s", Number: 7, Other: 1, For: time.Hour}}, n.now)
-	require.False(t, n.Draw("s", "r"), "it is for another roll-out")
+	require.False(t, n.Draw("s", "r"), "permit of another rollout")
 }
 
-// Many nodes with few requests each send the permitted share together.
-func TestNodesSendThePermittedShareTogether(t *testing.T) {
+// Checks that many nodes with few requests each reach the permitted share in
+// total.
+func TestNodesSendPermittedShareInTotal(t *testing.T) {
 	const nodes, requests, share = 300, 7, 0.05
 	drawn := 0
 	for i := range nodes {
-		n := newNode(uint64(i))
+		n := newTestNode(uint64(i))
 		n.SetView(running(1))
 		n.SetPermits(permit(share), n.now)
 		for range requests {
@@ -87,8 +88,8 @@
 	require.InDelta(t, share*nodes*requests, drawn, 30)
 }
 
-func TestDrawThatFoundNoTargetIsMadeUp(t *testing.T) {
-	n := newNode(1)
+func TestUndoReturnsCreditWithoutBurst(t *testing.T) {
+	n := newTestNode(1)
 	n.SetView(running(1))
 	n.SetPermits(permit(0.5), n.now)
 	for range 20 {
@@ -103,12 +104,12 @@
 			drawn++
 		}
 	}
-	require.InDelta(t, 50, drawn, 3, "no burst of what was saved up")
+	require.InDelta(t, 50, drawn, 3, "accumulated credit must not cause a burst")
 }
 
-func TestReportsTellChangesAndEverythingToANewJudge(t *testing.T) {
-	n := newNode(1)
-	require.Nil(t, n.Begin(Key{Service: "s"}), "there is nothing to weigh")
+func TestReportIsIncrementalAndFullForNewJudge(t *testing.T) {
+	n := newTestNode(1)
+	require.Nil(t, n.Begin(Key{Service: "s"}), "no rollout")
 	n.SetView(running(1))
 	answer := func(version string, o Outcome) {
 		r := n.Begin(Key{Service: "s", Route: "r", Version: version, DataHall: "h", Target: "t"})
@@ -116,40 +117,40 @@
 		r.First()
 		r.Pace(5 * time.Millisecond)
 		r.Ended(o)
-		r.Ended(o) // counts once
+		r.Ended(o) // ignored
 	}
 	answer("v1", Served)
 	answer("v2", Failed)
 	n.Report(0)
 	all := n.Report(5)
 	require.Len(t, all, 2)
-	require.Empty(t, n.Report(5), "nothing is new")
+	require.Empty(t, n.Report(5), "no changes")
 	answer("v2", Lost)
-	news := n.Report(5)
-	require.Len(t, news, 1)
-	require.Equal(t, "t", news[0].Key.Target)
-	require.EqualValues(t, 2, news[0].Counts.Answered())
-	require.Len(t, n.Report(6), 2, "another judge")
+	changed := n.Report(5)
+	require.Len(t, changed, 1)
+	require.Equal(t, "t", changed[0].Key.Target)
+	require.EqualValues(t, 2, changed[0].Counts.Answered())
+	require.Len(t, n.Report(6), 2, "full report for another judge")
 	n.Unreported()
-	require.Len(t, n.Report(6), 2, "the last one was lost")
+	require.Len(t, n.Report(6), 2, "full report after a lost one")
 
 	tally := NewTally()
 	require.Len(t, tally.Take("n", 1, all), 2)
-	fresh := tally.Take("n", 1, news)
+	fresh := tally.Take("n", 1, changed)
 	require.Len(t, fresh, 1)
 	require.EqualValues(t, 1, fresh[0].Counts.Answered())
 	require.Empty(t, tally.Take("n", 1, all[:0]))
-	tally.Take("n", 2, all) // the node was started again
+	tally.Take("n", 2, all) // restarted node
 	sums := tally.Sums("s")
-	require.EqualValues(t, 3, sums[news[0].Key].Lost+sums[news[0].Key].Failed)
+	require.EqualValues(t, 3, sums[changed[0].Key].Lost+sums[changed[0].Key].Failed)
 	tally.Forget("s")
 	require.Empty(t, tally.Sums("s"))
 }
 
-// A request that is slow is counted before its first event comes, so that a slow
-// version does not hide behind the answers that it owes.
-func TestLateRequestsCountBeforeTheyAreAnswered(t *testing.T) {
-	n := newNode(1)
+// Guards against a slow version going undetected because its requests are not
+// answered yet.
+func TestPendingLateRequestsCountAsSlow(t *testing.T) {
+	n := newTestNode(1)
 	n.SetView(running(1))
 	p := permit(1)
 	p[0].Late = map[string]time.Duration{"r": 100 * time.Millisecond}
@@ -160,13 +161,13 @@
 	n.SetPermits(p, n.now)
 	require.EqualValues(t, 1, n.Report(1)[0].Counts.First.total())
 	r.First()
-	require.Empty(t, n.Report(1), "it is counted once")
+	require.Empty(t, n.Report(1), "first event must be counted once")
 	r.Dropped()
 	r.Ended(Served)
-	require.Empty(t, n.Report(1), "it was dropped")
+	require.Empty(t, n.Report(1), "no outcome after Dropped")
 }
 
-func TestNothingIsNotedWithoutARollout(t *testing.T) {
+func TestNilRequestIsNoOp(t *testing.T) {
 	var r *Request
 	r.First()
 	r.Pace(time.Second)
@@ -174,9 +175,9 @@
 	r.Dropped()
 }
 
-// A node whose machine was suspended sends nothing to the new version after it
-// wakes: others may have taken it back meanwhile.
-func TestPermitEndsWhileTheMachineIsSuspended(t *testing.T) {
+// Checks that permits expire during machine suspend: the version may have been
+// rolled back in the meantime.
+func TestPermitExpiresDuringSuspend(t *testing.T) {
 	a := NewAgent(1)
 	a.SetView(running(1))
 	a.SetPermits(permit(1), uptime.Now())
--- a/rollout/evidence.go
+++ b/rollout/evidence.go
@@ -5,39 +5,39 @@
 	"time"
 )
 
-// Key says what answers are counted together.
+// Key identifies a group of answers that are counted together.
 type Key struct {
 	Service  string
 	Route    string
 	Version  string
 	DataHall string // of the target
-	Target   string // the target itself, where it has the new version
+	Target   string // target ID; empty for the old version
 }
 
-// Outcome says how a target answered.
+// Outcome classifies a target's answer.
 type Outcome int
 
-// The outcomes.
+// The answer outcomes.
 const (
-	Served Outcome = iota // an answer that is no failure of the target
-	Failed                // an answer that tells of a failure
-	Lost                  // no answer, or one that broke off, was garbled or fell silent
+	Served Outcome = iota // an answer that is not a target failure
+	Failed                // an answer that reports a failure
+	Lost                  // no answer, or one that was truncated, malformed or stalled
 )
 
-// Counts sum what a node saw of a key's targets.
+// Counts are a node's cumulative answer statistics for one key.
 type Counts struct {
-	Sent   uint32    `msgpack:"s,omitempty"` // requests that went there
+	Sent   uint32    `msgpack:"s,omitempty"` // requests sent
 	Served uint32    `msgpack:"a,omitempty"`
 	Failed uint32    `msgpack:"f,omitempty"`
 	Lost   uint32    `msgpack:"l,omitempty"`
-	First  Histogram `msgpack:"t,omitempty"` // time to the first event, or to the whole answer
-	Pace   Histogram `msgpack:"p,omitempty"` // mean time between a stream's events
+	First  Histogram `msgpack:"t,omitempty"` // time to first event, or to the complete answer
+	Pace   Histogram `msgpack:"p,omitempty"` // mean interval between the events of a stream
 }
 
-// Answered is how many requests ended in one way or another.
+// Answered returns the number of finished requests.
 func (c *Counts) Answered() uint32 { return c.Served + c.Failed + c.Lost }
 
-func (c *Counts) note(o Outcome) {
+func (c *Counts) add(o Outcome) {
 	switch o {
 	case Served:
 		c.Served++
@@ -48,7 +48,7 @@
 	}
 }
 
-// since returns what came between two sums of one node.
+// since returns the difference to an earlier snapshot of the same node.
 func (c *Counts) since(before Counts) Counts {
 	return Counts{
 		Sent: c.Sent - before.Sent, Served: c.Served - before.Served, Failed: c.Failed - before.Failed, Lost: c.Lost - before.Lost,
@@ -56,17 +56,17 @@
 	}
 }
 
-// Add adds other counts.
-func (c *Counts) Add(more Counts) {
-	c.Sent += more.Sent
-	c.Served += more.Served
-	c.Failed += more.Failed
-	c.Lost += more.Lost
-	c.First = c.First.plus(more.First)
-	c.Pace = c.Pace.plus(more.Pace)
+// Add adds more to c.
+func (c *Counts) Add(other Counts) {
+	c.Sent += other.Sent
+	c.Served += other.Served
+	c.Failed += other.Failed
+	c.Lost += other.Lost
+	c.First = c.First.sum(other.First)
+	c.Pace = c.Pace.sum(other.Pace)
 }
 
-// Cell is one key's counts.
+// Cell is the counts of one key.
 type Cell struct {
 	//lint:ignore U1000 msgpack reads it: the fields go without their names
 	_msgpack struct{} `msgpack:",as_array"`
@@ -74,18 +74,19 @@
 	Counts   Counts
 }
 
-// Histogram counts times in buckets. Each bucket is √2 times as wide as the
-// one before it, which tells twice as slow from as fast by two buckets. Empty
-// buckets at the end are left out.
+// Histogram counts durations in exponential buckets that widen by a factor of
+// √2, so a doubling spans two buckets. Empty buckets at the end are omitted.
 type Histogram []uint32
 
-// mostBuckets bounds a histogram: the last bucket begins at half a minute.
-const mostBuckets = 32
+// maxBuckets limits the length of a histogram; the last bucket starts at about
+// 30 s.
+const maxBuckets = 32
 
-// bucketsPerDoubling is how many buckets a doubling of the time takes.
+// bucketsPerDoubling is the number of buckets that a doubling of the duration
+// spans.
 const bucketsPerDoubling = 2
 
-// bucketStart is the shortest time of a bucket.
+// bucketStart returns the lower bound of a bucket.
 func bucketStart(b int) time.Duration {
 	if b == 0 {
 		return 0
@@ -98,10 +99,10 @@
 	if ms < 1 {
 		return 0
 	}
-	return min(1+int(bucketsPerDoubling*math.Log2(ms)), mostBuckets-1)
+	return min(1+int(bucketsPerDoubling*math.Log2(ms)), maxBuckets-1)
 }
 
-// Note returns the histogram with one more time in it.
+// Note returns the histogram with d added.
 func (h Histogram) Note(d time.Duration) Histogram {
 	b := bucketOf(d)
 	for len(h) <= b {
@@ -118,10 +119,10 @@
 	return 0
 }
 
-func (h Histogram) plus(more Histogram) Histogram {
-	sum := make(Histogram, max(len(h), len(more)))
+func (h Histogram) sum(other Histogram) Histogram {
+	sum := make(Histogram, max(len(h), len(other)))
 	for b := range sum {
-		sum[b] = h.at(b) + more.at(b)
+		sum[b] = h.at(b) + other.at(b)
 	}
 	return sum
 }
@@ -134,7 +135,7 @@
 	return rest
 }
 
-// total is how many times are counted.
+// total returns the number of samples.
 func (h Histogram) total() (n float64) {
 	for _, c := range h {
 		n += float64(c)
@@ -142,16 +143,16 @@
 	return n
 }
 
-// from is how many times lie in a bucket or above it.
-func (h Histogram) from(bucket int) (n float64) {
+// atLeast returns the number of samples in a bucket and all above it.
+func (h Histogram) atLeast(bucket int) (n float64) {
 	for b := bucket; b < len(h); b++ {
 		n += float64(h[b])
 	}
 	return n
 }
 
-// slowFrom returns the first bucket of times that count as slow beside these:
-// twice their median at least, and beyond all but a small share of them.
+// slowFrom returns the first bucket that counts as slow: at least twice the
+// median, and with at most slowShare of the samples at or above it.
 func (h Histogram) slowFrom() int {
 	total := h.total()
 	below, median := 0.0, 0
@@ -163,18 +164,18 @@
 		}
 	}
 	slow := median + bucketsPerDoubling
-	for slow < mostBuckets && h.from(slow) > slowShare*total {
+	for slow < maxBuckets && h.atLeast(slow) > slowShare*total {
 		slow++
 	}
 	return slow
 }
 
-// slowShare is the part of sound answers that may count as slow.
+// slowShare is the highest share of baseline samples that may count as slow.
 const slowShare = 0.05
 
 func (c *Counts) clone() Counts {
-	copied := *c
-	copied.First = append(Histogram(nil), c.First...)
-	copied.Pace = append(Histogram(nil), c.Pace...)
-	return copied
+	clone := *c
+	clone.First = append(Histogram(nil), c.First...)
+	clone.Pace = append(Histogram(nil), c.Pace...)
+	return clone
 }
--- a/rollout/experiment/answer.go
+++ b/rollout/experiment/answer.go
@@ -8,43 +8,44 @@
 	"github.com/walnutramp/walnutramp/rollout"
 )
 
-// target is one target of the model.
+// target is a simulated target.
 type target struct {
-	id    string
-	hall  int
-	new   bool
-	grey  bool
-	under int // requests under way
+	id             string
+	hall           int
+	new            bool
+	partialFailure bool
+	inFlight       int // requests in flight
 }
 
-// answer is what comes back to a node next of one request.
+// answer is the next event of a request at a node.
 type answer struct {
-	at      time.Duration
-	stage   stage
-	node    int
-	key     rollout.Key
-	target  *target
-	request *rollout.Request
-	outcome rollout.Outcome
-	unknown bool          // the node knows that the outcome says nothing of the version
-	run     time.Duration // of a stream, from its first event on
-	pace    time.Duration // between a stream's events
-	bad     bool          // the version's own fault
-	route   int
-	tries   int
+	at       time.Duration
+	stage    stage
+	node     int
+	key      rollout.Key
+	target   *target
+	request  *rollout.Request
+	outcome  rollout.Outcome
+	unknown  bool          // the node knows that the outcome is unrelated to the version
+	run      time.Duration // duration of a stream after its first event
+	interval time.Duration // interval between a stream's events
+	bad      bool          // caused by the version's fault
+	route    int
+	tries    int
 }
 
-// stage is a part of an answer.
+// stage is a stage of an answer.
 type stage int
 
 const (
-	stageFirst stage = iota // the first event, or the whole answer
-	stagePaced              // enough events to tell the pace
+	stageFirst    stage = iota // first event, or the complete answer
+	stageInterval              // enough events to measure their interval
 	stageEnd
 )
 
-// paceEvents is how many events tell a stream's pace.
-const paceEvents = 6
+// intervalEvents is the number of events from which the mean event interval is
+// measured.
+const intervalEvents = 6
 
 type answers []answer
 
@@ -58,50 +59,49 @@
 	return last
 }
 
-// take has a node see a part of an answer.
-func (p *play) take(a answer) {
+// handle delivers the next event of an answer to its node.
+func (p *simulation) handle(a answer) {
 	switch a.stage {
 	case stageFirst:
 		a.request.First()
 		if a.run > 0 {
-			a.stage, a.at = stagePaced, a.at+min(paceEvents*a.pace, a.run)
-			heap.Push(&p.under, a)
+			a.stage, a.at = stageInterval, a.at+min(intervalEvents*a.interval, a.run)
+			heap.Push(&p.inFlight, a)
 			return
 		}
-	case stagePaced:
-		a.request.Pace(a.pace)
-		a.stage, a.at = stageEnd, a.at+max(0, a.run-paceEvents*a.pace)
-		heap.Push(&p.under, a)
+	case stageInterval:
+		a.request.Pace(a.interval)
+		a.stage, a.at = stageEnd, a.at+max(0, a.run-intervalEvents*a.interval)
+		heap.Push(&p.inFlight, a)
 		return
 	}
 	p.end(a)
 }
 
-// end has a node see how a request ended; what failed at the new version is
-// tried again at the old one.
-func (p *play) end(a answer) {
-	a.target.under--
+// end records the outcome of a request, and retries failed requests.
+func (p *simulation) end(a answer) {
+	a.target.inFlight--
 	if a.unknown {
 		a.request.Dropped()
 	} else {
 		a.request.Ended(a.outcome)
 	}
 	if a.bad {
-		p.out.Hurt++
+		p.out.BadAnswers++
 	}
 	if a.key.Version == newVersion && (a.bad || a.outcome != rollout.Served) {
-		p.badSeen++
-		if p.badSeen == fiftieth {
-			p.out.Fiftieth = p.now
+		p.badAnswers++
+		if p.badAnswers == stopWithinAfter {
+			p.out.FiftiethBad = p.now
 		}
 	}
-	if a.outcome != rollout.Served && a.tries < retriesOf {
+	if a.outcome != rollout.Served && a.tries < maxRetries {
 		p.send(a.node, a.route, a.tries+1)
 	}
 }
 
-// isBad reports whether the version's fault shows in this answer's target now.
-func (p *play) isBad(at *target, route string) bool {
+// isBad reports whether the version's fault affects a request at a target now.
+func (p *simulation) isBad(at *target, route string) bool {
 	if !at.new || !p.version.Bad() {
 		return false
 	}
@@ -109,55 +109,56 @@
 	case Later:
 		return p.now >= p.badFrom
 	case OneRoute:
-		return route == p.badWay
+		return route == p.badRoute
 	case Loaded:
-		return float64(at.under) >= p.loaded
+		return float64(at.inFlight) >= p.badLoad
 	}
 	return true
 }
 
-// answer works out what comes back.
-func (p *play) answer(node, routeNumber, tries int, at *target, key rollout.Key) answer {
+// answer simulates the answer to a request.
+func (p *simulation) answer(node, routeNumber, tries int, at *target, key rollout.Key) answer {
 	route := p.site.Routes[routeNumber]
 	a := answer{node: node, key: key, route: routeNumber, tries: tries, outcome: rollout.Served}
-	work := time.Duration(float64(route.Work) * math.Exp(route.Spread*p.rng.NormFloat64()))
-	pace := time.Duration(float64(paceOf) * math.Exp(0.2*p.rng.NormFloat64()))
-	run := route.Run
+	latency := time.Duration(float64(route.Latency) * math.Exp(route.Spread*p.rng.NormFloat64()))
+	interval := time.Duration(float64(eventInterval) * math.Exp(0.2*p.rng.NormFloat64()))
+	run := route.StreamTime
 	bad := p.isBad(at, route.Name)
 	if bad && p.version.Slow > 1 {
-		work = time.Duration(p.version.Slow * float64(work))
-		pace = time.Duration(p.version.Slow * float64(pace))
+		latency = time.Duration(p.version.Slow * float64(latency))
+		interval = time.Duration(p.version.Slow * float64(interval))
 		run = time.Duration(p.version.Slow * float64(run))
 		a.bad = true
 	}
-	a.at, a.run, a.pace = p.now+work, run, pace
+	a.at, a.run, a.interval = p.now+latency, run, interval
 	switch {
 	case p.down(at, a.at+run):
 		a.stage, a.outcome, a.bad = stageEnd, rollout.Lost, false
-		a.at = p.now + time.Duration(p.rng.Float64()*float64(work+run))
-		a.unknown = p.rng.Float64() < hallKnown
+		a.at = p.now + time.Duration(p.rng.Float64()*float64(latency+run))
+		a.unknown = p.rng.Float64() < hallLossKnown
 	case bad && p.rng.Float64() < p.version.Fails:
 		a.stage, a.outcome, a.bad = stageEnd, rollout.Failed, true
 		if p.rng.IntN(2) == 0 && run > 0 {
-			a.outcome = rollout.Lost // it breaks off
+			a.outcome = rollout.Lost // the stream is truncated
 			a.at += time.Duration(p.rng.Float64() * float64(run))
 		}
-	case p.rng.Float64() < route.Fails || p.isGrey(at) && p.rng.Float64() < greyFails:
+	case p.rng.Float64() < route.ErrorRate || p.failsPartially(at) && p.rng.Float64() < partialErrorRate:
 		a.stage, a.outcome = stageEnd, rollout.Failed
 	}
 	return a
 }
 
-// isGrey reports whether a target fails some requests now.
-func (p *play) isGrey(at *target) bool {
-	return at.grey && p.now >= p.greyAt && p.now < p.greyAt+greyTime
+// failsPartially reports whether a target currently has a partial failure.
+func (p *simulation) failsPartially(at *target) bool {
+	return at.partialFailure && p.now >= p.partialFrom && p.now < p.partialFrom+partialDuration
 }
 
-// down reports whether a target's data hall crashes before an answer is whole.
-// Nodes avoid a hall that is down, but for some requests that find it out.
-func (p *play) down(at *target, until time.Duration) bool {
+// down reports whether a target's data hall crashes before an answer is
+// complete. Nodes avoid a hall that is down, except for some requests that
+// detect it.
+func (p *simulation) down(at *target, until time.Duration) bool {
 	for _, c := range p.crashes {
-		if c.hall != at.hall || until < c.from || p.now > c.from+crashTime {
+		if c.hall != at.hall || until < c.from || p.now > c.from+crashDuration {
 			continue
 		}
 		if p.now < c.from || p.rng.Float64() < 0.3 {
--- a/rollout/experiment/experiment_test.go
+++ b/rollout/experiment/experiment_test.go
@@ -8,10 +8,10 @@
 	"github.com/walnutramp/walnutramp/rollout"
 )
 
-// seeds of each measurement here; the command plays thousands.
-const testPlays = 60
+// testRuns is the number of simulated rollouts per measurement.
+const testRuns = 60
 
-func siteOf(t *testing.T, name string) Site {
+func siteByName(t *testing.T, name string) Site {
 	t.Helper()
 	for _, s := range Sites() {
 		if s.Name == name {
@@ -22,17 +22,17 @@
 	return Site{}
 }
 
-var bothTroubles = Troubles{Crashes: true, Grey: true}
+var allTroubles = Troubles{Crashes: true, Grey: true}
 
 func TestGoodVersionsComplete(t *testing.T) {
 	for name, least := range map[string]int{"lookups-65": 58, "drafts-65": 54} {
-		row := Measure(siteOf(t, name), Version{}, bothTroubles, rollout.ChangePoint, testPlays, 1)
+		row := Measure(siteByName(t, name), Version{}, allTroubles, rollout.ChangePoint, testRuns, 1)
 		require.GreaterOrEqual(t, row.Completed, least, "%s: %v", name, row.Reasons)
 		require.Zero(t, row.TooLate, name)
 	}
 }
 
-func TestBadVersionsAreTakenBackWithinTheBounds(t *testing.T) {
+func TestBadVersionsAreRolledBackWithinBounds(t *testing.T) {
 	for _, c := range []struct {
 		site    string
 		version Version
@@ -45,17 +45,17 @@
 		{"drafts-65", Version{Slow: 3, When: AtOnce}, 59},
 		{"drafts-300", Version{Slow: 3, When: OneRoute}, 57},
 	} {
-		row := Measure(siteOf(t, c.site), c.version, bothTroubles, rollout.ChangePoint, testPlays, 1)
-		require.GreaterOrEqual(t, row.TakenBack, c.least, "%s %+v: %v", c.site, c.version, row.Reasons)
+		row := Measure(siteByName(t, c.site), c.version, allTroubles, rollout.ChangePoint, testRuns, 1)
+		require.GreaterOrEqual(t, row.RolledBack, c.least, "%s %+v: %v", c.site, c.version, row.Reasons)
 		require.Zero(t, row.TooLate, "%s %+v", c.site, c.version)
 		require.Zero(t, row.Over, "%s %+v", c.site, c.version)
 	}
 }
 
-func TestMeasurementsRepeat(t *testing.T) {
+func TestMeasureIsDeterministic(t *testing.T) {
 	measure := func() string {
 		var text bytes.Buffer
-		row := Measure(siteOf(t, "lookups-12"), Version{Fails: 0.3, When: AtOnce}, bothTroubles, rollout.Threshold, 10, 7)
+		row := Measure(siteByName(t, "lookups-12"), Version{Fails: 0.3, When: AtOnce}, allTroubles, rollout.Threshold, 10, 7)
 		require.NoError(t, WriteTable(&text, []Row{row}))
 		return text.String()
 	}
--- a/rollout/experiment/play.go
+++ b/rollout/experiment/play.go
@@ -14,82 +14,82 @@
 	"github.com/walnutramp/walnutramp/rollout"
 )
 
-// Times of the model, as of the real processes.
+// Parameters of the simulation; times match those of the real processes.
 const (
-	reportEvery = 200 * time.Millisecond
-	lookEvery   = 100 * time.Millisecond
-	viewDelay   = 60 * time.Millisecond // until most nodes know a new stage
-	targetsCome = 1500 * time.Millisecond
-	crashTime   = 1200 * time.Millisecond
-	greyShare   = 0.15
-	greyFails   = 0.4
-	greyTime    = 5 * time.Second
-	tick        = 10 * time.Millisecond
-	service     = "s"
-	oldVersion  = "v1"
-	newVersion  = "v2"
-	// loadedPart is from what part on of the load of a whole roll-out a
-	// version that is bad under load is bad.
-	loadedPart  = 0.5
-	leastLoaded = 2
-	// paceOf is a stream's usual time between events.
-	paceOf = 120 * time.Millisecond
-	// retriesOf bounds the tries of one request.
-	retriesOf = 2
-	fiftieth  = 50
-	// hallKnown is the share of answers lost with a data hall of which the
-	// node knows so.
-	hallKnown = 0.8
+	reportPeriod     = 200 * time.Millisecond
+	decisionPeriod   = 100 * time.Millisecond
+	viewDelay        = 60 * time.Millisecond // until most nodes have a new view
+	targetBoot       = 1500 * time.Millisecond
+	crashDuration    = 1200 * time.Millisecond
+	partialShare     = 0.15
+	partialErrorRate = 0.4
+	partialDuration  = 5 * time.Second
+	tick             = 10 * time.Millisecond
+	service          = "s"
+	oldVersion       = "v1"
+	newVersion       = "v2"
+	// badLoadPart is the fraction of the full load from which a version that
+	// fails under load is bad.
+	badLoadPart = 0.5
+	minBadLoad  = 2
+	// eventInterval is the median time between the events of a stream.
+	eventInterval = 120 * time.Millisecond
+	// maxRetries limits the retries of a request.
+	maxRetries      = 2
+	stopWithinAfter = 50
+	// hallLossKnown is the share of answers lost in a data hall outage that the
+	// node attributes to the outage.
+	hallLossKnown = 0.8
 )
 
-// Outcome is how one roll-out went.
+// Outcome is the result of one simulated rollout.
 type Outcome struct {
-	State    rollout.State // at the deadline
-	EndedAt  time.Duration // since the order
-	Reason   string
-	Exposed  float64 // requests that the new version got before the deadline
-	Over     float64 // by how many these were above the bound, at the worst moment
-	LastSend time.Duration
-	Fiftieth time.Duration // when the new version's fiftieth bad answer came; 0 for never
-	Hurt     int           // bad answers of the new version that the old one would not have given
+	State       rollout.State // state at the deadline
+	EndedAt     time.Duration // since the order
+	Reason      string
+	Exposed     float64 // requests to the new version before the deadline
+	Over        float64 // largest excess of Exposed over the bound at any time
+	LastSend    time.Duration
+	FiftiethBad time.Duration // time of the new version's 50th bad answer; 0 if there was none
+	BadAnswers  int           // bad answers caused by the new version
 }
 
-// TooLate reports whether the new version got requests too long after its
-// fiftieth bad answer.
+// TooLate reports whether the new version got requests later than StopWithin
+// after its 50th bad answer.
 func (o *Outcome) TooLate(b rollout.Bounds) bool {
-	return o.Fiftieth > 0 && o.LastSend > o.Fiftieth+b.StopWithin
+	return o.FiftiethBad > 0 && o.LastSend > o.FiftiethBad+b.StopWithin
 }
 
-// play is one roll-out under way.
-type play struct {
-	site    Site
-	version Version
-	rng     *rand.Rand
-	now     time.Duration
-	begin   time.Time
-	agents  []*rollout.Agent
-	old     []*target
-	new     []*target
-	under   answers
-	crashes []crash
-	badFrom time.Duration // for Later
-	badWay  string        // route, for OneRoute
-	loaded  float64       // requests under way at a target, for Loaded
-	greyAt  time.Duration // when grey targets begin to fail
+// simulation is the state of one simulated rollout.
+type simulation struct {
+	site        Site
+	version     Version
+	rng         *rand.Rand
+	now         time.Duration
+	begin       time.Time
+	agents      []*rollout.Agent
+	old         []*target
+	new         []*target
+	inFlight    answers
+	crashes     []crash
+	badFrom     time.Duration
+	badRoute    string        // affected route, for OneRoute
+	badLoad     float64       // requests in flight at a target from which it is bad, for Loaded
+	partialFrom time.Duration // start of the partial failures
 
-	tally   *rollout.Tally
-	judge   *rollout.Judge
-	record  rollout.Record
-	step    rollout.Step
-	shifted time.Duration
-	views   []pendingView
-	focused []*target // in the order of the newest round
-	round   uint64
-	rev     uint64
+	tally      *rollout.Tally
+	judge      *rollout.Judge
+	record     rollout.Record
+	step       rollout.Step
+	shiftedAt  time.Duration
+	views      []pendingView
+	focused    []*target // new targets, sorted for the current focus round
+	focusRound uint64
+	revision   uint64
 
-	all     float64
-	badSeen int
-	out     Outcome
+	requests   float64
+	badAnswers int
+	out        Outcome
 }
 
 type crash struct {
@@ -102,21 +102,22 @@
 	view rollout.View
 }
 
-// Play plays one roll-out of a version on a site.
-func Play(site Site, v Version, troubles Troubles, policy rollout.Policy, seed uint64) Outcome {
-	p := newPlay(site, v, troubles, policy, seed)
+// Simulate simulates one rollout of a version on a site. The same seed gives the
+// same outcome.
+func Simulate(site Site, v Version, troubles Troubles, policy rollout.Policy, seed uint64) Outcome {
+	p := newSimulation(site, v, troubles, policy, seed)
 	for p.now = 0; p.now < site.Duration; p.now += tick {
 		p.deliver()
-		p.look()
+		p.decide()
 		p.report()
-		p.arrive()
+		p.generate()
 	}
 	p.out.State = p.record.State
 	return p.out
 }
 
-func newPlay(site Site, v Version, troubles Troubles, policy rollout.Policy, seed uint64) *play {
-	p := &play{site: site, version: v, rng: rand.New(rand.NewPCG(seed, 31)), begin: time.Unix(0, 0), tally: rollout.NewTally(),
+func newSimulation(site Site, v Version, troubles Troubles, policy rollout.Policy, seed uint64) *simulation {
+	p := &simulation{site: site, version: v, rng: rand.New(rand.NewPCG(seed, 31)), begin: time.Unix(0, 0), tally: rollout.NewTally(),
 		judge: rollout.NewJudge(policy, site.Duration)}
 	p.record = rollout.Record{Service: service, InForce: []string{oldVersion}, Number: 1, Target: newVersion, State: rollout.Running, Duration: site.Duration}
 	for i := range site.Nodes {
@@ -127,7 +128,7 @@
 		p.new = append(p.new, &target{id: fmt.Sprint("n", i), hall: i % site.Halls, new: true})
 	}
 	if troubles.Grey {
-		p.makeGrey()
+		p.addPartialFailures()
 	}
 	if troubles.Crashes {
 		for range 2 {
@@ -135,50 +136,50 @@
 		}
 	}
 	p.badFrom = time.Duration((0.25 + 0.5*p.rng.Float64()) * float64(site.Duration))
-	p.greyAt = time.Duration(p.rng.Float64() * float64(site.Duration-greyTime))
-	p.loaded = max(leastLoaded, loadedPart*site.underWay())
-	p.badWay = site.Routes[p.rng.IntN(len(site.Routes))].Name
-	p.tell()
+	p.partialFrom = time.Duration(p.rng.Float64() * float64(site.Duration-partialDuration))
+	p.badLoad = max(minBadLoad, badLoadPart*site.inFlight())
+	p.badRoute = site.Routes[p.rng.IntN(len(site.Routes))].Name
+	p.publish()
 	return p
 }
 
-// makeGrey has some of the targets of both versions fail requests.
-func (p *play) makeGrey() {
+// addPartialFailures selects targets of both versions for partial failures.
+func (p *simulation) addPartialFailures() {
 	all := slices.Concat(p.old, p.new)
-	for _, i := range p.rng.Perm(len(all))[:int(greyShare*float64(len(all)))] {
-		all[i].grey = true
+	for _, i := range p.rng.Perm(len(all))[:int(partialShare*float64(len(all)))] {
+		all[i].partialFailure = true
 	}
 }
 
-func (p *play) clock() time.Time { return p.begin.Add(p.now) }
+func (p *simulation) clock() time.Time { return p.begin.Add(p.now) }
 
-// tell has every node know the record in a while.
-func (p *play) tell() {
-	p.rev++
-	p.views = append(p.views, pendingView{at: p.now + viewDelay, view: rollout.View{Revision: p.rev, Records: []rollout.Record{p.record}}})
+// publish sends the record to all nodes after viewDelay.
+func (p *simulation) publish() {
+	p.revision++
+	p.views = append(p.views, pendingView{at: p.now + viewDelay, view: rollout.View{Revision: p.revision, Records: []rollout.Record{p.record}}})
 }
 
-// deliver hands nodes the views and answers that are due.
-func (p *play) deliver() {
+// deliver delivers the views and answers that are due.
+func (p *simulation) deliver() {
 	for len(p.views) > 0 && p.views[0].at <= p.now {
 		for _, a := range p.agents {
 			a.SetView(p.views[0].view)
 		}
 		p.views = p.views[1:]
 	}
-	for len(p.under) > 0 && p.under[0].at <= p.now {
-		p.take(heap.Pop(&p.under).(answer))
+	for len(p.inFlight) > 0 && p.inFlight[0].at <= p.now {
+		p.handle(heap.Pop(&p.inFlight).(answer))
 	}
 }
 
-// look is the leader's part.
-func (p *play) look() {
-	if p.record.State != rollout.Running || p.now%lookEvery != 0 {
+// decide runs the leader's part: it plans the next step and applies it.
+func (p *simulation) decide() {
+	if p.record.State != rollout.Running || p.now%decisionPeriod != 0 {
 		return
 	}
-	s := rollout.Situation{Record: p.record, Elapsed: p.now, ShiftedAt: p.shifted, Sums: p.tally.Sums(service), Streams: p.site.Streams,
+	s := rollout.Situation{Record: p.record, Elapsed: p.now, ShiftedAt: p.shiftedAt, Sums: p.tally.Sums(service), Streams: p.site.Streams,
 		OldPlaces: p.site.Targets, Verdict: p.judge.Verdict()}
-	if p.now >= targetsCome {
+	if p.now >= targetBoot {
 		s.NewPlaces = p.site.Targets
 	}
 	p.step = p.site.Bounds.Plan(s)
@@ -186,7 +187,7 @@
 		return
 	}
 	if p.step.Stage != p.record.Stage {
-		p.shifted = p.now
+		p.shiftedAt = p.now
 	}
 	p.record.State, p.record.Stage, p.record.Reason = p.step.State, p.step.Stage, p.step.Reason
 	if p.record.State != rollout.Running {
@@ -195,28 +196,28 @@
 	if p.record.State == rollout.Completed {
 		p.record.InForce = []string{newVersion}
 	}
-	p.tell()
+	p.publish()
 }
 
-// report has the nodes whose turn it is report, and gives them permits.
-func (p *play) report() {
+// report delivers the reports that are due and renews the nodes' permits.
+func (p *simulation) report() {
 	if p.record.State != rollout.Running {
 		return
 	}
 	late := p.judge.Late()
 	for i, a := range p.agents {
-		offset := time.Duration(i%int(reportEvery/tick)) * tick
-		if p.now%reportEvery != offset {
+		offset := time.Duration(i%int(reportPeriod/tick)) * tick
+		if p.now%reportPeriod != offset {
 			continue
 		}
-		news := p.tally.Take(strconv.Itoa(i), 1, a.Report(1))
-		p.judge.Take(p.now, newVersion, news)
+		increments := p.tally.Take(strconv.Itoa(i), 1, a.Report(1))
+		p.judge.Take(p.now, newVersion, increments)
 		a.SetPermits([]rollout.Permit{{Service: service, Number: 1, Shares: p.step.Shares, Other: p.step.Other, Focus: p.step.Focus, Late: late, For: rollout.PermitLife}}, p.clock())
 	}
 }
 
-// arrive sends the requests of one tick.
-func (p *play) arrive() {
+// generate sends the requests that generate in one tick.
+func (p *simulation) generate() {
 	for r, route := range p.site.Routes {
 		for range p.poisson(route.PerS * tick.Seconds()) {
 			p.send(p.rng.IntN(p.site.Nodes), r, 0)
@@ -224,7 +225,7 @@
 	}
 }
 
-func (p *play) poisson(mean float64) int {
+func (p *simulation) poisson(mean float64) int {
 	n, product := 0, p.rng.Float64()
 	for limit := math.Exp(-mean); product > limit; product *= p.rng.Float64() {
 		n++
@@ -232,13 +233,13 @@
 	return n
 }
 
-// send sends a request to a target, as the gateway does.
-func (p *play) send(node, routeNumber, tries int) {
+// send sends a request to a target, with the gateway's version selection.
+func (p *simulation) send(node, routeNumber, tries int) {
 	route := p.site.Routes[routeNumber]
 	agent := p.agents[node]
-	drawn := (tries == 0 || agent.Shifted(service)) && p.now >= targetsCome && agent.Draw(service, route.Name)
+	drawn := (tries == 0 || agent.Shifted(service)) && p.now >= targetBoot && agent.Draw(service, route.Name)
 	at := p.pick(agent, drawn)
-	p.all++
+	p.requests++
 	if at.new {
 		p.expose(at)
 	}
@@ -246,14 +247,14 @@
 	if at.new {
 		key.Version = newVersion
 	}
-	at.under++
+	at.inFlight++
 	a := p.answer(node, routeNumber, tries, at, key)
 	a.target = at
 	a.request = agent.Begin(key)
-	heap.Push(&p.under, a)
+	heap.Push(&p.inFlight, a)
 }
 
-func (p *play) pick(agent *rollout.Agent, drawn bool) *target {
+func (p *simulation) pick(agent *rollout.Agent, drawn bool) *target {
 	versions := agent.Versions(service, drawn)
 	if !versions.Has(newVersion) {
 		return p.old[p.rng.IntN(len(p.old))]
@@ -262,8 +263,8 @@
 	if focus.Part >= 1 || !drawn {
 		return p.new[p.rng.IntN(len(p.new))]
 	}
-	if p.focused == nil || p.round != focus.Round {
-		p.round, p.focused = focus.Round, slices.Clone(p.new)
+	if p.focused == nil || p.focusRound != focus.Round {
+		p.focusRound, p.focused = focus.Round, slices.Clone(p.new)
 		round := strconv.FormatUint(focus.Round, 10)
 		slices.SortFunc(p.focused, func(a, b *target) int {
 			return cmp.Compare(rendezvous.Weight(round, b.id), rendezvous.Weight(round, a.id))
@@ -272,10 +273,10 @@
 	return p.focused[p.rng.IntN(max(1, int(math.Ceil(focus.Part*float64(len(p.focused))))))]
 }
 
-// expose counts a request that goes to the new version.
-func (p *play) expose(at *target) {
+// expose counts a request to the new version.
+func (p *simulation) expose(at *target) {
 	p.out.Exposed++
 	p.out.LastSend = p.now
 	b := p.site.Bounds
-	p.out.Over = max(p.out.Over, p.out.Exposed-b.Share*p.all-b.Slack)
+	p.out.Over = max(p.out.Over, p.out.Exposed-b.Share*p.requests-b.Slack)
 }
--- a/rollout/experiment/plot.go
+++ b/rollout/experiment/plot.go
@@ -6,7 +6,7 @@
 	"text/template"
 )
 
-// Sizes of the plot, in pixels.
+// Dimensions of the plot, in pixels.
 const (
 	plotLeft   = 250
 	plotWidth  = 360
@@ -26,12 +26,13 @@
 
 var plotTemplate = template.Must(template.New("rollouts").Parse(`<svg xmlns="http://www.w3.org/2000/svg" width="{{.Width}}" height="{{.Height}}" font-family="sans-serif" font-size="11">
 <rect width="100%" height="100%" fill="white"/>
-<text x="8" y="18" font-weight="bold">Roll-outs that ended wrongly: good versions taken back, bad ones completed</text>
+<text x="8" y="18" font-weight="bold">Rollouts with the wrong result: good versions rolled back, bad ones completed</text>
 {{range .Bars}}<text x="8" y="{{.TextY}}">{{.Label}}</text><rect x="{{$.Left}}" y="{{.Y}}" width="{{.Width}}" height="12" fill="{{.Colour}}"/><text x="{{$.End}}" y="{{.TextY}}">{{.Share}}</text>
 {{end}}</svg>
 `))
 
-// WritePlot draws, as an SVG picture, the share of roll-outs that ended wrongly.
+// WritePlot writes an SVG bar chart of the share of rollouts with the wrong
+// result.
 func WritePlot(w io.Writer, rows []Row) error {
 	bars := make([]bar, 0, len(rows))
 	for i, r := range rows {
@@ -50,11 +51,12 @@
 	})
 }
 
-// wrong is the share of roll-outs that did not end as the version deserved.
+// wrong returns the share of rollouts with the wrong result: good versions that
+// did not complete, and bad ones that were not rolled back.
 func (r *Row) wrong() float64 {
 	right := r.Completed
 	if r.Version.Bad() {
-		right = r.TakenBack
+		right = r.RolledBack
 	}
-	return float64(r.Plays-right) / float64(max(1, r.Plays))
+	return float64(r.Runs-right) / float64(max(1, r.Runs))
 }
--- a/rollout/experiment/table.go
+++ b/rollout/experiment/table.go
@@ -11,49 +11,49 @@
 	"github.com/walnutramp/walnutramp/rollout"
 )
 
-// Row is what became of many roll-outs of one kind of version.
+// Row aggregates the outcomes of many simulated rollouts of one version.
 type Row struct {
-	Site      string
-	Policy    rollout.Policy
-	Version   Version
-	Troubles  Troubles
-	Plays     int
-	Completed int
-	TakenBack int
-	Open      int // at the deadline
-	Over      int // beyond the bound on requests
-	TooLate   int // requests too long after the fiftieth bad answer
-	Exposed   float64
-	Hurt      float64
-	Ended     time.Duration // mean time to the verdict
-	Reasons   map[string]int
+	Site       string
+	Policy     rollout.Policy
+	Version    Version
+	Troubles   Troubles
+	Runs       int
+	Completed  int
+	RolledBack int
+	Open       int // still running at the deadline
+	Over       int // exceeded the bound on requests
+	TooLate    int // exceeded Bounds.StopWithin
+	Exposed    float64
+	BadAnswers float64
+	Ended      time.Duration // mean time to the end
+	Reasons    map[string]int
 }
 
-// Measure plays seeded roll-outs of a version, as many at once as there are
+// Measure simulates rollouts of a version with consecutive seeds, on all
 // processors. The same seeds give the same row.
-func Measure(site Site, v Version, troubles Troubles, policy rollout.Policy, plays int, firstSeed uint64) Row {
-	outcomes := make([]Outcome, plays)
+func Measure(site Site, v Version, troubles Troubles, policy rollout.Policy, runs int, firstSeed uint64) Row {
+	outcomes := make([]Outcome, runs)
 	var workers sync.WaitGroup
 	next := make(chan int)
 	for range runtime.GOMAXPROCS(0) {
 		workers.Go(func() {
 			for i := range next {
-				outcomes[i] = Play(site, v, troubles, policy, firstSeed+uint64(i))
+				outcomes[i] = Simulate(site, v, troubles, policy, firstSeed+uint64(i))
 			}
 		})
 	}
-	for i := range plays {
+	for i := range runs {
 		next <- i
 	}
 	close(next)
 	workers.Wait()
-	row := Row{Site: site.Name, Policy: policy, Version: v, Troubles: troubles, Plays: plays, Reasons: map[string]int{}}
+	row := Row{Site: site.Name, Policy: policy, Version: v, Troubles: troubles, Runs: runs, Reasons: map[string]int{}}
 	for _, o := range outcomes {
 		row.add(o, site.Bounds)
 	}
-	row.Exposed /= float64(plays)
-	row.Hurt /= float64(plays)
-	row.Ended /= time.Duration(plays)
+	row.Exposed /= float64(runs)
+	row.BadAnswers /= float64(runs)
+	row.Ended /= time.Duration(runs)
 	return row
 }
 
@@ -62,7 +62,7 @@
 	case rollout.Completed:
 		r.Completed++
 	case rollout.RolledBack:
-		r.TakenBack++
+		r.RolledBack++
 	default:
 		r.Open++
 	}
@@ -73,7 +73,7 @@
 		r.TooLate++
 	}
 	r.Exposed += o.Exposed
-	r.Hurt += float64(o.Hurt)
+	r.BadAnswers += float64(o.BadAnswers)
 	r.Ended += o.EndedAt
 	r.Reasons[o.Reason]++
 }
@@ -81,10 +81,10 @@
 // WriteTable writes rows as an aligned table.
 func WriteTable(w io.Writer, rows []Row) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(t, "site\tpolicy\tfails\tslow\twhen\tplays\tcompleted\ttaken back\topen\tover bound\ttoo late\texposed\thurt\tended s")
+	fmt.Fprintln(t, "site\tpolicy\tfails\tslow\twhen\truns\tcompleted\trolled back\topen\tover bound\ttoo late\texposed\tbad answers\tended s")
 	for _, r := range rows {
 		fmt.Fprintf(t, "%s\t%s\t%.2f\t%.1f\t%s\t%d\t%.1f%%\t%.1f%%\t%d\t%d\t%d\t%.0f\t%.1f\t%.1f\n", r.Site, r.Policy, r.Version.Fails, r.Version.Slow,
-			r.Version.When, r.Plays, percent(r.Completed, r.Plays), percent(r.TakenBack, r.Plays), r.Open, r.Over, r.TooLate, r.Exposed, r.Hurt, r.Ended.Seconds())
+			r.Version.When, r.Runs, percent(r.Completed, r.Runs), percent(r.RolledBack, r.Runs), r.Open, r.Over, r.TooLate, r.Exposed, r.BadAnswers, r.Ended.Seconds())
 	}
 	return t.Flush()
 }
--- a/rollout/judge.go
+++ b/rollout/judge.go
@@ -8,174 +8,178 @@
 	"time"
 )
 
-// Policy says how the new version's answers are weighed against the old one's.
+// Policy is the statistical test that compares the new version's answers with
+// the old version's.
 type Policy string
 
-// The policies. All but ChangePoint are there to be compared with.
+// The policies. ChangePoint is the default; the others are baselines for
+// comparison.
 const (
-	// ChangePoint weighs the likelihood of the answers since every earlier
-	// moment, so that a version that turns bad late is not saved by its past.
+	// ChangePoint is a CUSUM-style test: it takes the highest log-likelihood
+	// ratio over all start times, so that good answers early in the rollout do
+	// not mask a later regression.
 	ChangePoint Policy = "change-point"
-	// Likelihood weighs all answers since the order.
+	// Likelihood is a log-likelihood ratio test over all answers since the
+	// start.
 	Likelihood Policy = "likelihood"
-	// Threshold compares the shares of bad answers.
+	// Threshold compares the error rates with a fixed margin.
 	Threshold Policy = "threshold"
 )
 
 // Policies lists every policy.
 func Policies() []Policy { return []Policy{ChangePoint, Likelihood, Threshold} }
 
-// Bounds of a verdict.
+// Thresholds of the verdict.
 const (
-	// badLikelihood is the natural logarithm of how much likelier answers must
-	// be from a bad version than from a good one for it to be taken back. With
-	// both limits as they are, 2,000 of 2,000 roll-outs of versions that fail 3
-	// in 10 at once were taken back in the model of lookups at 65 nodes
-	// (package experiment), and 99.2% of 2,000 good ones completed.
-	badLikelihood = 7.5
-	// doubtLikelihood is the same at the moment when all requests would go to
-	// the new version: from then on there is no way back for long.
-	doubtLikelihood = 4.0
-	// mostBins bounds the parts into which a roll-out's time is cut, and
-	// shortestBin their length.
-	mostBins    = 64
-	shortestBin = 250 * time.Millisecond
-	// lossNear is within how many bins the old version's lost answers explain
-	// the new one's: a data hall that crashes takes both along, and the word
-	// of it comes a little sooner or later.
-	lossNear = 6
-	// hallLoss is from which share of the old version's answers lost on a
-	// data hall's lost answers say nothing of the new version.
-	hallLoss = 0.1
-	// excessDoubt is by how many standard deviations the bad answers that a
-	// good version might have given are overestimated.
-	excessDoubt = 2.0
+	// rollbackLLR is the log-likelihood ratio (natural logarithm), of a bad
+	// version against a good one, above which a version is rolled back.
+	rollbackLLR = 7.5
+	// promoteLLR is the log-likelihood ratio above which a version is not
+	// promoted to all requests. It is lower because promotion is hard to undo.
+	promoteLLR = 4.0
+	// maxBins limits the number of time bins of a rollout, and minBinWidth is
+	// their smallest width.
+	maxBins     = 64
+	minBinWidth = 250 * time.Millisecond
+	// hallLossWindow is the number of bins before and after a bin in which
+	// losses of the old version in a data hall explain those of the new one,
+	// since reports of an outage arrive at different times.
+	hallLossWindow = 6
+	// hallLossShare is the share of lost answers of the old version above which
+	// a data hall is taken to have an outage, and its lost answers are ignored.
+	hallLossShare = 0.1
+	// excessSigmas is the number of standard deviations subtracted from the
+	// excess of bad answers, to allow for chance.
+	excessSigmas = 2.0
 )
 
-// Verdict is what the answers say of a new version.
+// Verdict is the assessment of a new version.
 type Verdict struct {
-	// Score is the logarithm of how much likelier the answers are from a bad
-	// version than from a good one, by the evidence that speaks most for it.
+	// Score is the test statistic of the metric and route with the strongest
+	// evidence: the log-likelihood ratio of a bad version against a good one,
+	// or under Threshold the excess over the margin.
 	Score    float64
-	Evidence string  // what that is
-	Bad      bool    // it is to be taken back
-	Doubtful bool    // it is not to get all requests
-	Answers  float64 // of the new version
-	Excess   float64 // bad answers of it, at least, beyond what the old version would give
+	Evidence string  // metric and route of Score
+	Bad      bool    // the version must be rolled back
+	Doubtful bool    // the version must not be promoted
+	Answers  float64 // number of answers of the new version
+	Excess   float64 // lower bound of the bad answers beyond the old version's rate
 }
 
-// kind is what may be bad of an answer.
-type kind int
+// metric is a property of answers that may regress.
+type metric int
 
 const (
-	kindFailed kind = iota // no answer, or one that tells of a failure
-	kindFirst              // late to begin
-	kindPace               // slow from event to event
-	kinds
+	metricFailed        metric = iota // share of failed or lost answers
+	metricFirstEvent                  // time to first event
+	metricEventInterval               // interval between events
+	numMetrics
 )
 
-var kindNames = [kinds]string{"failed", "slow to begin", "slow"}
+var metricNames = [numMetrics]string{"failed", "slow to begin", "slow"}
 
-// Judge weighs the new version's answers. It is not safe for concurrent use.
+// Judge compares the answers of the new and the old version. It is not safe for
+// concurrent use.
 type Judge struct {
-	policy Policy
-	bin    time.Duration
-	newest int
-	routes map[string]*routeEvidence
+	policy   Policy
+	binWidth time.Duration
+	lastBin  int
+	routes   map[string]*routeEvidence
 }
 
-// routeEvidence is what is known of one route.
+// routeEvidence is the statistics of one route.
 type routeEvidence struct {
-	old   Counts                       // of the old version
-	halls map[string]*[mostBins]Counts // of the old version, by data hall and bin
-	units map[unit][]binned            // of the new version
+	baseline       Counts                      // old version, in total
+	baselineByHall map[string]*[maxBins]Counts // old version, by data hall and bin
+	canary         map[targetKey][]binCounts   // new version, by target
 }
 
-// unit is a target of the new version.
-type unit struct {
+// targetKey identifies a target of the new version.
+type targetKey struct {
 	hall   string
 	target string
 }
 
-// binned are counts of one bin.
-type binned struct {
+// binCounts is the counts of one time bin.
+type binCounts struct {
 	bin    int
 	counts Counts
 }
 
-// NewJudge returns a judge of a roll-out that takes so long.
+// NewJudge returns a judge for a rollout of the given duration.
 func NewJudge(policy Policy, duration time.Duration) *Judge {
-	return &Judge{policy: policy, bin: max(shortestBin, duration/(mostBins-1)), routes: map[string]*routeEvidence{}}
+	return &Judge{policy: policy, binWidth: max(minBinWidth, duration/(maxBins-1)), routes: map[string]*routeEvidence{}}
 }
 
-// Take takes what nodes saw since it was last called.
+// Take adds the counts that nodes have reported since the previous call. Target
+// is the new version.
 func (j *Judge) Take(elapsed time.Duration, target string, cells []Cell) {
-	bin := min(max(0, int(elapsed/j.bin)), mostBins-1)
-	j.newest = max(j.newest, bin)
+	bin := min(max(0, int(elapsed/j.binWidth)), maxBins-1)
+	j.lastBin = max(j.lastBin, bin)
 	for _, cell := range cells {
 		route := j.routes[cell.Key.Route]
 		if route == nil {
-			route = &routeEvidence{halls: map[string]*[mostBins]Counts{}, units: map[unit][]binned{}}
+			route = &routeEvidence{baselineByHall: map[string]*[maxBins]Counts{}, canary: map[targetKey][]binCounts{}}
 			j.routes[cell.Key.Route] = route
 		}
 		if cell.Key.Version == target {
-			route.takeNew(bin, cell)
+			route.addCanary(bin, cell)
 		} else {
-			route.takeOld(bin, cell)
+			route.addBaseline(bin, cell)
 		}
 	}
 }
 
-func (r *routeEvidence) takeOld(bin int, cell Cell) {
-	hall := r.halls[cell.Key.DataHall]
+func (r *routeEvidence) addBaseline(bin int, cell Cell) {
+	hall := r.baselineByHall[cell.Key.DataHall]
 	if hall == nil {
-		hall = &[mostBins]Counts{}
-		r.halls[cell.Key.DataHall] = hall
+		hall = &[maxBins]Counts{}
+		r.baselineByHall[cell.Key.DataHall] = hall
 	}
 	hall[bin].Add(cell.Counts)
-	r.old.Add(cell.Counts)
+	r.baseline.Add(cell.Counts)
 }
 
-func (r *routeEvidence) takeNew(bin int, cell Cell) {
-	u := unit{hall: cell.Key.DataHall, target: cell.Key.Target}
-	bins := r.units[u]
+func (r *routeEvidence) addCanary(bin int, cell Cell) {
+	u := targetKey{hall: cell.Key.DataHall, target: cell.Key.Target}
+	bins := r.canary[u]
 	if n := len(bins); n > 0 && bins[n-1].bin == bin {
 		bins[n-1].counts.Add(cell.Counts)
 		return
 	}
-	r.units[u] = append(bins, binned{bin: bin, counts: cell.Counts})
+	r.canary[u] = append(bins, binCounts{bin: bin, counts: cell.Counts})
 }
 
-// samples returns a kind's samples of the new version, by target.
-func (r *routeEvidence) samples(k kind) map[unit][]sample {
+// samples returns the samples of a metric for the new version, by target.
+func (r *routeEvidence) samples(k metric) map[targetKey][]sample {
 	var slow int
 	var share float64
 	switch k {
-	case kindFailed:
-		share = base(float64(r.old.Failed), float64(r.old.Answered()))
-	case kindFirst:
-		slow = r.old.First.slowFrom()
-		share = slowBase(r.old.First, slow)
-	case kindPace:
-		slow = r.old.Pace.slowFrom()
-		share = slowBase(r.old.Pace, slow)
+	case metricFailed:
+		share = baselineErrorShare(float64(r.baseline.Failed), float64(r.baseline.Answered()))
+	case metricFirstEvent:
+		slow = r.baseline.First.slowFrom()
+		share = baselineSlowShare(r.baseline.First, slow)
+	case metricEventInterval:
+		slow = r.baseline.Pace.slowFrom()
+		share = baselineSlowShare(r.baseline.Pace, slow)
 	}
-	samples := map[unit][]sample{}
-	for u, bins := range r.units {
+	samples := map[targetKey][]sample{}
+	for u, bins := range r.canary {
 		for _, b := range bins {
-			s := sample{bin: b.bin, base: share}
+			s := sample{bin: b.bin, baseline: share}
 			switch k {
-			case kindFailed:
+			case metricFailed:
 				s.n, s.bad = float64(b.counts.Answered()), float64(b.counts.Failed+b.counts.Lost)
 				loss := r.lossShare(u.hall, b.bin)
-				if loss > hallLoss {
+				if loss > hallLossShare {
 					s.n, s.bad, loss = s.n-float64(b.counts.Lost), float64(b.counts.Failed), 0
 				}
-				s.base = 1 - (1-share)*(1-loss)
-			case kindFirst:
-				s.n, s.bad = b.counts.First.total(), b.counts.First.from(slow)
-			case kindPace:
-				s.n, s.bad = b.counts.Pace.total(), b.counts.Pace.from(slow)
+				s.baseline = 1 - (1-share)*(1-loss)
+			case metricFirstEvent:
+				s.n, s.bad = b.counts.First.total(), b.counts.First.atLeast(slow)
+			case metricEventInterval:
+				s.n, s.bad = b.counts.Pace.total(), b.counts.Pace.atLeast(slow)
 			}
 			if s.n > 0 {
 				samples[u] = append(samples[u], s)
@@ -185,100 +189,100 @@
 	return samples
 }
 
-// lossShare returns the old version's share of lost answers in a data hall at
-// about the time of a bin: the highest of the bins around it.
+// lossShare returns the highest share of answers that the old version lost in a
+// data hall, in any bin within hallLossWindow of the given one.
 func (r *routeEvidence) lossShare(hall string, bin int) float64 {
-	old := r.halls[hall]
-	if old == nil {
+	bins := r.baselineByHall[hall]
+	if bins == nil {
 		return 0
 	}
 	highest := 0.0
-	for b := max(0, bin-lossNear); b <= min(mostBins-1, bin+lossNear); b++ {
-		highest = max(highest, float64(old[b].Lost)/(float64(old[b].Answered())+1))
+	for b := max(0, bin-hallLossWindow); b <= min(maxBins-1, bin+hallLossWindow); b++ {
+		highest = max(highest, float64(bins[b].Lost)/(float64(bins[b].Answered())+1))
 	}
 	return highest
 }
 
-// Verdict weighs all that was taken.
+// Verdict assesses all counts taken so far.
 func (j *Judge) Verdict() Verdict {
 	v := Verdict{Score: math.Inf(-1)}
-	for k := range kinds {
-		site := map[unit][]sample{} // over all routes
+	for k := range numMetrics {
+		all := map[targetKey][]sample{} // samples of all routes
 		for _, name := range slices.Sorted(maps.Keys(j.routes)) {
-			own := j.routes[name].samples(k)
+			byTarget := j.routes[name].samples(k)
 			if len(j.routes) > 1 {
-				v.weigh(fmt.Sprintf("answers %s on route %s", kindNames[k], name), j.score(own))
+				v.keepWorst(fmt.Sprintf("answers %s on route %s", metricNames[k], name), j.score(byTarget))
 			}
-			for u, samples := range own {
-				site[u] = append(site[u], samples...)
+			for u, samples := range byTarget {
+				all[u] = append(all[u], samples...)
 			}
 		}
-		v.weigh(fmt.Sprintf("answers %s on all routes", kindNames[k]), j.score(site))
-		v.count(k, site)
+		v.keepWorst(fmt.Sprintf("answers %s on all routes", metricNames[k]), j.score(all))
+		v.addCounts(k, all)
 	}
-	bad, doubtful := badLikelihood, doubtLikelihood
+	rollbackAt, promoteAt := rollbackLLR, promoteLLR
 	if j.policy == Threshold {
-		bad, doubtful = 0, 0
+		rollbackAt, promoteAt = 0, 0
 	}
-	v.Bad, v.Doubtful = v.Score > bad, v.Score > doubtful
+	v.Bad, v.Doubtful = v.Score > rollbackAt, v.Score > promoteAt
 	return v
 }
 
-// weigh keeps the evidence that speaks most against the version.
-func (v *Verdict) weigh(what string, score float64) {
+// keepWorst keeps the evidence with the highest score.
+func (v *Verdict) keepWorst(evidence string, score float64) {
 	if score > v.Score {
-		v.Score, v.Evidence = score, what
+		v.Score, v.Evidence = score, evidence
 	}
 }
 
-// count sums the answers and the bad ones, without the worst target's.
-func (v *Verdict) count(k kind, units map[unit][]sample) {
-	n, excess, expected, worst := 0.0, 0.0, 0.0, 0.0
-	for _, samples := range units {
-		own := 0.0
+// addCounts updates the number of answers and the excess of bad ones, leaving out
+// the worst target if there are several.
+func (v *Verdict) addCounts(k metric, byTarget map[targetKey][]sample) {
+	n, excess, expected, worstTarget := 0.0, 0.0, 0.0, 0.0
+	for _, samples := range byTarget {
+		ofTarget := 0.0
 		for _, s := range samples {
 			n += s.n
-			expected += s.n * s.base
-			own += s.bad - s.n*s.base
+			expected += s.n * s.baseline
+			ofTarget += s.bad - s.n*s.baseline
 		}
-		excess += own
-		worst = max(worst, own)
+		excess += ofTarget
+		worstTarget = max(worstTarget, ofTarget)
 	}
-	if len(units) > 1 {
-		excess -= worst
+	if len(byTarget) > 1 {
+		excess -= worstTarget
 	}
-	if k == kindFailed {
+	if k == metricFailed {
 		v.Answers = n
 	}
-	v.Excess = max(v.Excess, excess-excessDoubt*math.Sqrt(expected))
+	v.Excess = max(v.Excess, excess-excessSigmas*math.Sqrt(expected))
 }
 
-// score returns how much speaks against the version, by the policy. What the
-// target that speaks most against it says is left out where there are others: a
-// fault of one target is not the version's.
-func (j *Judge) score(units map[unit][]sample) float64 {
+// score returns the test statistic of the policy. The worst of several targets
+// is discounted, because a fault of one target is not a fault of the version.
+func (j *Judge) score(byTarget map[targetKey][]sample) float64 {
 	if j.policy == Threshold {
-		return thresholdScore(units)
+		return thresholdScore(byTarget)
 	}
 	best := math.Inf(-1)
-	for _, by := range worse {
-		sums := likelihoods(units, by, j.newest)
+	for _, effect := range effectSizes {
+		ratios := suffixRatios(byTarget, effect, j.lastBin)
 		if j.policy == Likelihood {
-			best = max(best, sums[0])
+			best = max(best, ratios[0])
 			continue
 		}
-		best = max(best, slices.Max(sums))
+		best = max(best, slices.Max(ratios))
 	}
 	return best
 }
 
-// Late returns from which time to the first event on an answer counts as slow,
-// by route.
+// Late returns, by route, the time to first event from which an answer counts
+// as slow. Routes with too few baseline answers are omitted.
 func (j *Judge) Late() map[string]time.Duration {
 	late := map[string]time.Duration{}
 	for name, route := range j.routes {
-		if route.old.First.total() >= thresholdLeast {
-			late[name] = bucketStart(route.old.First.slowFrom())
+		if route.baseline.First.total() >= minThresholdAnswers {
+			late[name] = bucketStart(route.baseline.First.slowFrom())
 		}
 	}
 	return late
--- a/rollout/judge_test.go
+++ b/rollout/judge_test.go
@@ -11,56 +11,56 @@
 
 const testDuration = 12 * time.Second
 
-// stream is a source of answers for a judge.
-type stream struct {
+// generator feeds random answers to a judge.
+type generator struct {
 	rng   *rand.Rand
 	judge *Judge
 }
 
-func newStream(policy Policy) *stream {
-	return &stream{rng: rand.New(rand.NewPCG(3, 1)), judge: NewJudge(policy, testDuration)}
+func newGenerator(policy Policy) *generator {
+	return &generator{rng: rand.New(rand.NewPCG(3, 1)), judge: NewJudge(policy, testDuration)}
 }
 
-// answers hands the judge n answers of a version, spread over targets of four
-// halls, of which a share fails, each taking so long.
-func (s *stream) answers(at time.Duration, version string, n int, fails float64, took time.Duration) {
+// answers adds n answers of a version, spread over targets of four data halls,
+// with the given error rate and latency.
+func (s *generator) answers(at time.Duration, version string, n int, errorRate float64, latency time.Duration) {
 	for i := range n {
 		key := Key{Service: "s", Route: "r", Version: version, DataHall: fmt.Sprint("hall-", i%4), Target: fmt.Sprint("t-", i%12)}
 		c := Counts{Sent: 1}
-		if s.rng.Float64() < fails {
+		if s.rng.Float64() < errorRate {
 			c.Failed = 1
 		} else {
 			c.Served = 1
 		}
-		c.First = c.First.Note(time.Duration(float64(took) * (0.7 + 0.6*s.rng.Float64())))
+		c.First = c.First.Note(time.Duration(float64(latency) * (0.7 + 0.6*s.rng.Float64())))
 		s.judge.Take(at, "v2", []Cell{{Key: key, Counts: c}})
 	}
 }
 
-// both hands it as many answers of both versions, over a time.
-func (s *stream) both(from, to time.Duration, oldFails, newFails float64, newTook time.Duration) {
+// both adds answers of both versions in every second from from to to.
+func (s *generator) both(from, to time.Duration, oldErrorRate, newErrorRate float64, newLatency time.Duration) {
 	for at := from; at < to; at += time.Second {
-		s.answers(at, "v1", 200, oldFails, 30*time.Millisecond)
-		s.answers(at, "v2", 12, newFails, newTook)
+		s.answers(at, "v1", 200, oldErrorRate, 30*time.Millisecond)
+		s.answers(at, "v2", 12, newErrorRate, newLatency)
 	}
 }
 
-const usual = 30 * time.Millisecond
+const baselineLatency = 30 * time.Millisecond
 
-func TestGoodVersionIsNotDoubted(t *testing.T) {
+func TestGoodVersionIsNotDoubtful(t *testing.T) {
 	for _, fails := range []float64{0, 0.02, 0.14, 0.5} {
-		s := newStream(ChangePoint)
-		s.both(0, 10*time.Second, fails, fails, usual)
+		s := newGenerator(ChangePoint)
+		s.both(0, 10*time.Second, fails, fails, baselineLatency)
 		v := s.judge.Verdict()
 		require.False(t, v.Doubtful, "%v: %+v", fails, v)
 		require.EqualValues(t, 120, v.Answers)
 	}
 }
 
-func TestVersionThatFailsIsBad(t *testing.T) {
+func TestErrorRateRegressionIsBad(t *testing.T) {
 	for _, policy := range Policies() {
-		s := newStream(policy)
-		s.both(0, 10*time.Second, 0.02, 0.3, usual)
+		s := newGenerator(policy)
+		s.both(0, 10*time.Second, 0.02, 0.3, baselineLatency)
 		v := s.judge.Verdict()
 		require.True(t, v.Bad, "%s: %+v", policy, v)
 		require.Contains(t, v.Evidence, "failed")
@@ -68,21 +68,20 @@
 	}
 }
 
-func TestVersionThatIsSlowIsBad(t *testing.T) {
-	s := newStream(ChangePoint)
-	s.both(0, 4*time.Second, 0.02, 0.02, 3*usual)
+func TestLatencyRegressionIsBad(t *testing.T) {
+	s := newGenerator(ChangePoint)
+	s.both(0, 4*time.Second, 0.02, 0.02, 3*baselineLatency)
 	v := s.judge.Verdict()
 	require.True(t, v.Bad)
 	require.Contains(t, v.Evidence, "slow to begin")
 }
 
-// A version that was good for most of its time and then turned bad was held to
-// be good by the mean of its answers.
-func TestVersionThatTurnsBadIsNotSavedByItsPast(t *testing.T) {
+// Guards against a late regression being masked by good answers before it.
+func TestLateRegressionIsDetected(t *testing.T) {
 	verdict := func(p Policy) Verdict {
-		s := newStream(p)
-		s.both(0, 8*time.Second, 0.02, 0.01, usual)
-		s.both(8*time.Second, 10*time.Second, 0.02, 0.4, usual)
+		s := newGenerator(p)
+		s.both(0, 8*time.Second, 0.02, 0.01, baselineLatency)
+		s.both(8*time.Second, 10*time.Second, 0.02, 0.4, baselineLatency)
 		return s.judge.Verdict()
 	}
 	require.True(t, verdict(ChangePoint).Bad)
@@ -90,19 +89,20 @@
 	require.Greater(t, verdict(ChangePoint).Score, verdict(Likelihood).Score)
 }
 
-// One target that fails everything is not the version's fault.
-func TestFaultOfOneTargetIsNotTheVersions(t *testing.T) {
-	s := newStream(ChangePoint)
-	s.both(0, 10*time.Second, 0.02, 0.02, usual)
+// Guards against rolling back a version because of one broken target.
+func TestSingleBrokenTargetIsTolerated(t *testing.T) {
+	s := newGenerator(ChangePoint)
+	s.both(0, 10*time.Second, 0.02, 0.02, baselineLatency)
 	broken := Key{Service: "s", Route: "r", Version: "v2", DataHall: "hall-1", Target: "t-broken"}
 	s.judge.Take(9*time.Second, "v2", []Cell{{Key: broken, Counts: Counts{Sent: 9, Failed: 9}}})
 	require.False(t, s.judge.Verdict().Doubtful)
 }
 
-// A data hall that crashes takes the answers of both versions along.
-func TestCrashOfADataHallIsNotTheVersions(t *testing.T) {
-	s := newStream(ChangePoint)
-	s.both(0, 10*time.Second, 0.02, 0.02, usual)
+// Guards against rolling back a version because of a data hall outage, which
+// affects both versions.
+func TestDataHallOutageIsTolerated(t *testing.T) {
+	s := newGenerator(ChangePoint)
+	s.both(0, 10*time.Second, 0.02, 0.02, baselineLatency)
 	lost := func(version, target string, n uint32) {
 		key := Key{Service: "s", Route: "r", Version: version, DataHall: "hall-2", Target: target}
 		s.judge.Take(9*time.Second, "v2", []Cell{{Key: key, Counts: Counts{Sent: n, Lost: n}}})
@@ -114,10 +114,10 @@
 	require.False(t, s.judge.Verdict().Doubtful)
 }
 
-// A fault on one route does not drown in the others.
-func TestFaultOnOneRouteIsSeen(t *testing.T) {
-	s := newStream(ChangePoint)
-	s.both(0, 10*time.Second, 0.02, 0.02, usual)
+// Guards against a regression on a low-traffic route going undetected.
+func TestRegressionOnOneRouteIsDetected(t *testing.T) {
+	s := newGenerator(ChangePoint)
+	s.both(0, 10*time.Second, 0.02, 0.02, baselineLatency)
 	for i := range 30 {
 		old := Key{Service: "s", Route: "seldom", Version: "v1", DataHall: "hall-1"}
 		s.judge.Take(8*time.Second, "v2", []Cell{{Key: old, Counts: Counts{Sent: 3, Served: 3}}})
@@ -133,15 +133,15 @@
 	require.Equal(t, "answers failed on route seldom", v.Evidence)
 }
 
-func TestHistogramTellsTwiceAsSlow(t *testing.T) {
+func TestHistogramDetectsDoubledLatency(t *testing.T) {
 	var h Histogram
 	for range 100 {
 		h = h.Note(30 * time.Millisecond)
 	}
 	require.Greater(t, bucketOf(70*time.Millisecond), h.slowFrom()-1)
 	require.Less(t, bucketOf(40*time.Millisecond), h.slowFrom())
-	require.Equal(t, mostBuckets-1, bucketOf(time.Hour))
-	for b := 1; b < mostBuckets; b++ {
+	require.Equal(t, maxBuckets-1, bucketOf(time.Hour))
+	for b := 1; b < maxBuckets; b++ {
 		require.Equal(t, b, bucketOf(bucketStart(b)+time.Microsecond), b)
 	}
 }
--- a/rollout/likelihood.go
+++ b/rollout/likelihood.go
@@ -5,115 +5,121 @@
 	"slices"
 )
 
-// Bounds of a likelihood.
+// Parameters of the statistical tests.
 const (
-	// thresholdShare and thresholdLeast are the limits of the Threshold policy.
-	thresholdShare = 0.15
-	thresholdLeast = 20
-	// baseAnswers and baseShare are what the old version's share of bad answers
-	// is held to be before it has answered: so many answers with that share.
-	baseAnswers = 20.0
-	baseShare   = 0.02
-	// slowAnswers is the same of slow answers, whose usual share is slowShare.
-	slowAnswers = 50.0
-	// mostOfTarget bounds what one target of many may say against the version:
-	// a few bad answers. Of fewTargets or less, each may say more.
-	mostOfTarget = 3.5
-	fewTargets   = 8
-	oneAnswer    = 2.5
+	// thresholdShare is the margin of the Threshold policy, and
+	// minThresholdAnswers the number of answers it needs.
+	thresholdShare      = 0.15
+	minThresholdAnswers = 20
+	// priorAnswers and priorErrorShare form the prior of the baseline error
+	// rate: that many answers with that error rate.
+	priorAnswers    = 20.0
+	priorErrorShare = 0.02
+	// priorSlowAnswers is the weight of the prior of slow answers, whose share
+	// is slowShare.
+	priorSlowAnswers = 50.0
+	// maxTargetLLR limits the contribution of one target to a few bad answers'
+	// worth. It is scaled up if there are fewer than manyTargets targets; with
+	// more, maxDiscount limits the discount of the worst one (about one answer).
+	maxTargetLLR = 3.5
+	manyTargets  = 8
+	maxDiscount  = 2.5
 )
 
-// worse are by how much a bad version's share of bad answers is held to be
-// above the old one's: near the least that has to be found out, and far above.
-var worse = [...]float64{0.12, 0.4}
+// effectSizes are the increases of the bad-answer rate that are tested for:
+// about the smallest that must be detected, and a large one.
+var effectSizes = [...]float64{0.12, 0.4}
 
-// sample is how many of some answers were bad, beside the share that would be.
+// sample is the number of bad answers among n, with the baseline rate.
 type sample struct {
-	bin    int
-	n, bad float64
-	base   float64 // share of bad answers of the old version
+	bin      int
+	n, bad   float64
+	baseline float64 // bad-answer rate of the old version
 }
 
-// likelihood returns the logarithm of how much likelier the sample is from a
-// version that is worse by so much than from a good one.
-func (s *sample) likelihood(worse float64) float64 {
-	bad := s.base + (1-s.base)*worse
-	return s.bad*math.Log(bad/s.base) + (s.n-s.bad)*math.Log((1-bad)/(1-s.base))
+// logLikelihoodRatio returns the log-logLikelihoodRatio ratio of the sample, between a
+// bad-answer rate that is higher by the effect size and the baseline rate.
+func (s *sample) logLikelihoodRatio(effect float64) float64 {
+	bad := s.baseline + (1-s.baseline)*effect
+	return s.bad*math.Log(bad/s.baseline) + (s.n-s.bad)*math.Log((1-bad)/(1-s.baseline))
 }
 
-// base returns the old version's share of bad answers, between what it is held
-// to be before and what was seen.
-func base(bad, n float64) float64 {
-	return (bad + baseShare*baseAnswers) / (n + baseAnswers)
+// baselineErrorShare returns the old version's error rate, smoothed by the
+// prior.
+func baselineErrorShare(bad, n float64) float64 {
+	return (bad + priorErrorShare*priorAnswers) / (n + priorAnswers)
 }
 
-// slowBase is the same of slow answers.
-func slowBase(old Histogram, slow int) float64 {
-	return (old.from(slow) + slowShare*slowAnswers) / (old.total() + slowAnswers)
+// baselineSlowShare returns the old version's share of slow answers, smoothed
+// by the prior.
+func baselineSlowShare(old Histogram, slow int) float64 {
+	return (old.atLeast(slow) + slowShare*priorSlowAnswers) / (old.total() + priorSlowAnswers)
 }
 
-// likelihoods returns the sum of the likelihoods of all answers since each bin,
-// without those of the worst target.
-func likelihoods(units map[unit][]sample, worse float64, newest int) []float64 {
-	sums := make([]float64, newest+1)
-	var bins [mostBins][]int // of the targets that have answers then
-	var likelihood [mostBins][]float64
-	number := 0
-	for _, samples := range units {
+// suffixRatios returns, for each bin, the log-likelihood ratio of all answers
+// from that bin on, with the worst target discounted.
+func suffixRatios(byTarget map[targetKey][]sample, effect float64, lastBin int) []float64 {
+	sums := make([]float64, lastBin+1)
+	var targets [maxBins][]int // indices of the targets with answers in the bin
+	var ratios [maxBins][]float64
+	n := 0
+	for _, samples := range byTarget {
 		for i := range samples {
 			s := &samples[i]
-			bins[s.bin] = append(bins[s.bin], number)
-			likelihood[s.bin] = append(likelihood[s.bin], s.likelihood(worse))
+			targets[s.bin] = append(targets[s.bin], n)
+			ratios[s.bin] = append(ratios[s.bin], s.logLikelihoodRatio(effect))
 		}
-		number++
+		n++
 	}
-	own := make([]float64, number)
+	perTarget := make([]float64, n)
 	total := 0.0
-	for b := newest; b >= 0; b-- {
-		for i, u := range bins[b] {
-			total -= ofTarget(own[u], number)
-			own[u] += likelihood[b][i]
-			total += ofTarget(own[u], number)
+	for b := lastBin; b >= 0; b-- {
+		for i, u := range targets[b] {
+			total -= cappedRatio(perTarget[u], n)
+			perTarget[u] += ratios[b][i]
+			total += cappedRatio(perTarget[u], n)
 		}
 		sums[b] = total
-		sums[b] -= leftOut(own)
+		sums[b] -= worstDiscount(perTarget)
 	}
 	return sums
 }
 
-// leftOut returns what is left out of a sum over targets: what the worst says,
-// and where there are many targets with few answers each, at most one answer's
-// worth of it.
-func leftOut(own []float64) float64 {
-	if len(own) <= 1 {
+// worstDiscount returns the amount to subtract for the worst target: its whole
+// contribution, or with many targets at most maxDiscount, since each then has
+// few answers.
+func worstDiscount(perTarget []float64) float64 {
+	if len(perTarget) <= 1 {
 		return 0
 	}
-	worst := max(0, ofTarget(slices.Max(own), len(own)))
-	if len(own) >= fewTargets {
-		return min(worst, oneAnswer)
+	worst := max(0, cappedRatio(slices.Max(perTarget), len(perTarget)))
+	if len(perTarget) >= manyTargets {
+		return min(worst, maxDiscount)
 	}
 	return worst
 }
 
-// ofTarget returns what counts of one target's likelihood, of so many.
-func ofTarget(likelihood float64, targets int) float64 {
+// cappedRatio limits a target's log-likelihood ratio to maxTargetLLR, scaled by
+// the number of targets. A single target is not limited.
+func cappedRatio(ratio float64, targets int) float64 {
 	if targets == 1 {
-		return likelihood
+		return ratio
 	}
-	return min(likelihood, mostOfTarget*max(1, fewTargets/float64(targets)))
+	return min(ratio, maxTargetLLR*max(1, manyTargets/float64(targets)))
 }
 
-// thresholdScore is above 0 where the share of bad answers is too high.
-func thresholdScore(units map[unit][]sample) float64 {
+// thresholdScore returns a value above 0 if the bad-answer rate exceeds the
+// baseline by more than thresholdShare.
+func thresholdScore(byTarget map[targetKey][]sample) float64 {
 	n, bad, expected := 0.0, 0.0, 0.0
-	for _, samples := range units {
+	for _, samples := range byTarget {
 		for _, s := range samples {
 			n += s.n
 			bad += s.bad
-			expected += s.n * s.base
+			expected += s.n * s.baseline
 		}
 	}
-	if n < thresholdLeast {
+	if n < minThresholdAnswers {
 		return -1
 	}
 	return (bad-expected)/n - thresholdShare
--- a/rollout/plan.go
+++ b/rollout/plan.go
@@ -8,82 +8,85 @@
 	"time"
 )
 
-// Bounds of a plan.
+// Parameters of the planner.
 const (
-	// boundDoubt is by how many standard deviations the requests that a new
-	// version is to get, up to the deadline and with the last step in it, stay
-	// below the site's bound. So the bound holds though the version turns bad at
-	// any moment, and more requests come than were expected.
-	boundDoubt = 1.5
-	// leastCanary is the part of these that it gets before the last step,
-	// however short that becomes.
-	leastCanary = 0.3
-	// mostCanary bounds the share, where the site's slack would allow nearly all
-	// of a few requests.
-	mostCanary = 0.6
-	// settleTime is until when the rate of requests is not known.
+	// boundSigmas is the safety margin, in standard deviations, by which the
+	// requests planned for the new version stay below the site's bound. It
+	// covers random variation and traffic growth.
+	boundSigmas = 1.5
+	// minCanaryPart is the part of the allowed requests reserved for the canary
+	// stage.
+	minCanaryPart = 0.3
+	// maxCanaryShare limits the canary share, since Slack would otherwise allow
+	// nearly all requests of a low-traffic service.
+	maxCanaryShare = 0.6
+	// settleTime is the time after the order during which the request rate is
+	// not yet known.
 	settleTime = 1 * time.Second
-	// earlyShare of a stream's canary requests are sent in earlyPart of the time.
+	// For streams, earlyShare of the canary requests are sent in the first
+	// earlyPart of the rollout.
 	earlyShare = 0.8
 	earlyPart  = 0.6
-	// mostOfRoute is the most that the new version gets of one route's
-	// requests, so that a seldom route is seen about as often as the others.
-	mostOfRoute = 0.5
-	// badAnswersMost is at how many bad answers beyond the usual a version is
-	// taken back whatever else is known: half of what the site counts from.
-	badAnswersMost = 25
-	// leastAnswers is without how many answers of it a version does not get
-	// all requests, however long that takes.
-	leastAnswers = 8
-	// endMarginPart of the roll-out's time, between the bounds, is left when it
-	// is completed: for an acknowledgement that was late, and a new leader.
-	endMarginPart     = 0.025
-	shortestEndMargin = 300 * time.Millisecond
-	longestEndMargin  = 2 * time.Second
-	// shortestShift is how long all requests go to the new version before the
-	// old targets are given up: a permit and a report, so that no node sends to
-	// them any more, and what comes of that is seen.
-	shortestShift = 550 * time.Millisecond
-	// streamShift is the same of streams, which tell nothing in so short a time:
-	// what it saves is for the canary.
-	streamShift = 450 * time.Millisecond
-	// wholeRun is how much longer old targets are left to finish streams, if
-	// the bound on the new version's requests leaves room for it.
-	wholeRun = 5 * time.Second
-	// enoughPlaces is the part of the old targets' places that the new ones
-	// must have to take all requests.
-	enoughPlaces = 0.6
-	// focusEvery is how long the same few targets get the canary's requests.
-	focusEvery = 600 * time.Millisecond
-	// focusLeast bounds the part of the targets from below.
-	focusLeast = 0.02
+	// maxRouteShare limits the canary share of one route, which is raised for
+	// low-traffic routes to sample all routes evenly.
+	maxRouteShare = 0.5
+	// maxExcessBad is the number of excess bad answers at which a version is
+	// rolled back regardless of Score: half of the 50 from which
+	// Bounds.StopWithin counts.
+	maxExcessBad = 25
+	// minAnswers is the number of answers of the new version needed to promote
+	// it.
+	minAnswers = 8
+	// endMarginPart is the fraction of the duration, within the limits below,
+	// left before the deadline for late acknowledgements and a leader change.
+	endMarginPart = 0.025
+	minEndMargin  = 300 * time.Millisecond
+	maxEndMargin  = 2 * time.Second
+	// minShift is the shortest time that all requests go to the new version
+	// before the rollout completes: time for permits to reach all nodes and for
+	// their reports to come back.
+	minShift = 550 * time.Millisecond
+	// minStreamShift is the minimum for streams, which yield hardly any samples
+	// in that time; a longer canary stage is more useful.
+	minStreamShift = 450 * time.Millisecond
+	// maxStreamShift is the longest time that old targets are given to finish
+	// streams, if the exposure bound allows it.
+	maxStreamShift = 5 * time.Second
+	// minCapacityRatio is the part of the old version's capacity that the new
+	// version needs before it is promoted.
+	minCapacityRatio = 0.6
+	// focusPeriod is how long the canary stage uses the same selection of
+	// targets.
+	focusPeriod = 600 * time.Millisecond
+	// minFocusPart is the smallest fraction of targets selected.
+	minFocusPart = 0.02
 )
 
-// Situation is what a plan goes by.
+// Situation is the input of a plan.
 type Situation struct {
 	Record    Record
 	Elapsed   time.Duration // since the order
-	ShiftedAt time.Duration // since the order, when StageShift began
+	ShiftedAt time.Duration // since the order, start of StageShift
 	Sums      map[Key]Counts
-	NewPlaces int // of the new version's targets that take work
+	NewPlaces int // capacity of the new version's available targets
 	OldPlaces int
 	Streams   bool // the service's answers are streams
 	Verdict   Verdict
 }
 
-// Step is what is to be done next.
+// Step is the next action of a rollout.
 type Step struct {
-	State  State // Running, or how the roll-out ends
+	State  State // Running, or the final state
 	Stage  Stage
 	Reason string
-	Shares map[string]float64 // by route
+	Shares map[string]float64 // canary share by route
 	Other  float64
 	Focus  Focus
 }
 
-// Plan says what is to be done next.
+// Plan returns the next step of a rollout.
 func (b Bounds) Plan(s Situation) Step {
-	if reason := s.bad(); reason != "" {
+	if reason := s.rollbackReason(); reason != "" {
 		return Step{State: RolledBack, Reason: reason}
 	}
 	end := s.Record.Duration - s.endMargin()
@@ -99,25 +102,25 @@
 	return b.canary(s)
 }
 
-// bad says why the version is to be taken back now, or nothing.
-func (s *Situation) bad() string {
+// rollbackReason returns why the version must be rolled back now, or "".
+func (s *Situation) rollbackReason() string {
 	if s.Verdict.Bad {
 		return "bad: " + s.Verdict.Evidence
 	}
-	if s.Verdict.Excess >= badAnswersMost {
+	if s.Verdict.Excess >= maxExcessBad {
 		return "too many bad answers"
 	}
 	return ""
 }
 
-// unready says why the version may not get all requests, or nothing.
+// unready returns why the version may not be promoted, or "".
 func (s *Situation) unready() string {
 	switch {
 	case s.NewPlaces == 0:
 		return "no target of the version"
-	case float64(s.NewPlaces) < enoughPlaces*float64(s.OldPlaces):
+	case float64(s.NewPlaces) < minCapacityRatio*float64(s.OldPlaces):
 		return "too few targets of the version"
-	case s.Verdict.Answers < leastAnswers:
+	case s.Verdict.Answers < minAnswers:
 		return "too few answers of the version"
 	case s.Verdict.Doubtful:
 		return "doubtful: " + s.Verdict.Evidence
@@ -127,15 +130,15 @@
 
 func (s *Situation) endMargin() time.Duration {
 	part := time.Duration(endMarginPart * float64(s.Record.Duration))
-	return min(max(part, shortestEndMargin), longestEndMargin)
+	return min(max(part, minEndMargin), maxEndMargin)
 }
 
-// shift goes on with the last step until it is completed.
+// shift plans StageShift until the rollout completes.
 func (b Bounds) shift(s Situation, end time.Duration) Step {
 	shifted := s.Elapsed - s.ShiftedAt
 	all, exposed := s.requests()
-	finished := shifted >= s.longestShift() || exposed >= b.allowed(all)
-	if shifted >= s.leastShift() && (finished || s.Elapsed >= end) {
+	drained := shifted >= s.shiftMax() || exposed >= b.allowance(all)
+	if shifted >= s.shiftMin() && (drained || s.Elapsed >= end) {
 		if s.Verdict.Doubtful {
 			return Step{State: RolledBack, Reason: "doubtful: " + s.Verdict.Evidence}
 		}
@@ -144,43 +147,44 @@
 	return Step{State: Running, Stage: StageShift, Other: 1, Focus: Focus{Part: 1}}
 }
 
-func (s *Situation) leastShift() time.Duration {
+func (s *Situation) shiftMin() time.Duration {
 	if s.Streams {
-		return streamShift
+		return minStreamShift
 	}
-	return shortestShift
+	return minShift
 }
 
-func (s *Situation) longestShift() time.Duration {
+func (s *Situation) shiftMax() time.Duration {
 	if s.Streams {
-		return wholeRun
+		return maxStreamShift
 	}
-	return shortestShift
+	return minShift
 }
 
-// shiftTime is how long before the end all requests go to the new version: as
-// long as old targets need to finish, if the requests that it gets until the
-// deadline stay within the bound though it turns bad meanwhile.
+// shiftTime returns how long before the end StageShift begins: the time that
+// old targets need to drain, shortened so that the requests to the new version
+// stay within the bound up to the deadline.
 func (b Bounds) shiftTime(s Situation) time.Duration {
-	wanted := s.longestShift()
+	wanted := s.shiftMax()
 	all, exposed := s.requests()
 	if s.Elapsed <= 0 || all == 0 {
 		return wanted
 	}
 	perS := all / s.Elapsed.Seconds()
-	left := b.allowed(perS*s.Record.Duration.Seconds()) - exposed
-	room := time.Duration(left/perS*float64(time.Second)) - s.endMargin()
-	return min(max(room, s.leastShift()), wanted)
+	remaining := b.allowance(perS*s.Record.Duration.Seconds()) - exposed
+	room := time.Duration(remaining/perS*float64(time.Second)) - s.endMargin()
+	return min(max(room, s.shiftMin()), wanted)
 }
 
-// allowed is how many requests a new version may get, of so many.
-func (b Bounds) allowed(all float64) float64 {
+// allowance returns the number of requests that a new version may receive out of
+// all, with the safety margin.
+func (b Bounds) allowance(all float64) float64 {
 	bound := b.Share*all + b.Slack
-	return max(0, bound-boundDoubt*math.Sqrt(bound))
+	return max(0, bound-boundSigmas*math.Sqrt(bound))
 }
 
-// requests returns the requests of the service that were sent since the order,
-// and those of them that went to the new version.
+// requests returns the number of requests sent since the order, and how many of
+// them went to the new version.
 func (s *Situation) requests() (all, exposed float64) {
 	for key, counts := range s.Sums {
 		all += float64(counts.Sent)
@@ -191,13 +195,13 @@
 	return all, exposed
 }
 
-// canary shares the requests that the new version gets among the routes, so
-// that each is seen about as often.
+// canary plans StageCanary. It distributes the canary requests over the routes
+// so that all are sampled about equally.
 func (b Bounds) canary(s Situation) Step {
 	step := Step{State: Running, Stage: StageCanary}
 	all, exposed := s.requests()
-	if s.NewPlaces == 0 || exposed > b.allowed(all) {
-		return step // with no share
+	if s.NewPlaces == 0 || exposed > b.allowance(all) {
+		return step // no requests to the new version
 	}
 	share := b.canaryShare(s, all)
 	byRoute := map[string]float64{}
@@ -206,30 +210,30 @@
 	}
 	step.Other = share
 	step.Shares = evenShares(byRoute, share)
-	step.Focus = Focus{Round: uint64(s.Elapsed / focusEvery), Part: max(share, focusLeast)}
+	step.Focus = Focus{Round: uint64(s.Elapsed / focusPeriod), Part: max(share, minFocusPart)}
 	return step
 }
 
-// canaryShare returns the share of all requests that the new version gets until
-// they all go to it.
+// canaryShare returns the share of requests that goes to the new version during
+// StageCanary.
 func (b Bounds) canaryShare(s Situation, all float64) float64 {
 	if s.Elapsed < settleTime || all == 0 {
-		return leastCanary * b.Share
+		return minCanaryPart * b.Share
 	}
 	perS := all / s.Elapsed.Seconds()
-	last := s.endMargin() + s.leastShift()
-	allowed := b.allowed(perS * s.Record.Duration.Seconds())
-	allowed = max(allowed-perS*last.Seconds(), leastCanary*allowed)
-	share := allowed / (perS * max(s.Record.Duration-last, settleTime).Seconds())
+	reserved := s.endMargin() + s.shiftMin()
+	allowed := b.allowance(perS * s.Record.Duration.Seconds())
+	allowed = max(allowed-perS*reserved.Seconds(), minCanaryPart*allowed)
+	share := allowed / (perS * max(s.Record.Duration-reserved, settleTime).Seconds())
 	if s.Streams {
 		share *= s.frontLoad()
 	}
-	return min(share, mostCanary)
+	return min(share, maxCanaryShare)
 }
 
-// frontLoad is how many times its mean share the new version gets now: most of
-// it early where answers take long, since those that have not come before the
-// last step say nothing.
+// frontLoad returns the factor on the canary share of streams at this time.
+// More are sent early, because answers that arrive after the canary stage
+// cannot be evaluated.
 func (s *Situation) frontLoad() float64 {
 	if s.Elapsed.Seconds() < earlyPart*s.Record.Duration.Seconds() {
 		return earlyShare / earlyPart
@@ -237,14 +241,14 @@
 	return (1 - earlyShare) / (1 - earlyPart)
 }
 
-// evenShares returns the share of each route's requests with which all routes
-// are seen equally often, as far as mostOfRoute lets them, and the share of all
-// requests is kept to.
+// evenShares returns the share by route that samples all routes equally often,
+// limited to maxRouteShare per route, and keeps the given share of all
+// requests.
 func evenShares(byRoute map[string]float64, share float64) map[string]float64 {
 	shares := map[string]float64{}
-	left := 0.0
+	remaining := 0.0
 	for _, n := range byRoute {
-		left += share * n
+		remaining += share * n
 	}
 	routes := slices.SortedFunc(maps.Keys(byRoute), func(a, b string) int {
 		return cmp.Or(cmp.Compare(byRoute[a], byRoute[b]), cmp.Compare(a, b))
@@ -254,9 +258,9 @@
 		if n == 0 {
 			continue
 		}
-		part := min(left/float64(len(routes)-i), mostOfRoute*n)
-		shares[route] = part / n
-		left -= part
+		count := min(remaining/float64(len(routes)-i), maxRouteShare*n)
+		shares[route] = count / n
+		remaining -= count
 	}
 	return shares
 }
--- a/rollout/plan_test.go
+++ b/rollout/plan_test.go
@@ -9,8 +9,8 @@
 
 var testBounds = Bounds{Share: 0.1, Slack: 50, StopWithin: 5 * time.Second}
 
-// situation is one of a plain service of 270 requests a second, of which two
-// routes get 220 and 50, and its new version a twentieth.
+// situation returns a plain service with 270 requests/s on two routes (220 and
+// 50), of which the new version gets a twentieth.
 func situation(elapsed time.Duration) Situation {
 	s := elapsed.Seconds()
 	counts := func(perS float64) Counts { return Counts{Sent: uint32(perS * s)} }
@@ -26,7 +26,7 @@
 	}
 }
 
-func TestPlanOfARollout(t *testing.T) {
+func TestPlan(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		change func(*Situation)
@@ -44,12 +44,12 @@
 		{"no targets yet", func(s *Situation) { s.NewPlaces = 0 }, 5 * time.Second, Running, StageCanary, ""},
 		{"no targets", func(s *Situation) { s.NewPlaces = 0 }, 11700 * time.Millisecond, RolledBack, StageCanary, "no target"},
 		{"few targets", func(s *Situation) { s.NewPlaces = 6 }, 11700 * time.Millisecond, RolledBack, StageCanary, "too few targets"},
-		{"targets came late", func(s *Situation) { s.Verdict.Answers = 3 }, 11700 * time.Millisecond, RolledBack, StageCanary, "too few answers"},
+		{"targets started late", func(s *Situation) { s.Verdict.Answers = 3 }, 11700 * time.Millisecond, RolledBack, StageCanary, "too few answers"},
 		{"done", func(s *Situation) { s.Record.Stage, s.ShiftedAt = StageShift, 10900*time.Millisecond }, 11700 * time.Millisecond, Completed, StageShift, "no evidence"},
-		{"shift begun just now", func(s *Situation) { s.Record.Stage, s.ShiftedAt = StageShift, 11500*time.Millisecond }, 11700 * time.Millisecond, Running, StageShift, ""},
+		{"shift just started", func(s *Situation) { s.Record.Stage, s.ShiftedAt = StageShift, 11500*time.Millisecond }, 11700 * time.Millisecond, Running, StageShift, ""},
 		{"bad in the shift", func(s *Situation) { s.Record.Stage, s.Verdict.Bad = StageShift, true }, 11 * time.Second, RolledBack, StageCanary, ""},
 		{"doubtful at the end of the shift", func(s *Situation) { s.Record.Stage, s.Verdict.Doubtful = StageShift, true }, 11700 * time.Millisecond, RolledBack, StageCanary, "doubtful"},
-		{"a leader that knows nothing yet", func(s *Situation) { s.Sums, s.Verdict = nil, Verdict{} }, 5 * time.Second, Running, StageCanary, ""},
+		{"new leader without reports", func(s *Situation) { s.Sums, s.Verdict = nil, Verdict{} }, 5 * time.Second, Running, StageCanary, ""},
 		{"past the deadline", func(*Situation) {}, time.Minute, RolledBack, StageCanary, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -65,24 +65,24 @@
 	}
 }
 
-// The new version's requests stay within the bound up to the deadline, and the
-// seldom route is seen as often as the other.
-func TestCanaryStaysWithinTheBound(t *testing.T) {
+// Checks that the new version's requests stay within the bound up to the
+// deadline, and that the low-traffic route is sampled as often as the other.
+func TestCanaryStaysWithinBound(t *testing.T) {
 	s := situation(5 * time.Second)
 	step := testBounds.Plan(s)
 	often, seldom := 217*step.Shares["often"], 53*step.Shares["seldom"]
 	require.InDelta(t, often, seldom, 1)
 	canary := (often + seldom) * 11
-	shift := 270 * (shortestShift + s.endMargin()).Seconds()
+	shift := 270 * (minShift + s.endMargin()).Seconds()
 	require.Less(t, canary+shift, testBounds.Share*270*12+testBounds.Slack)
 	require.Greater(t, canary, 40.0)
 	s.Sums[Key{Service: "s", Route: "often", Version: "v2"}] = Counts{Sent: 400}
-	require.Empty(t, testBounds.Plan(s).Shares, "more than the bound has gone there")
+	require.Empty(t, testBounds.Plan(s).Shares, "the bound is exceeded")
 }
 
-func TestRolloutOfASeldomServiceSeesEnough(t *testing.T) {
+func TestLowTrafficCanaryUsesSlack(t *testing.T) {
 	s := situation(5 * time.Second)
 	s.Sums = map[Key]Counts{{Service: "s", Route: "r", Version: "v1"}: {Sent: 30}}
 	s.Streams = true
-	require.InDelta(t, mostCanary, testBounds.Plan(s).Shares["r"], 0.15, "the slack of the bound is used")
+	require.InDelta(t, maxCanaryShare, testBounds.Plan(s).Shares["r"], 0.15, "Slack must be used")
 }
--- a/rollout/request.go
+++ b/rollout/request.go
@@ -2,20 +2,20 @@
 
 import "time"
 
-// Request is one request under way while its service has a roll-out. All
-// methods may be called on nil, which notes nothing.
+// Request tracks one request during a rollout of its service. All methods do
+// nothing on a nil Request.
 type Request struct {
-	agent   *Agent
-	service *service
-	key     Key
-	sent    time.Time
-	first   bool // its time to the first event is counted
-	ended   bool
+	agent         *Agent
+	service       *service
+	key           Key
+	sent          time.Time
+	firstRecorded bool // time to first event is recorded
+	ended         bool
 }
 
-// change changes the counts of the request's key. The caller holds the agent's
-// mutex.
-func (r *Request) change(f func(*Counts)) {
+// update updates the counts of the request's key. The caller must hold the
+// agent's mutex.
+func (r *Request) update(f func(*Counts)) {
 	counts := r.service.counts[r.key]
 	if counts == nil {
 		counts = &Counts{}
@@ -25,38 +25,38 @@
 	r.service.changed[r.key] = true
 }
 
-func (r *Request) noteFirst(took time.Duration) {
-	if !r.first {
-		r.change(func(c *Counts) { c.First = c.First.Note(took) })
+func (r *Request) recordFirst(latency time.Duration) {
+	if !r.firstRecorded {
+		r.update(func(c *Counts) { c.First = c.First.Note(latency) })
 	}
-	r.first = true
+	r.firstRecorded = true
 	delete(r.service.waiting, r)
 }
 
-// First notes that the first event, or the whole answer, has come.
+// First records that the first event, or the complete answer, has arrived.
 func (r *Request) First() {
 	if r == nil {
 		return
 	}
 	r.agent.mu.Lock()
 	defer r.agent.mu.Unlock()
-	r.noteFirst(r.agent.now().Sub(r.sent))
+	r.recordFirst(r.agent.now().Sub(r.sent))
 }
 
-// Pace notes the mean time between a stream's events.
+// Pace records the mean interval between the events of a stream.
 func (r *Request) Pace(d time.Duration) {
 	if r == nil {
 		return
 	}
 	r.agent.mu.Lock()
 	defer r.agent.mu.Unlock()
-	r.change(func(c *Counts) { c.Pace = c.Pace.Note(d) })
+	r.update(func(c *Counts) { c.Pace = c.Pace.Note(d) })
 }
 
-// New reports whether the request is at a target of the new version.
+// New reports whether the request went to a target of the new version.
 func (r *Request) New() bool { return r != nil && r.key.Target != "" }
 
-// Ended notes how the request ended, once.
+// Ended records the outcome of the request. Only the first call counts.
 func (r *Request) Ended(o Outcome) {
 	if r == nil {
 		return
@@ -68,11 +68,12 @@
 	}
 	r.ended = true
 	delete(r.service.waiting, r)
-	r.change(func(c *Counts) { c.note(o) })
+	r.update(func(c *Counts) { c.add(o) })
 }
 
-// Dropped notes that the request ended in a way that says nothing of the
-// version: its client left, or its target was lost with others.
+// Dropped ends the request without an outcome, because it says nothing about
+// the version: the client disconnected, or the target failed together with
+// others.
 func (r *Request) Dropped() {
 	if r == nil {
 		return
--- a/rollout/rollout.go
+++ b/rollout/rollout.go
@@ -1,7 +1,7 @@
-// Package rollout decides how a service is brought to a new version of its
-// targets: which requests the new version gets, what speaks against it, when
-// all requests go to it, and when it is taken back. It knows no wire and no
-// clock but the times that it is handed.
+// Package rollout decides how a service moves to a new version of its targets:
+// which share of requests goes to the new version, whether its error rate or
+// latency is worse than the old version's, and when to promote it or roll it
+// back. The package does no I/O and reads no clock; callers pass in all times.
 package rollout
 
 import (
@@ -9,54 +9,54 @@
 	"time"
 )
 
-// State says how far a roll-out has come.
+// State is the state of a rollout.
 type State string
 
-// The states. Completed and RolledBack are final.
+// The rollout states. Completed and RolledBack are final.
 const (
 	Running    State = "running"
 	Completed  State = "completed"
 	RolledBack State = "rolled-back"
 )
 
-// Stage is a part of a running roll-out.
+// Stage is a stage of a running rollout.
 type Stage int
 
-// The stages.
+// The rollout stages.
 const (
-	StageCanary Stage = iota // a small share of the requests goes to the new version
-	StageShift               // all new requests do; the old targets finish theirs
+	StageCanary Stage = iota // a small share of requests goes to the new version
+	StageShift               // all new requests go to the new version; the old targets drain
 )
 
-// Record is what the control group agrees on about the versions of a service.
+// Record is the replicated rollout state of one service.
 type Record struct {
 	Service string
-	// InForce are the versions that requests may go to; none for any version
-	// but Target.
+	// InForce lists the versions that may receive requests. If it is empty,
+	// every version except Target may.
 	InForce []string
-	// Number names the newest roll-out of the service; 0 for none.
+	// Number identifies the newest rollout of the service; 0 if there was none.
 	Number   uint64
-	Target   string        // version that the roll-out leads to
-	State    State         // empty for no roll-out
-	Stage    Stage         // of a running one
-	Duration time.Duration // within which it has to end
-	Elapsed  time.Duration // since the order, when it was last noted
-	Reason   string        // why it ended
+	Target   string        // version being rolled out
+	State    State         // empty if there was no rollout
+	Stage    Stage         // of a running rollout
+	Duration time.Duration // deadline, measured from the order
+	Elapsed  time.Duration // since the order, as of the last update
+	Reason   string        // why the rollout ended
 }
 
-// OrderedAs reports whether an order of a version, to be reached within a time, is the
-// one that led to the record, or the same again.
+// OrderedAs reports whether an order for the version and duration repeats the
+// order that created the record.
 func (r *Record) OrderedAs(version string, duration time.Duration) bool {
 	return r.Number != 0 && r.Target == version && r.Duration == duration
 }
 
-// View is every record, as of a revision.
+// View is a snapshot of all records at one revision.
 type View struct {
-	Revision uint64 // grows with each change that nodes need to know
+	Revision uint64 // increases with each change that nodes need to see
 	Records  []Record
 }
 
-// Of returns the record of a service.
+// Of returns the record of a service, and whether there is one.
 func (v *View) Of(service string) (Record, bool) {
 	i := slices.IndexFunc(v.Records, func(r Record) bool { return r.Service == service })
 	if i < 0 {
@@ -65,48 +65,48 @@
 	return v.Records[i], true
 }
 
-// Running reports whether any roll-out is under way.
+// Running reports whether any rollout is in progress.
 func (v *View) Running() bool {
 	return slices.ContainsFunc(v.Records, func(r Record) bool { return r.State == Running })
 }
 
-// Bounds are a site's bounds on what a bad version may do.
+// Bounds limit the exposure of requests to a bad version.
 type Bounds struct {
-	// Share and Slack bound the requests that a new version gets before its
-	// roll-out is over: Share of all requests of the service, and Slack more.
+	// Share and Slack limit the requests that a new version receives before its
+	// rollout ends: Share of all requests to the service, plus Slack.
 	Share float64
 	Slack float64
-	// StopWithin is the time after the fiftieth bad answer in which the new
-	// version gets its last request.
+	// StopWithin is the time after the new version's 50th bad answer within
+	// which it must receive its last request.
 	StopWithin time.Duration
 }
 
-// Enabled reports whether the site has roll-outs at all.
+// Enabled reports whether the site allows rollouts.
 func (b Bounds) Enabled() bool { return b.Share > 0 }
 
-// Permit lets a node send requests to a service's new version. It counts for
-// a short while from when the node asked for it, on the node's steady clock.
+// Permit is a short-lived lease that allows a node to send requests to a
+// service's new version. It is valid for For, counted on the node's monotonic
+// clock from the time of the node's request for it.
 type Permit struct {
 	Service string
-	Number  uint64             // of the roll-out
-	Shares  map[string]float64 // of the requests, by route
-	Other   float64            // of the requests of every other route
+	Number  uint64             // of the rollout
+	Shares  map[string]float64 // share of requests by route
+	Other   float64            // share of requests on all other routes
 	Focus   Focus
-	// Late is the time to the first event, by route, beyond which a request
-	// counts as slow though it has not come yet.
+	// Late is the time to first event, by route, after which a request counts
+	// as slow even if it has not been answered yet.
 	Late map[string]time.Duration
 	For  time.Duration
 }
 
-// Focus names the targets that the new version's requests go to, so that each
-// bears about the load that it would bear if it got all requests: a version
-// that is bad only under load shows it while it gets a small share.
+// Focus selects a subset of the new version's targets, so that each selected
+// target bears about its full production load. Otherwise, a version that fails
+// only under load would look healthy during the canary stage.
 type Focus struct {
-	Round uint64  // draws the targets anew
-	Part  float64 // of the new version's targets
+	Round uint64  // changes the selection of targets
+	Part  float64 // fraction of the new version's targets to select
 }
 
-// PermitLife is how long a permit counts: a few of the reports that renew it,
-// and a tenth of the time in which a version that is taken back has to be rid
-// of requests.
+// PermitLife is the validity of a permit. It spans several of the reports that
+// renew permits, and is a tenth of the usual StopWithin.
 const PermitLife = 500 * time.Millisecond
--- a/rollout/tally.go
+++ b/rollout/tally.go
@@ -2,45 +2,45 @@
 
 import "maps"
 
-// Tally sums the reports of all nodes. A report tells sums since the node's
-// start, so one that comes twice, or after others were lost, does no harm.
+// Tally aggregates the reports of all nodes. Reports are cumulative since the
+// node's start, so duplicated and lost reports do not distort the totals.
 type Tally struct {
-	told map[reporter]map[Key]Counts
+	last map[reporter]map[Key]Counts
 	sums map[Key]Counts
 }
 
-// reporter is one life of a node.
+// reporter identifies one process of a node.
 type reporter struct {
 	node string
 	life uint64
 }
 
-// NewTally returns a tally of nothing.
-func NewTally() *Tally { return &Tally{told: map[reporter]map[Key]Counts{}, sums: map[Key]Counts{}} }
+// NewTally returns an empty tally.
+func NewTally() *Tally { return &Tally{last: map[reporter]map[Key]Counts{}, sums: map[Key]Counts{}} }
 
-// Take takes a node's sums and returns what is new in them.
+// Take merges a node's cumulative counts and returns their increments.
 func (t *Tally) Take(node string, life uint64, cells []Cell) []Cell {
-	who := reporter{node, life}
-	if t.told[who] == nil {
-		t.told[who] = map[Key]Counts{}
+	from := reporter{node, life}
+	if t.last[from] == nil {
+		t.last[from] = map[Key]Counts{}
 	}
-	var news []Cell
+	var increments []Cell
 	for _, cell := range cells {
-		before := t.told[who][cell.Key]
+		before := t.last[from][cell.Key]
 		if cell.Counts.Sent < before.Sent || cell.Counts.Answered() < before.Answered() {
-			continue // an older report that was overtaken
+			continue // reordered report, older than the last one
 		}
-		t.told[who][cell.Key] = cell.Counts
-		more := cell.Counts.since(before)
+		t.last[from][cell.Key] = cell.Counts
+		increment := cell.Counts.since(before)
 		sum := t.sums[cell.Key]
-		sum.Add(more)
+		sum.Add(increment)
 		t.sums[cell.Key] = sum
-		news = append(news, Cell{Key: cell.Key, Counts: more})
+		increments = append(increments, Cell{Key: cell.Key, Counts: increment})
 	}
-	return news
+	return increments
 }
 
-// Sums returns the sums of a service over all nodes, by key.
+// Sums returns the totals of a service over all nodes, by key.
 func (t *Tally) Sums(service string) map[Key]Counts {
 	sums := map[Key]Counts{}
 	for key, sum := range t.sums {
@@ -51,11 +51,11 @@
 	return sums
 }
 
-// Forget drops what was told of a service.
+// Forget removes all counts of a service.
 func (t *Tally) Forget(service string) {
-	of := func(k Key, _ Counts) bool { return k.Service == service }
-	for _, told := range t.told {
-		maps.DeleteFunc(told, of)
+	ofService := func(k Key, _ Counts) bool { return k.Service == service }
+	for _, counts := range t.last {
+		maps.DeleteFunc(counts, ofService)
 	}
-	maps.DeleteFunc(t.sums, of)
+	maps.DeleteFunc(t.sums, ofService)
 }
