--- a/fleet/cost.go
+++ b/fleet/cost.go
@@ -6,39 +6,37 @@
 	"slices"
 )
 
-// What callers lose, in prices of an on-demand target for the time that it is
-// missed.
+// Penalties, in units of the price of an on-demand target.
 const (
-	// refusedWorth is what the answers of one target are worth to callers: an
-	// operator who sold them for little more than the targets cost would not
-	// run the service.
-	refusedWorth = 20.0
-	// lateWorth is what is lost where they come, but later, or without a copy
-	// to go on from.
-	lateWorth = 1.0
-	// evenShare is how many times the mean of the halls one of them may have. A
-	// larger one takes more runs down with it, and the others have no room for
-	// the copies that these go on from.
-	evenShare = 1.2
-	// burstSize is how many times the requests come in a burst.
-	burstSize = 2.0
+	// refusalPenalty is the penalty for each target missing to serve all
+	// requests. It is high because refusing requests costs far more than the
+	// targets.
+	refusalPenalty = 20.0
+	// delayPenalty is the penalty for each target missing to serve requests
+	// without delay and with backup copies.
+	delayPenalty = 1.0
+	// maxHallRatio is the largest size of a data hall, relative to the mean,
+	// without a penalty. The loss of a larger one interrupts more runs than the
+	// others have copies of.
+	maxHallRatio = 1.2
+	// burstFactor is the request rate of a burst relative to the normal rate.
+	burstFactor = 2.0
 )
 
-// event is something that leaves fewer targets, with the part of the time in
-// which it is so.
-type event struct {
-	share float64
-	taken []string // data halls without spot targets
-	lost  string   // a data hall without any; empty for none
+// lossEvent is a loss of targets and the fraction of time during which it applies.
+type lossEvent struct {
+	probability float64
+	reclaimed   []string // data halls whose spot targets are reclaimed
+	lostHall    string   // data hall that lost all targets; empty for none
 }
 
-// left returns how many targets an event leaves of some in data halls.
-func (e *event) left(halls []string, c Counts) int {
+// left returns the number of targets that remain after the event.
+func (e *lossEvent) left(halls []string, c Counts) int {
 	left := 0
 	for _, hall := range halls {
 		switch {
-		case hall == e.lost:
-		case slices.Contains(e.taken, hall):
+		case hall == e.lostHall:
+		case slices.Contains(e.reclaimed, hall):
 			left += c[Place{hall, OnDemand}]
 		default:
 			left += c.Hall(hall)
@@ -47,41 +45,40 @@
 	return left
 }
 
-// mostReclaims bounds of how many data halls the spot targets are held to be
-// missing at the same time: more is rare, and the cases to work out would double
-// with each hall.
-const mostReclaims = 3
+// maxReclaims limits the number of data halls with simultaneous reclaims. More
+// are rare, and the number of events doubles with each data hall.
+const maxReclaims = 3
 
-// events lists what may be missing: the spot targets of any halls, and all
-// targets of one hall at the same time.
-func (s *Situation) events() []event {
+// lossEvents lists the loss scenarios: reclaimed spot targets in up to maxReclaims
+// data halls, combined with the loss of up to one data hall.
+func (s *Situation) lossEvents() []lossEvent {
 	halls := s.halls()
-	events := []event{{share: 1}}
+	events := []lossEvent{{probability: 1}}
 	for _, hall := range halls {
 		for i := range events {
 			e := &events[i]
-			if len(e.taken) == mostReclaims {
+			if len(e.reclaimed) == maxReclaims {
 				continue
 			}
-			taken := append(slices.Clone(e.taken), hall)
-			events = append(events, event{share: e.share * s.Risks.Reclaim, taken: taken})
-			events[i].share *= 1 - s.Risks.Reclaim
+			reclaimed := append(slices.Clone(e.reclaimed), hall)
+			events = append(events, lossEvent{probability: e.probability * s.Risks.Reclaim, reclaimed: reclaimed})
+			events[i].probability *= 1 - s.Risks.Reclaim
 		}
 	}
 	if len(halls) < 2 {
-		return events // no target elsewhere would make up for a hall
+		return events // no other data hall could take over
 	}
 	for _, e := range slices.Clone(events) {
 		for _, hall := range halls {
-			events = append(events, event{share: e.share * s.Risks.HallLost, taken: e.taken, lost: hall})
+			events = append(events, lossEvent{probability: e.probability * s.Risks.HallLost, reclaimed: e.reclaimed, lostHall: hall})
 		}
 	}
 	return events
 }
 
-// uneven returns by how many targets halls are larger than evenShare allows.
-func uneven(halls []string, c Counts) float64 {
-	bound := evenShare * float64(c.Total()) / float64(len(halls))
+// imbalance returns the number of targets above maxHallRatio over all data halls.
+func imbalance(halls []string, c Counts) float64 {
+	bound := maxHallRatio * float64(c.Total()) / float64(len(halls))
 	excess := 0.0
 	for _, hall := range halls {
 		excess += math.Max(0, float64(c.Hall(hall))-bound)
@@ -89,8 +86,8 @@
 	return excess
 }
 
-// price returns the mean price of an on-demand target.
-func (s *Situation) price() float64 {
+// meanPrice returns the mean on-demand price over the data halls.
+func (s *Situation) meanPrice() float64 {
 	sum := 0.0
 	for _, hall := range s.halls() {
 		sum += s.Scaling.price(Place{hall, OnDemand})
@@ -98,48 +95,49 @@
 	return sum / float64(max(1, len(s.Base)))
 }
 
-// expected returns the expected cost of a second: what targets cost, and what
-// callers lose.
-func (s *Situation) expected(c Counts) float64 { return s.costs()(c) }
+// expectedCost returns the expected cost per second: the price of the targets
+// plus the penalties.
+func (s *Situation) expectedCost(c Counts) float64 { return s.costFunc()(c) }
 
-// costs returns what expected works out, for many counts.
-func (s *Situation) costs() func(Counts) float64 {
-	usual, burst := s.Engine.needOf(*s.Load), s.Engine.needOf(s.Load.scaled(burstSize))
-	halls, events, price := s.halls(), s.events(), s.price()
+// costFunc returns expectedCost as a function, with the parts that do not
+// depend on the counts computed once.
+func (s *Situation) costFunc() func(Counts) float64 {
+	normal, burst := s.Engine.needOf(*s.Load), s.Engine.needOf(s.Load.scaled(burstFactor))
+	halls, events, price := s.halls(), s.lossEvents(), s.meanPrice()
 	return func(c Counts) float64 {
-		lost := 0.0
+		penalty := 0.0
 		for _, e := range events {
 			left := float64(e.left(halls, c))
-			lost += e.share * ((1-s.Risks.Burst)*usual.loss(left) + s.Risks.Burst*burst.loss(left))
+			penalty += e.probability * ((1-s.Risks.Burst)*normal.penalty(left) + s.Risks.Burst*burst.penalty(left))
 		}
-		return s.Scaling.Cost(c) + price*(lost+lateWorth*uneven(halls, c))
+		return s.Scaling.Cost(c) + price*(penalty+delayPenalty*imbalance(halls, c))
 	}
 }
 
-// loss is what callers lose with so many targets.
-func (n need) loss(targets float64) float64 {
-	return refusedWorth*math.Max(0, n.most-targets) + lateWorth*math.Max(0, n.comfort-targets)
+// penalty returns the penalty for running with the given number of targets.
+func (n need) penalty(targets float64) float64 {
+	return refusalPenalty*math.Max(0, n.minimum-targets) + delayPenalty*math.Max(0, n.comfort-targets)
 }
 
-// steps are by how many targets a search goes on, the large ones first.
-var steps = []int{16, 4, 1}
+// stepSizes are the step sizes of the local search, largest first.
+var stepSizes = []int{16, 4, 1}
 
-// cheapest searches for the least expected cost, from a first guess on, by
-// single places, by pairs and by all halls at once. What it finds is never
-// dearer than the guess.
-func (s *Situation) cheapest(guess Counts) Counts {
-	cost, base := s.costs(), s.base()
-	best, least := maps.Clone(guess), cost(guess)
-	for _, step := range steps {
+// searchLeastCost runs a local search for the lowest expected cost, starting at the
+// guess. It changes single places, pairs of places, and all data halls at once.
+// The result never costs more than the guess.
+func (s *Situation) searchLeastCost(guess Counts) Counts {
+	cost, base := s.costFunc(), s.onDemandBase()
+	best, lowest := maps.Clone(guess), cost(guess)
+	for _, step := range stepSizes {
 		for improved := true; improved; {
 			improved = false
-			for _, change := range s.changes(step) {
-				next, ok := s.changed(best, change, base)
+			for _, change := range s.moves(step) {
+				next, ok := s.apply(best, change, base)
 				if !ok {
 					continue
 				}
-				if c := cost(next); c < least-smallestGain {
-					best, least, improved = next, c, true
+				if c := cost(next); c < lowest-minGain {
+					best, lowest, improved = next, c, true
 				}
 			}
 		}
@@ -147,12 +145,13 @@
 	return best
 }
 
-// smallestGain, in prices of a target, ends a search that gains nothing.
-const smallestGain = 1e-6
+// minGain is the smallest improvement for which the search continues, in prices
+// of a target.
+const minGain = 1e-6
 
-// changes lists the changes by a step: at one place, from one place to
-// another, and at all halls.
-func (s *Situation) changes(step int) []Counts {
+// moves lists the candidate moves of one step size: at one place, from one
+// place to another, and at all data halls.
+func (s *Situation) moves(step int) []Counts {
 	var places []Place
 	kinds := []Kind{OnDemand}
 	if s.Scaling.SpotPrice > 0 {
@@ -179,14 +178,15 @@
 	return changes
 }
 
-// changed returns counts with a change made; false if they may not be so.
-func (s *Situation) changed(c, change, base Counts) (Counts, bool) {
+// apply returns the counts with a change applied; false if the result
+// violates a limit.
+func (s *Situation) apply(c, change, base Counts) (Counts, bool) {
 	next := maps.Clone(c)
 	for p, n := range change {
 		next[p] += n
 	}
 	for p := range change {
-		if next[p] < base[p] || next[p] > s.most(next, p) || next.Hall(p.DataHall) < min(c.Hall(p.DataHall), s.Scaling.Min) {
+		if next[p] < base[p] || next[p] > s.maxAt(next, p) || next.Hall(p.DataHall) < min(c.Hall(p.DataHall), s.Scaling.Min) {
 			return nil, false
 		}
 	}
--- a/fleet/demand.go
+++ b/fleet/demand.go
@@ -6,26 +6,26 @@
 	"time"
 )
 
-// Tally sums what nodes tell of demand. A node's rows are cumulative, so one
-// that is lost or told twice does no harm. What a process told first counts
-// for nothing: most of it came before this tally began.
+// Tally aggregates the demand reports of all nodes. Reports are cumulative, so
+// duplicated and lost reports do not distort the totals. The first report of a
+// process only sets its baseline, since most of it predates the tally.
 type Tally struct {
 	nodes map[string]*nodeDemand
 	total map[string]Demand // by service
 }
 
-// nodeDemand is what a node's newest process told last.
+// nodeDemand is the last report of a node's current process.
 type nodeDemand struct {
 	life uint64
 	rows map[string]Demand // by service
 }
 
-// NewTally returns a tally of nothing.
+// NewTally returns an empty tally.
 func NewTally() *Tally {
 	return &Tally{nodes: map[string]*nodeDemand{}, total: map[string]Demand{}}
 }
 
-// Take takes a node's rows; life names its process.
+// Take merges a node's report; life identifies its process.
 func (t *Tally) Take(node string, life uint64, rows []Demand) {
 	n := t.nodes[node]
 	if n == nil || n.life != life {
@@ -38,7 +38,7 @@
 	for _, row := range rows {
 		before := n.rows[row.Service]
 		if row.Requests < before.Requests {
-			continue // an older report that came late
+			continue // reordered report, older than the last one
 		}
 		n.rows[row.Service] = row
 		total := t.total[row.Service]
@@ -47,7 +47,7 @@
 	}
 }
 
-// Total returns the sums, by service in order. They never fall.
+// Total returns the totals, sorted by service. They never decrease.
 func (t *Tally) Total() []Demand {
 	total := make([]Demand, 0, len(t.total))
 	for _, service := range slices.Sorted(maps.Keys(t.total)) {
@@ -56,13 +56,13 @@
 	return total
 }
 
-// Of returns the sum of a service; false if no node has told of it.
+// Of returns the total of a service; false if no node has reported it.
 func (t *Tally) Of(service string) (Demand, bool) {
 	d, known := t.total[service]
 	return d, known
 }
 
-// Add adds another demand for the same service.
+// Add adds the demand o for the same service.
 func (d *Demand) Add(o Demand) {
 	d.Service = o.Service
 	d.Requests += o.Requests
@@ -74,121 +74,120 @@
 	d.HoldMS += o.HoldMS
 }
 
-// since returns what has come since an earlier sum.
+// since returns the difference to an earlier snapshot.
 func (d Demand) since(before Demand) Demand {
 	return Demand{
 		Service:  d.Service,
-		Requests: rise(before.Requests, d.Requests),
-		Refused:  rise(before.Refused, d.Refused),
-		Read:     rise(before.Read, d.Read),
-		Write:    rise(before.Write, d.Write),
-		ReadMS:   rise(before.ReadMS, d.ReadMS),
-		RunMS:    rise(before.RunMS, d.RunMS),
-		HoldMS:   rise(before.HoldMS, d.HoldMS),
+		Requests: increase(before.Requests, d.Requests),
+		Refused:  increase(before.Refused, d.Refused),
+		Read:     increase(before.Read, d.Read),
+		Write:    increase(before.Write, d.Write),
+		ReadMS:   increase(before.ReadMS, d.ReadMS),
+		RunMS:    increase(before.RunMS, d.RunMS),
+		HoldMS:   increase(before.HoldMS, d.HoldMS),
 	}
 }
 
-func rise(from, to uint64) uint64 { return to - min(from, to) }
+func increase(from, to uint64) uint64 { return to - min(from, to) }
 
-// Load is what requests ask of targets at a time.
+// Load is the resource use of requests at one time.
 type Load struct {
-	Requests float64 // a second
-	Reading  float64 // targets that are kept busy with prompts
-	Running  float64 // runs under way
-	Held     float64 // tokens of their memory
+	Requests float64 // requests per second
+	Reading  float64 // number of targets busy with prefill
+	Running  float64 // concurrent runs
+	Held     float64 // KV memory in use, in tokens
 }
 
-// scaled returns a load of so many times the requests.
+// scaled returns the load multiplied by x.
 func (l Load) scaled(x float64) Load {
 	return Load{Requests: x * l.Requests, Reading: x * l.Reading, Running: x * l.Running, Held: x * l.Held}
 }
 
-// load returns the mean load within a time. By Little's law, the time that
-// requests take in all, over the time in which they came, is how many are
-// under way.
-func (d Demand) load(within time.Duration) Load {
-	ms := float64(within) / float64(time.Millisecond)
+// load returns the mean load over a period. By Little's law, the total time of
+// all requests divided by the period is the mean number in progress.
+func (d Demand) load(period time.Duration) Load {
+	ms := float64(period) / float64(time.Millisecond)
 	return Load{
-		Requests: float64(d.Requests) / within.Seconds(),
+		Requests: float64(d.Requests) / period.Seconds(),
 		Reading:  float64(d.ReadMS) / ms,
 		Running:  float64(d.RunMS) / ms,
 		Held:     float64(d.HoldMS) / ms,
 	}
 }
 
-// Times of a forecast.
+// Windows of a forecast.
 const (
-	// loadSpan is over which a load is averaged: requests come in clumps, and
-	// a run lasts some seconds anyway.
-	loadSpan = 5 * time.Second
-	// crestSpan is for how long a crest is held to come again: longer than a
-	// target boots and drains, so that what was bought for one is there for the
-	// next.
-	crestSpan = 30 * time.Second
+	// averagingWindow is the period over which the load is averaged, to smooth
+	// out short bursts.
+	averagingWindow = 5 * time.Second
+	// peakWindow is the period whose peak load is forecast to recur. It is
+	// longer than a target takes to boot and drain, so that capacity bought for
+	// one peak is still there for the next.
+	peakWindow = 30 * time.Second
 )
 
-// Forecast predicts a service's load: what came lately, or the highest of the
-// crests lately where that was more. A trend is not drawn on: over the time
-// that a target boots it is mostly noise (TestForecastIsNoWorseThanTrend).
+// Forecast predicts the load of a service as its recent peak. It does not
+// extrapolate trends, which over the boot time of a target are mostly noise.
 type Forecast struct {
-	samples []sample // oldest first
-	loads   []pastLoad
+	samples []demandSample // oldest first
+	loads   []loadSample
 }
 
-// sample is the demand since the start, at a time.
-type sample struct {
+// demandSample is a cumulative demand with its time.
+type demandSample struct {
 	at    time.Time
 	total Demand
 }
 
-// pastLoad is the load at a time within crestSpan.
-type pastLoad struct {
+// loadSample is a mean load within peakWindow, with its time.
+type loadSample struct {
 	at   time.Time
 	load Load
 }
 
-// Observe takes the demand since the start as it is now.
+// Observe adds the current cumulative demand.
 func (f *Forecast) Observe(now time.Time, total Demand) {
-	f.samples = append(f.samples, sample{now, total})
-	for len(f.samples) > 2 && now.Sub(f.samples[1].at) >= loadSpan {
+	f.samples = append(f.samples, demandSample{now, total})
+	for len(f.samples) > 2 && now.Sub(f.samples[1].at) >= averagingWindow {
 		f.samples = f.samples[1:]
 	}
-	f.loads = append(f.loads, pastLoad{now, f.Recent()})
-	for now.Sub(f.loads[0].at) > crestSpan {
+	f.loads = append(f.loads, loadSample{now, f.Recent()})
+	for now.Sub(f.loads[0].at) > peakWindow {
 		f.loads = f.loads[1:]
 	}
 }
 
-// Recent returns the load over the last seconds.
+// Recent returns the mean load over averagingWindow.
 func (f *Forecast) Recent() Load {
 	if len(f.samples) < 2 {
 		return Load{}
 	}
 	first, last := f.samples[0], f.samples[len(f.samples)-1]
-	within := last.at.Sub(first.at)
-	if within <= 0 {
+	period := last.at.Sub(first.at)
+	if period <= 0 {
 		return Load{}
 	}
-	return last.total.since(first.total).load(within)
+	return last.total.since(first.total).load(period)
 }
 
-// Known reports whether requests have come for long enough to tell their load.
+// Known reports whether requests have arrived for a whole averagingWindow.
 func (f *Forecast) Known() bool {
 	if len(f.samples) < 2 || f.samples[0].total.Requests == 0 {
 		return false
 	}
-	return f.samples[len(f.samples)-1].at.Sub(f.samples[0].at) >= loadSpan
+	return f.samples[len(f.samples)-1].at.Sub(f.samples[0].at) >= averagingWindow
 }
 
-// Expected returns the load to be ready for: the crest of each of its figures,
-// as few requests with long prompts may need more than many with short ones.
+// Expected returns the load to provision for: the recent peak of each
+// dimension. The dimensions peak separately because few requests with long
+// prompts may need more than many with short ones.
 func (f *Forecast) Expected() Load {
-	var crest Load
+	var peak Load
 	for _, past := range f.loads {
-		crest.Requests = max(crest.Requests, past.load.Requests)
-		crest.Reading = max(crest.Reading, past.load.Reading)
-		crest.Running = max(crest.Running, past.load.Running)
-		crest.Held = max(crest.Held, past.load.Held)
+		peak.Requests = max(peak.Requests, past.load.Requests)
+		peak.Reading = max(peak.Reading, past.load.Reading)
+		peak.Running = max(peak.Running, past.load.Running)
+		peak.Held = max(peak.Held, past.load.Held)
 	}
-	return crest
+	return peak
 }
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -1,6 +1,6 @@
-// Package fleet decides how many targets a service has, in which data halls
-// and of which kind, from what requests need and what targets cost. The
-// decision knows no wire and no clock but the times that it is handed.
+// Package fleet decides how many targets a service needs, in which data halls
+// and of which kind, from the load and the prices of targets. The package reads
+// no clock; callers pass in all times.
 package fleet
 
 import (
@@ -14,30 +14,30 @@
 	"github.com/walnutramp/walnutramp/duty"
 )
 
-// Kind is a kind of target, by its terms.
+// Kind is the purchase kind of a target.
 type Kind int
 
-// The kinds.
+// The target kinds.
 const (
-	OnDemand Kind = iota // stays until it is ordered away
-	Spot                 // cheaper; all of a data hall may be taken away at short notice
+	OnDemand Kind = iota // runs until it is scaled down
+	Spot                 // cheaper; the platform may reclaim all of a data hall at short notice
 )
 
-// Scaling is what the configuration says of a service whose targets can be
-// ordered.
+// Scaling is the scaling configuration of a service.
 type Scaling struct {
-	// Min and Max bound the targets of each data hall, both kinds together.
+	// Min and Max limit the number of targets per data hall, both kinds
+	// together.
 	Min, Max int
-	// Boot is the time from an order until a new target serves.
+	// Boot is the time from an order until a new target serves requests.
 	Boot time.Duration
-	// SpotPrice is what a spot target costs, as a part of an on-demand one's
-	// price; 0 where there are none.
+	// SpotPrice is the price of a spot target as a fraction of the on-demand
+	// price; 0 if there are no spot targets.
 	SpotPrice float64
-	// Prices are what a second of an on-demand target costs, by data hall.
+	// Prices are the prices per second of an on-demand target, by data hall.
 	Prices map[string]float64
 }
 
-// Order sets how many targets of a kind a service has in a data hall.
+// Order sets the desired count of targets of one kind in a data hall.
 type Order struct {
 	Service  string
 	DataHall string
@@ -45,47 +45,47 @@
 	Count    int
 }
 
-// Subject returns what the order is about, for its fencing token. Both kinds
-// of a hall share it, as the platform has it.
+// Subject returns the subject of the order's fencing token. Both kinds of a
+// data hall share it, as on the platform.
 func (o Order) Subject() duty.Subject {
 	return duty.Subject("fleet/" + o.Service + "/" + o.DataHall)
 }
 
-// Scaler hands an order to the platform.
+// Scaler sends orders to the platform.
 type Scaler interface {
-	// Scale makes the call once. Rejected says that there are no such targets
-	// to be had now.
+	// Scale makes one call without retries. duty.Rejected means that the
+	// platform has no such capacity now.
 	Scale(ctx context.Context, p duty.Permission, o Order) duty.Outcome
 }
 
-// Demand is what a service's requests have asked for at one node since its
-// process started. It only ever grows.
+// Demand is the cumulative demand for a service at one node since its process
+// started. All fields only increase.
 type Demand struct {
 	Service  string
-	Requests uint64 // new ones, refused ones among them
-	Refused  uint64 // for want of room
-	Read     uint64 // tokens of their prompts
-	Write    uint64 // tokens that they may put out, as their clients guess
-	ReadMS   uint64 // milliseconds that a target needs to read their prompts
-	RunMS    uint64 // milliseconds that their runs take, prompts included
-	HoldMS   uint64 // tokens that their runs hold, times milliseconds that they hold them
+	Requests uint64 // new requests, including refused ones
+	Refused  uint64 // refused for lack of capacity
+	Read     uint64 // prompt tokens
+	Write    uint64 // output tokens, as estimated by clients
+	ReadMS   uint64 // prefill time, in milliseconds
+	RunMS    uint64 // run time including prefill, in milliseconds
+	HoldMS   uint64 // KV memory use, in tokens times milliseconds
 }
 
-// Place is where targets of one kind are ordered.
+// Place is a scaling group: the targets of one kind in a data hall.
 type Place struct {
 	DataHall string
 	Kind     Kind
 }
 
-// Counts are numbers of targets by place.
+// Counts are target counts by place.
 type Counts map[Place]int
 
-// Hall returns the targets of a data hall, both kinds together.
+// Hall returns the count of a data hall, both kinds together.
 func (c Counts) Hall(hall string) int {
 	return c[Place{hall, OnDemand}] + c[Place{hall, Spot}]
 }
 
-// Places returns the places with targets, in order.
+// Places returns the places with a non-zero count, sorted.
 func (c Counts) Places() []Place {
 	var places []Place
 	for p, n := range c {
@@ -99,7 +99,7 @@
 	return places
 }
 
-// Total returns all targets.
+// Total returns the sum of all counts.
 func (c Counts) Total() int {
 	total := 0
 	for _, n := range c {
@@ -108,7 +108,7 @@
 	return total
 }
 
-// String lists the counts by place, for logs.
+// String returns the counts by place, for logs.
 func (c Counts) String() string {
 	var parts []string
 	for _, p := range c.Places() {
@@ -117,7 +117,8 @@
 	return strings.Join(parts, " ")
 }
 
-// price returns what a second of a target costs.
+// price returns the price of a target per second. Data halls without a price
+// count as 1.
 func (s *Scaling) price(p Place) float64 {
 	price, known := s.Prices[p.DataHall]
 	if !known {
@@ -129,7 +130,7 @@
 	return price
 }
 
-// Cost returns what a second of so many targets costs.
+// Cost returns the price of the counts per second.
 func (s *Scaling) Cost(c Counts) float64 {
 	cost := 0.0
 	for p, n := range c {
@@ -138,7 +139,7 @@
 	return cost
 }
 
-// String returns the kind's name in logs.
+// String returns the kind's name.
 func (k Kind) String() string {
 	if k == Spot {
 		return "spot"
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -8,7 +8,7 @@
 	"github.com/walnutramp/walnutramp/fleet"
 )
 
-// A fleet of the size that fixed on-demand targets cost for the time.
+// fixedCost returns the cost of keeping the initial on-demand targets.
 func fixedCost(s *simulation, until time.Duration) float64 {
 	counts := fleet.Counts{}
 	for _, hall := range s.halls {
@@ -17,17 +17,17 @@
 	return s.scaling.Cost(counts) * until.Seconds()
 }
 
-// check fails unless callers were served and targets cost little beside a fixed
-// fleet.
+// check fails the test if too few requests were served or the cost relative to
+// a fixed fleet is too high.
 func (s *simulation) check(until time.Duration, served, cost float64) {
 	s.t.Helper()
 	part := s.cost / fixedCost(s, until)
-	s.t.Logf("served %.4f, cost %.3f of a fixed fleet's, %d calls, at least %d served", s.served(), part, s.calls, s.lowest)
+	s.t.Logf("served %.4f of the requests, cost %.3f of a fixed fleet, %d calls, at least %d serving targets", s.served(), part, s.calls, s.minServing)
 	if s.served() < served {
-		s.t.Errorf("served %.4f, want %.4f", s.served(), served)
+		s.t.Errorf("served %.4f of the requests, want %.4f", s.served(), served)
 	}
 	if part > cost {
-		s.t.Errorf("cost %.3f of a fixed fleet's, want %.3f at most", part, cost)
+		s.t.Errorf("cost %.3f of a fixed fleet, want at most %.3f", part, cost)
 	}
 	if s.t.Failed() {
 		for _, o := range s.steps {
@@ -38,8 +38,8 @@
 
 const simTime = 60 * time.Second
 
-func TestWaveIsServedForLittle(t *testing.T) {
-	s := newSimulation(t, wave)
+func TestPeriodicLoad(t *testing.T) {
+	s := newSimulation(t, periodicLoad)
 	s.run(simTime)
 	s.check(simTime, 1, 0.65)
 	for i, a := range s.steps {
@@ -51,39 +51,39 @@
 				t.Errorf("two changes of %v within a boot time, at %v and %v", a.step.Order.Place(), a.at, b.at)
 			}
 			if a.step.Order.Count < a.step.Before && b.step.Order.Count > b.step.Before && a.step.Order.Kind == fleet.Spot {
-				t.Errorf("see-saw of %v, at %v and %v", a.step.Order.Place(), a.at, b.at)
+				t.Errorf("oscillation of %v, at %v and %v", a.step.Order.Place(), a.at, b.at)
 			}
 		}
 	}
 }
 
-func TestKindsAreSwappedBeforeTheFirstRequest(t *testing.T) {
+func TestSpotReplacesOnDemandBeforeFirstRequest(t *testing.T) {
 	s := newSimulation(t, func(time.Duration) float64 { return 0 })
 	s.run(9 * time.Second)
 	onDemand := 0
 	for _, hall := range simHalls {
-		dear := s.count(fleet.Place{DataHall: hall})
-		onDemand += dear
-		if n := dear + s.count(fleet.Place{DataHall: hall, Kind: fleet.Spot}); n != 60 {
-			t.Errorf("%d targets in hall %s, want the 60 that there were", n, hall)
+		inHall := s.count(fleet.Place{DataHall: hall})
+		onDemand += inHall
+		if n := inHall + s.count(fleet.Place{DataHall: hall, Kind: fleet.Spot}); n != 60 {
+			t.Errorf("%d targets in hall %s, want the initial 60", n, hall)
 		}
 	}
 	if onDemand == 0 || onDemand > 90 {
-		t.Errorf("%d on-demand targets, want some and half of all at most", onDemand)
+		t.Errorf("%d on-demand targets, want 1 to 90", onDemand)
 	}
 	for _, o := range s.steps {
 		if o.step.Order.Kind == fleet.OnDemand && o.at < s.scaling.Boot {
-			t.Errorf("on-demand targets ordered away at %v, before spot targets served", o.at)
+			t.Errorf("on-demand targets removed at %v, before spot targets served", o.at)
 		}
 	}
 }
 
-func TestBurstIsServed(t *testing.T) {
+func TestBurst(t *testing.T) {
 	s := newSimulation(t, func(at time.Duration) float64 {
 		if at >= 25*time.Second && at < 28*time.Second {
-			return 2 * wave(at)
+			return 2 * periodicLoad(at)
 		}
-		return wave(at)
+		return periodicLoad(at)
 	})
 	s.run(simTime)
 	s.check(simTime, 1, 0.8)
@@ -92,20 +92,20 @@
 func TestBurstWhileTargetsBoot(t *testing.T) {
 	s := newSimulation(t, func(at time.Duration) float64 {
 		if at >= 9*time.Second && at < 13*time.Second {
-			return 1.8 * wave(at)
+			return 1.8 * periodicLoad(at)
 		}
-		return wave(at)
+		return periodicLoad(at)
 	})
 	s.run(simTime)
 	s.check(simTime, 1, 0.8)
 }
 
-func TestHallThatCrashes(t *testing.T) {
-	s := newSimulation(t, wave)
+func TestDataHallOutage(t *testing.T) {
+	s := newSimulation(t, periodicLoad)
 	s.at(30*time.Second, func() {
 		for _, target := range s.targets {
 			if target.place.DataHall == "b" {
-				target.boots = s.now + time.Second
+				target.servesAt = s.now + time.Second
 			}
 		}
 	})
@@ -113,35 +113,35 @@
 	s.check(simTime, 1, 0.65)
 }
 
-// reclaim takes all spot targets of a hall away; for a while there are none to
-// be had there.
-func (s *simulation) reclaim(at time.Duration, hall string, dry time.Duration) {
+// reclaim reclaims all spot targets of a data hall; for the shortage period
+// there is no capacity for others.
+func (s *simulation) reclaim(at time.Duration, hall string, shortage time.Duration) {
 	p := fleet.Place{DataHall: hall, Kind: fleet.Spot}
-	s.at(at, func() { s.take(p, s.count(p), simNotice) })
-	s.dry[p] = func(now time.Duration) bool { return now >= at && now < at+dry }
+	s.at(at, func() { s.drain(p, s.count(p), simNotice) })
+	s.noCapacity[p] = func(now time.Duration) bool { return now >= at && now < at+shortage }
 }
 
-func TestReclaimOfAHall(t *testing.T) {
-	s := newSimulation(t, wave)
+func TestSpotReclaimInOneHall(t *testing.T) {
+	s := newSimulation(t, periodicLoad)
 	s.reclaim(30*time.Second, "b", 10*time.Second)
 	s.run(simTime)
 	s.check(simTime, 1, 0.7)
 	if n := s.count(fleet.Place{DataHall: "b", Kind: fleet.Spot}); n < 10 {
-		t.Errorf("%d spot targets in hall b 20 s after there are some again", n)
+		t.Errorf("%d spot targets in hall b 20 s after the end of the shortage, want at least 10", n)
 	}
 }
 
-func TestNoSpotTargetsAnywhere(t *testing.T) {
-	s := newSimulation(t, wave)
+func TestNoSpotCapacity(t *testing.T) {
+	s := newSimulation(t, periodicLoad)
 	for _, hall := range simHalls {
-		s.dry[fleet.Place{DataHall: hall, Kind: fleet.Spot}] = func(time.Duration) bool { return true }
+		s.noCapacity[fleet.Place{DataHall: hall, Kind: fleet.Spot}] = func(time.Duration) bool { return true }
 	}
 	s.run(simTime)
 	s.check(simTime, 1, 1)
 }
 
-func TestAllSpotTargetsAreReclaimed(t *testing.T) {
-	s := newSimulation(t, wave)
+func TestSpotReclaimInAllHalls(t *testing.T) {
+	s := newSimulation(t, periodicLoad)
 	for i, hall := range simHalls {
 		s.reclaim(time.Duration(30+3*i)*time.Second, hall, 20*time.Second)
 	}
@@ -149,8 +149,8 @@
 	s.check(simTime, 0.95, 0.8)
 }
 
-func TestPlatformIsDown(t *testing.T) {
-	s := newSimulation(t, wave)
+func TestPlatformOutage(t *testing.T) {
+	s := newSimulation(t, periodicLoad)
 	s.down = func(at time.Duration) bool { return at >= 2*time.Second && at < 7*time.Second }
 	s.run(simTime)
 	s.check(simTime, 1, 0.65)
@@ -159,10 +159,10 @@
 	}
 }
 
-func TestOrdersAreCarriedOutLate(t *testing.T) {
-	s := newSimulation(t, wave)
+func TestOrdersTakeEffectAfterLostAnswer(t *testing.T) {
+	s := newSimulation(t, periodicLoad)
 	lost := 0
-	s.late = func(time.Duration) time.Duration {
+	s.lostAnswerDelay = func(time.Duration) time.Duration {
 		if lost++; lost%3 == 0 {
 			return 2 * time.Second
 		}
@@ -172,8 +172,8 @@
 	s.check(simTime, 1, 0.65)
 }
 
-func TestLeaderChanges(t *testing.T) {
-	s := newSimulation(t, wave)
+func TestLeaderChange(t *testing.T) {
+	s := newSimulation(t, periodicLoad)
 	s.leaders = []time.Duration{3 * time.Second, 5 * time.Second, 20 * time.Second, 33 * time.Second}
 	s.run(simTime)
 	s.check(simTime, 1, 0.65)
@@ -182,46 +182,46 @@
 	}
 }
 
-func TestOneHall(t *testing.T) {
-	s := newSimulation(t, wave)
+func TestSingleHall(t *testing.T) {
+	s := newSimulation(t, periodicLoad)
 	s.halls, s.base = []string{"a"}, 100
 	s.run(simTime)
 	s.check(simTime, 1, 0.9)
 }
 
-func TestMostTargetsReached(t *testing.T) {
-	s := newSimulation(t, func(at time.Duration) float64 { return 5 * wave(at) })
+func TestMaxTargets(t *testing.T) {
+	s := newSimulation(t, func(at time.Duration) float64 { return 5 * periodicLoad(at) })
 	s.scaling.Max = 70
 	s.run(simTime)
 	s.check(simTime, 0.9, 1)
 }
 
-func TestFewestTargetsReached(t *testing.T) {
-	s := newSimulation(t, func(at time.Duration) float64 { return wave(at) / 100 })
+func TestMinTargets(t *testing.T) {
+	s := newSimulation(t, func(at time.Duration) float64 { return periodicLoad(at) / 100 })
 	s.scaling.Min = 10
 	s.run(2 * simTime)
 	s.check(2*simTime, 1, 0.25)
 	for _, hall := range simHalls {
 		sum := s.count(fleet.Place{DataHall: hall}) + s.count(fleet.Place{DataHall: hall, Kind: fleet.Spot})
 		if sum != 10 {
-			t.Errorf("%d targets in hall %s, want the fewest that it may have, 10", sum, hall)
+			t.Errorf("%d targets in hall %s, want the minimum of 10", sum, hall)
 		}
 	}
 }
 
-// FuzzPlan checks that for any input the counts stay within their bounds and
-// don't fall below what the load needs, as far as targets are to be had.
+// FuzzPlan checks that for any input the counts stay within their limits and
+// cover the least need of the load, as far as capacity is available.
 func FuzzPlan(f *testing.F) {
 	f.Add(1, 120, 0.15, 1.0, 0.8, 1.25, 41.0, 200.0, 2e6, uint8(0))
 	f.Add(0, 5, 0.0, 1.0, 1.0, 1.0, 4e3, 1e5, 1e9, uint8(3))
 	f.Add(3, 20, 1.0, 1e3, 1e-3, 1.0, 10.0, 10.0, 1e5, uint8(63))
-	f.Fuzz(func(t *testing.T, least, most int, spot, a, b, c, reading, running, held float64, stuck uint8) {
-		if least < 0 || most < least || most > 200 || !sane(spot, 0, 1) || !sane(a, 0, 1e4) || !sane(b, 0, 1e4) || !sane(c, 0, 1e4) ||
-			!sane(reading, 0, 1e6) || !sane(running, 0, 1e6) || !sane(held, 0, 1e12) {
+	f.Fuzz(func(t *testing.T, minTargets, maxTargets int, spot, a, b, c, reading, running, held float64, stuck uint8) {
+		if minTargets < 0 || maxTargets < minTargets || maxTargets > 200 || !inRange(spot, 0, 1) || !inRange(a, 0, 1e4) || !inRange(b, 0, 1e4) || !inRange(c, 0, 1e4) ||
+			!inRange(reading, 0, 1e6) || !inRange(running, 0, 1e6) || !inRange(held, 0, 1e12) {
 			t.Skip()
 		}
 		s := fleet.Situation{
-			Scaling: fleet.Scaling{Min: least, Max: most, Boot: time.Second, SpotPrice: spot, Prices: map[string]float64{"a": a, "b": b, "c": c}},
+			Scaling: fleet.Scaling{Min: minTargets, Max: maxTargets, Boot: time.Second, SpotPrice: spot, Prices: map[string]float64{"a": a, "b": b, "c": c}},
 			Engine:  simEngine(), Risks: fleet.AssumedRisks(), Base: map[string]int{"a": 1, "b": 2, "c": 3},
 			Load:  &fleet.Load{Requests: reading, Reading: reading, Running: running, Held: held},
 			Stuck: fleet.Counts{},
@@ -237,7 +237,7 @@
 				}
 			}
 			if free {
-				room += most
+				room += maxTargets
 			}
 		}
 		for _, load := range []*fleet.Load{nil, s.Load} {
@@ -248,19 +248,19 @@
 	})
 }
 
-func sane(x, least, most float64) bool { return !math.IsNaN(x) && x >= least && x <= most }
+func inRange(x, lo, hi float64) bool { return !math.IsNaN(x) && x >= lo && x <= hi }
 
 func checkPlan(t *testing.T, s *fleet.Situation, wanted fleet.Counts, room int) {
 	t.Helper()
 	for p, n := range wanted {
 		if n < 0 || wanted.Hall(p.DataHall) > s.Scaling.Max {
-			t.Errorf("%d of %v, more than %d in its hall", n, p, s.Scaling.Max)
+			t.Errorf("%d of %v, want at most %d in its hall", n, p, s.Scaling.Max)
 		}
-		if there, stuck := s.Stuck[p]; stuck && n > there {
-			t.Errorf("%d of %v, where no more than %d are to be had", n, p, there)
+		if available, stuck := s.Stuck[p]; stuck && n > available {
+			t.Errorf("%d of %v, want at most the %d available", n, p, available)
 		}
 	}
 	if s.Load != nil && wanted.Total() < min(s.Least(), room) {
-		t.Errorf("%d targets, the load can't do with fewer than %d", wanted.Total(), s.Least())
+		t.Errorf("%d targets, want at least %d for the load", wanted.Total(), s.Least())
 	}
 }
--- a/fleet/mover.go
+++ b/fleet/mover.go
@@ -9,101 +9,100 @@
 	"github.com/walnutramp/walnutramp/duty"
 )
 
-// Bounds of a Mover.
+// Parameters of a Mover.
 const (
-	// listLag is how much later than it happened a change is on the platform's
-	// list as it is read here.
+	// listLag is the delay until a change shows on the platform's target list.
 	listLag = 3 * time.Second
-	// retryFirst is the pause after a call that had no clear answer; it doubles
-	// with each further one.
-	retryFirst   = 500 * time.Millisecond
-	retryLongest = 8 * time.Second
-	// stuckLongest bounds the pause, in boot times, after which a place where
-	// no target was to be had is tried again. It grows with each refusal; a
-	// place that is tried rarely stays empty for long after it could be had.
-	stuckLongest = 2
-	stuckGrowth  = 1.3
-	// shrinkShare is the part of a data hall's targets that one change orders
-	// away: their runs go on elsewhere, which has to take them in.
-	shrinkShare = 0.25
-	// deadBand is the part of a data hall's targets below which a change is
-	// not worth a call.
+	// minRetryDelay is the delay after a call with an unclear outcome; it
+	// doubles with each further one, up to maxRetryDelay.
+	minRetryDelay = 500 * time.Millisecond
+	maxRetryDelay = 8 * time.Second
+	// maxBackoff limits the backoff, in boot times, after the platform had no
+	// capacity at a place. The backoff grows by backoffFactor with each
+	// refusal, and stays short so that new capacity is found soon.
+	maxBackoff    = 2
+	backoffFactor = 1.3
+	// maxShrinkPart limits the fraction of a data hall's targets that one order
+	// removes, since other targets must take over their runs.
+	maxShrinkPart = 0.25
+	// deadBand is the change, as a fraction of a data hall's targets, below
+	// which no order is made.
 	deadBand = 0.05
-	// growAgain is the part of a data hall's targets from which on more are
-	// ordered while those ordered last still boot.
-	growAgain = 0.25
-	// shrinkPatience, in boot times, is for how long fewer targets must have
-	// been wanted: one that is ordered away and missed then boots anew.
-	shrinkPatience = 2
-	// backShare is the part of the ordered spot targets from which on they are
-	// held to be there again after they were taken away.
-	backShare = 0.75
-	// drainTime is for how long targets that were ordered away may be on the
-	// list as leaving.
+	// regrowPart is the change, as a fraction of a data hall's targets, from
+	// which more are ordered while earlier ones still boot.
+	regrowPart = 0.25
+	// scaleDownDelay is the time, in boot times, for which fewer targets must
+	// have been wanted before any are removed. It avoids removing targets that
+	// are soon needed again.
+	scaleDownDelay = 2
+	// recoveredPart is the fraction of the ordered spot targets that must serve
+	// for a reclaim to count as over.
+	recoveredPart = 0.75
+	// drainTime is how long removed targets may be listed as leaving.
 	drainTime = 20 * time.Second
 )
 
-// View is what a Mover goes by.
+// View is the input of a Mover.
 type View struct {
 	Scaling Scaling
 	Wanted  Counts
-	Ordered Counts // as agreed on, or there from the beginning
-	Given   Counts // the same, without those that were never ordered
-	Serving Counts // as the platform's list shows
-	Leaving Counts // the same, of those that take no new work
-	Least   int    // the fewest targets that the load can do with
-	// Busy are the data halls for which a call is under way.
+	Ordered Counts // desired counts: from orders, else from the initial targets
+	Given   Counts // desired counts from orders only
+	Serving Counts // targets listed as serving
+	Leaving Counts // targets listed as draining
+	Least   int    // fewest targets that can serve the load
+	// Busy are the data halls with a call in progress.
 	Busy map[string]bool
-	// Filling says that the list does not show all targets yet, as at the start
-	// of a site: nothing is ordered away then.
+	// Filling means that the list may be incomplete, as after the start of a
+	// site; no targets are removed then.
 	Filling bool
-	// Idle says that no request has come yet, so that nothing is lost when
-	// many targets change at once.
+	// Idle means that no request has arrived yet, so many targets may be
+	// replaced at once.
 	Idle bool
 }
 
-// Step is one order on the way.
+// Step is one order to be sent.
 type Step struct {
 	Order  Order
-	Before int // the count ordered before; the same for a repeat
+	Before int // count of the previous order; equal for a repeat
 }
 
-// Repeats reports whether the step repeats an earlier order.
+// Repeats reports whether the step repeats the previous order.
 func (s Step) Repeats() bool { return s.Before == s.Order.Count }
 
-// Mover leads a service's targets from what is ordered to what is wanted. It
-// grows at once and shrinks slowly, and orders nothing away before what is to
-// take its place serves. An order is repeated while the list does not show it.
+// Mover reconciles a service's targets with the wanted counts. It scales up at
+// once and down slowly, removes targets only after their replacements serve,
+// and repeats orders that do not take effect.
 type Mover struct {
-	service string
-	places  map[Place]*placeState
-	shrunk  map[string]time.Time // by data hall, the newest order for fewer
-	wanted  []wantedAt           // over the patience, oldest first
+	service    string
+	places     map[Place]*placeState
+	lastShrunk map[string]time.Time // time of the last scale-down, by data hall
+	wanted     []wantedAt           // within scaleDownDelay, oldest first
 }
 
-// wantedAt is what was wanted at a time.
+// wantedAt is the wanted counts at one time.
 type wantedAt struct {
 	at     time.Time
 	counts Counts
 }
 
-// placeState is what came of the calls for one place.
+// placeState is the state of the orders for one place.
 type placeState struct {
-	sent      time.Time // the newest call of this Mover; zero for none
-	grown     time.Time // the newest order for more
-	retries   int       // calls in a row that had no clear answer
-	repeats   int       // of an order that was carried out and does not show
-	differs   time.Time // since when the list shows another count; zero if it does not
-	stuck     time.Time // until when no more are to be had
-	stuckFor  time.Duration
-	reclaimed bool // its spot targets are being taken away
-	lowered   int  // targets that were ordered away lately
-	loweredAt time.Time
+	lastSent     time.Time // last call of this Mover; zero if there was none
+	lastGrown    time.Time // last scale-up
+	unclear      int       // consecutive calls with an unclear outcome
+	repeated     int       // of an acknowledged order that did not take effect
+	differsSince time.Time // since when the list differs from the order; zero if it does not
+	backoffUntil time.Time // end of the backoff after a refusal
+	backoff      time.Duration
+	reclaimed    bool // its spot targets are being reclaimed
+	removed      int  // targets removed within drainTime
+	removedAt    time.Time
 }
 
-// NewMover returns a mover of a service's targets that has ordered nothing.
+// NewMover returns a mover for a service without any orders.
 func NewMover(service string) *Mover {
-	return &Mover{service: service, places: map[Place]*placeState{}, shrunk: map[string]time.Time{}}
+	return &Mover{service: service, places: map[Place]*placeState{}, lastShrunk: map[string]time.Time{}}
 }
 
 func (m *Mover) at(p Place) *placeState {
@@ -113,20 +112,19 @@
 	return m.places[p]
 }
 
-// Look takes what the list shows beside what is ordered. It returns where
-// spot targets have begun to be taken away. All of a place are taken together:
-// those that the list still shows as serving there have crashed or will leave,
-// so the view counts them no more.
+// Look compares the listed targets with the orders and returns the places where
+// a reclaim of spot targets has begun. A reclaim affects the whole place, so
+// Look removes its targets from v.Serving even if they are still listed.
 func (m *Mover) Look(now time.Time, v *View) (reclaimed []Place) {
 	v.Serving = maps.Clone(v.Serving)
 	for p, ordered := range v.Ordered {
 		s := m.at(p)
-		if s.takenAway(now, p, v) && !s.reclaimed {
+		if s.beingReclaimed(now, p, v) && !s.reclaimed {
 			s.reclaimed = true
 			s.refused(now, v.Scaling.Boot)
 			reclaimed = append(reclaimed, p)
 		}
-		if s.reclaimed && v.Leaving[p] == 0 && float64(v.Serving[p]) >= backShare*float64(ordered) {
+		if s.reclaimed && v.Leaving[p] == 0 && float64(v.Serving[p]) >= recoveredPart*float64(ordered) {
 			s.reclaimed = false
 		}
 		if s.reclaimed {
@@ -134,90 +132,89 @@
 		}
 		switch {
 		case v.Serving[p] == ordered:
-			s.differs, s.repeats = time.Time{}, 0
-		case s.differs.IsZero():
-			s.differs = now
+			s.differsSince, s.repeated = time.Time{}, 0
+		case s.differsSince.IsZero():
+			s.differsSince = now
 		}
 	}
 	return reclaimed
 }
 
-// takenAway reports whether more spot targets of a place leave than were
-// ordered away.
-func (s *placeState) takenAway(now time.Time, p Place, v *View) bool {
-	lowered := 0
-	if now.Sub(s.loweredAt) < drainTime {
-		lowered = s.lowered
+// beingReclaimed reports whether more spot targets of a place are leaving than
+// were removed by orders.
+func (s *placeState) beingReclaimed(now time.Time, p Place, v *View) bool {
+	removed := 0
+	if now.Sub(s.removedAt) < drainTime {
+		removed = s.removed
 	}
-	return p.Kind == Spot && v.Leaving[p] > lowered && v.Serving[p] < v.Ordered[p]
+	return p.Kind == Spot && v.Leaving[p] > removed && v.Serving[p] < v.Ordered[p]
 }
 
-// refused notes that no more targets are to be had, and holds that for a
-// while that grows.
+// refused starts a backoff because the platform had no capacity.
 func (s *placeState) refused(now time.Time, boot time.Duration) {
-	s.stuckFor = min(max(time.Duration(stuckGrowth*float64(s.stuckFor)), boot), stuckLongest*boot)
-	s.stuck = now.Add(s.stuckFor)
+	s.backoff = min(max(time.Duration(backoffFactor*float64(s.backoff)), boot), maxBackoff*boot)
+	s.backoffUntil = now.Add(s.backoff)
 }
 
-// Stuck returns the places where no more targets are to be had now, with how
-// many are there.
+// Stuck returns the places without further capacity at present, with the count
+// that serves there.
 func (m *Mover) Stuck(now time.Time, serving Counts) Counts {
 	stuck := Counts{}
 	for p, s := range m.places {
-		if now.Before(s.stuck) {
+		if now.Before(s.backoffUntil) {
 			stuck[p] = serving[p]
 		}
 	}
 	return stuck
 }
 
-// Sent notes what came of a call that was begun at a time.
+// Sent records the outcome of a call that was started at the given time.
 func (m *Mover) Sent(at time.Time, step Step, outcome duty.Outcome, boot time.Duration) {
 	s := m.at(step.Order.Place())
-	s.sent = at
+	s.lastSent = at
 	if step.Order.Count > step.Before {
-		s.grown = at
+		s.lastGrown = at
 	}
 	switch outcome {
 	case duty.Done:
-		s.retries, s.stuckFor = 0, 0
+		s.unclear, s.backoff = 0, 0
 		if step.Repeats() {
-			s.repeats++
+			s.repeated++
 		}
 		if step.Order.Count < step.Before {
-			m.shrunk[step.Order.DataHall] = at
-			s.lower(at, step.Before-step.Order.Count)
+			m.lastShrunk[step.Order.DataHall] = at
+			s.recordRemoved(at, step.Before-step.Order.Count)
 		}
 	case duty.Rejected:
-		s.retries = 0
+		s.unclear = 0
 		s.refused(at, boot)
 	default:
-		s.retries++
+		s.unclear++
 	}
 }
 
-// lower notes that targets were ordered away.
-func (s *placeState) lower(at time.Time, n int) {
-	if at.Sub(s.loweredAt) >= drainTime {
-		s.lowered = 0
+// recordRemoved records a scale-down by n targets.
+func (s *placeState) recordRemoved(at time.Time, n int) {
+	if at.Sub(s.removedAt) >= drainTime {
+		s.removed = 0
 	}
-	s.lowered += n
-	s.loweredAt = at
+	s.removed += n
+	s.removedAt = at
 }
 
-// Next returns the orders to be given now, one for each data hall at most.
+// Next returns the orders to send now, at most one per data hall.
 func (m *Mover) Next(now time.Time, v *View) []Step {
-	stay := v.staying()
-	m.remember(now, v)
-	spare := stay.Total() - v.Wanted.Total()
+	staying := v.staying()
+	m.recordWanted(now, v)
+	spare := staying.Total() - v.Wanted.Total()
 	var steps []Step
 	for _, hall := range v.halls() {
 		if v.Busy[hall] {
 			continue
 		}
-		step, ok := m.grow(now, v, hall)
+		step, ok := m.scaleUp(now, v, hall)
 		if !ok {
-			step, ok = m.shrink(now, v, hall, &spare, stay)
+			step, ok = m.scaleDown(now, v, hall, &spare, staying)
 		}
 		if !ok {
 			step, ok = m.repeat(now, v, hall)
@@ -229,31 +226,31 @@
 	return steps
 }
 
-// remember keeps what is wanted for as long as it may hold up an order for
-// fewer targets.
-func (m *Mover) remember(now time.Time, v *View) {
+// recordWanted stores the wanted counts for scaleDownDelay.
+func (m *Mover) recordWanted(now time.Time, v *View) {
 	m.wanted = append(m.wanted, wantedAt{now, v.Wanted})
-	for now.Sub(m.wanted[0].at) > shrinkPatience*v.Scaling.Boot {
+	for now.Sub(m.wanted[0].at) > scaleDownDelay*v.Scaling.Boot {
 		m.wanted = m.wanted[1:]
 	}
 }
 
-// mostWanted returns the most targets that were wanted in a data hall lately.
-func (m *Mover) mostWanted(hall string) int {
-	most := 0
+// maxWanted returns the highest count that was wanted in a data hall within
+// scaleDownDelay.
+func (m *Mover) maxWanted(hall string) int {
+	highest := 0
 	for _, w := range m.wanted {
-		most = max(most, w.counts.Hall(hall))
+		highest = max(highest, w.counts.Hall(hall))
 	}
-	return most
+	return highest
 }
 
-// staying returns the targets that serve and are not ordered away.
+// staying returns the serving targets that are not to be removed.
 func (v *View) staying() Counts {
-	stay := Counts{}
+	staying := Counts{}
 	for p, n := range v.Serving {
-		stay[p] = min(n, v.Ordered[p])
+		staying[p] = min(n, v.Ordered[p])
 	}
-	return stay
+	return staying
 }
 
 func (v *View) halls() []string {
@@ -269,23 +266,23 @@
 	return halls
 }
 
-// kinds are in the order in which they are bought: what may be taken away
-// takes the longest to come back.
+// kinds are in order of scale-up: reclaimed spot targets take the longest to
+// recover.
 var kinds = []Kind{Spot, OnDemand}
 
-// grow returns the order for more targets in a hall, if there is one to give.
-func (m *Mover) grow(now time.Time, v *View, hall string) (Step, bool) {
+// scaleUp returns the scale-up order for a data hall, if any.
+func (m *Mover) scaleUp(now time.Time, v *View, hall string) (Step, bool) {
 	for _, kind := range kinds {
 		p := Place{hall, kind}
 		before := v.Ordered[p]
 		other := Place{hall, 1 - kind}
-		room := v.Scaling.Max - max(v.Ordered[other], v.Serving[other]) // one ordered away late still counts
+		room := v.Scaling.Max - max(v.Ordered[other], v.Serving[other]) // removed targets may still serve
 		count := min(v.Wanted[p], room)
-		if count <= before || m.inDoubt(p) || now.Before(m.at(p).stuck) || v.small(count-before, hall) {
+		if count <= before || m.outcomeUnclear(p) || now.Before(m.at(p).backoffUntil) || v.inDeadBand(count-before, hall) {
 			continue
 		}
-		booting := !v.Idle && now.Sub(m.at(p).grown) < v.Scaling.Boot
-		if booting && float64(count-before) < growAgain*float64(v.Ordered.Hall(hall)) {
+		booting := !v.Idle && now.Sub(m.at(p).lastGrown) < v.Scaling.Boot
+		if booting && float64(count-before) < regrowPart*float64(v.Ordered.Hall(hall)) {
 			continue
 		}
 		return m.step(p, before, count), true
@@ -293,90 +290,91 @@
 	return Step{}, false
 }
 
-// shrink returns the order for fewer targets in a hall, if there is one to
-// give. Spare is how many targets of all halls are there beyond those wanted;
-// what the order takes is taken from it.
-func (m *Mover) shrink(now time.Time, v *View, hall string, spare *int, stay Counts) (Step, bool) {
-	if at := m.shrunk[hall]; v.Filling || !v.Idle && !at.IsZero() && now.Sub(at) < v.Scaling.Boot {
+// scaleDown returns the scale-down order for a data hall, if any. Spare is the
+// number of staying targets beyond those wanted, over all data halls; scaleDown
+// deducts what it removes.
+func (m *Mover) scaleDown(now time.Time, v *View, hall string, spare *int, staying Counts) (Step, bool) {
+	if at := m.lastShrunk[hall]; v.Filling || !v.Idle && !at.IsZero() && now.Sub(at) < v.Scaling.Boot {
 		return Step{}, false
 	}
 	for _, kind := range []Kind{OnDemand, Spot} {
 		p, other := Place{hall, kind}, Place{hall, 1 - kind}
 		before := v.Ordered[p]
-		over := before - v.Wanted[p]
-		grows := !v.Idle && now.Sub(m.at(p).grown) < v.Scaling.Boot
-		if over <= 0 || grows || m.inDoubt(p) || m.inDoubt(other) || now.Before(m.at(p).stuck) {
+		surplus := before - v.Wanted[p]
+		booting := !v.Idle && now.Sub(m.at(p).lastGrown) < v.Scaling.Boot
+		if surplus <= 0 || booting || m.outcomeUnclear(p) || m.outcomeUnclear(other) || now.Before(m.at(p).backoffUntil) {
 			continue
 		}
-		if v.Wanted[p] > 0 && v.small(over, hall) {
+		if v.Wanted[p] > 0 && v.inDeadBand(surplus, hall) {
 			continue
 		}
-		may := min(*spare, stay.Hall(hall)-v.Wanted.Hall(hall))
+		allowed := min(*spare, staying.Hall(hall)-v.Wanted.Hall(hall))
 		if v.Wanted[other] > v.Scaling.Max-before {
-			// The hall is full: some have to go first.
-			may = min(stay.Total()-v.Least, v.part(hall))
+			// The data hall is at Max: targets must be removed before others
+			// can be added.
+			allowed = min(staying.Total()-v.Least, v.maxShrink(hall))
 		}
 		if !v.Idle {
-			may = min(may, v.part(hall), v.Ordered.Hall(hall)-m.mostWanted(hall))
+			allowed = min(allowed, v.maxShrink(hall), v.Ordered.Hall(hall)-m.maxWanted(hall))
 		}
-		may = min(may, v.Ordered.Hall(hall)-v.Scaling.Min)
-		over = min(over, may)
-		if over <= 0 {
+		allowed = min(allowed, v.Ordered.Hall(hall)-v.Scaling.Min)
+		surplus = min(surplus, allowed)
+		if surplus <= 0 {
 			continue
 		}
-		*spare -= over
-		stay[p] -= min(stay[p], over)
-		return m.step(p, before, before-over), true
+		*spare -= surplus
+		staying[p] -= min(staying[p], surplus)
+		return m.step(p, before, before-surplus), true
 	}
 	return Step{}, false
 }
 
-// part returns how many targets of a hall one change may order away.
-func (v *View) part(hall string) int {
-	return max(1, int(math.Ceil(shrinkShare*float64(v.Ordered.Hall(hall)))))
+// maxShrink returns how many targets of a data hall one order may remove.
+func (v *View) maxShrink(hall string) int {
+	return max(1, int(math.Ceil(maxShrinkPart*float64(v.Ordered.Hall(hall)))))
 }
 
-// small reports whether a change is not worth a call.
-func (v *View) small(change int, hall string) bool {
+// inDeadBand reports whether a change is within the dead band.
+func (v *View) inDeadBand(change int, hall string) bool {
 	return !v.Idle && v.Ordered.Total() >= v.Least && float64(change) < deadBand*float64(v.Ordered.Hall(hall))
 }
 
-// inDoubt reports whether the newest call for a place had no clear answer.
-func (m *Mover) inDoubt(p Place) bool {
+// outcomeUnclear reports whether the last call for a place had an unclear outcome.
+func (m *Mover) outcomeUnclear(p Place) bool {
 	s := m.at(p)
-	return s.retries > 0
+	return s.unclear > 0
 }
 
-// repeat returns an order that has to be given again, if there is one.
+// repeat returns an order that must be sent again, if any.
 func (m *Mover) repeat(now time.Time, v *View, hall string) (Step, bool) {
 	for _, kind := range kinds {
 		p := Place{hall, kind}
-		if count, given := v.Given[p]; given && m.repeats(now, v, p) {
+		if count, given := v.Given[p]; given && m.mustRepeat(now, v, p) {
 			return m.step(p, count, count), true
 		}
 	}
 	return Step{}, false
 }
 
-// repeats reports whether the newest order for a place has to be given again:
-// its call had no clear answer, or the list has not shown it for longer than a
-// target takes to boot. A new leader repeats at once what does not show.
-func (m *Mover) repeats(now time.Time, v *View, p Place) bool {
+// mustRepeat reports whether the last order for a place must be sent again: its
+// outcome was unclear, or the list has not shown it for longer than the boot
+// time. A new leader repeats at once.
+func (m *Mover) mustRepeat(now time.Time, v *View, p Place) bool {
 	s := m.at(p)
 	switch {
-	case now.Before(s.stuck):
+	case now.Before(s.backoffUntil):
 		return false
-	case s.retries > 0:
-		return now.Sub(s.sent) >= min(retryFirst<<min(s.retries-1, 8), retryLongest)
-	case s.differs.IsZero():
+	case s.unclear > 0:
+		return now.Sub(s.lastSent) >= min(minRetryDelay<<min(s.unclear-1, 8), maxRetryDelay)
+	case s.differsSince.IsZero():
 		return false
-	case s.sent.IsZero(), s.stuckFor > 0:
+	case s.lastSent.IsZero(), s.backoff > 0:
 		return true
 	}
-	settle := (v.Scaling.Boot + listLag) << min(s.repeats, 3)
-	since := s.differs
-	if s.sent.After(since) {
-		since = s.sent
+	settle := (v.Scaling.Boot + listLag) << min(s.repeated, 3)
+	since := s.differsSince
+	if s.lastSent.After(since) {
+		since = s.lastSent
 	}
 	return now.Sub(since) >= settle
 }
--- a/fleet/need.go
+++ b/fleet/need.go
@@ -2,93 +2,90 @@
 
 import "math"
 
-// Engine is what one target of a service can do, as the configuration says; 0
-// for what it does not say.
+// Engine is the configured capacity of one target; 0 means unknown.
 type Engine struct {
-	Slots  int  // runs at once
-	Memory int  // tokens that runs and copies may hold
-	Copies bool // each run is kept at another target as well
+	Slots  int  // concurrent runs
+	Memory int  // KV memory in tokens, for runs and backup copies
+	Copies bool // each run has a backup copy at another target
 }
 
-// Known reports whether the configuration says what a target can do.
+// Known reports whether any capacity is configured.
 func (e Engine) Known() bool { return e.Slots > 0 || e.Memory > 0 }
 
-// Shares of a target that may be used before callers notice.
+// Utilization limits of a target.
 const (
-	// comfortReading is how much of the time a target reads prompts: entries
-	// choose by news that is some 100 ms old, so prompts meet. At a half, one
-	// that meets another still begins within twice its own reading.
+	// comfortReading is the prefill utilization up to which prompts seldom
+	// queue. Nodes balance on load reports that are about 100 ms old, so
+	// prompts collide.
 	comfortReading = 0.5
-	// comfortMemory is the part of its memory, or of its places, up to which
-	// entries hold a target to be as good as an empty one (see balance).
+	// comfortMemory is the utilization of memory or slots up to which the
+	// balancer treats a target like an empty one.
 	comfortMemory = 0.8
-	// mostReading and mostMemory are beyond which requests are refused.
-	mostReading = 0.9
-	mostMemory  = 0.95
+	// maxReading and maxMemory are the utilizations above which requests are
+	// refused.
+	maxReading = 0.9
+	maxMemory  = 0.95
 )
 
-// need is how many targets a load asks for.
+// need is the number of targets that a load requires.
 type need struct {
-	most    float64 // with fewer, requests are refused or wait ever longer
-	comfort float64 // with more, nobody is served better
+	minimum float64 // below it, requests are refused or queue without bound
+	comfort float64 // above it, more targets do not improve service
 }
 
-// needOf works out what a load needs.
+// needOf returns the need of a load.
 func (e Engine) needOf(l Load) need {
 	held := l.Held
 	if e.Copies {
 		held *= 2
 	}
 	return need{
-		most:    max(l.Reading/mostReading, part(l.Held, e.Memory, mostMemory), part(l.Running, e.Slots, mostMemory)),
-		comfort: max(l.Reading/comfortReading, part(held, e.Memory, comfortMemory), part(l.Running, e.Slots, comfortMemory)),
+		minimum: max(l.Reading/maxReading, targetsFor(l.Held, e.Memory, maxMemory), targetsFor(l.Running, e.Slots, maxMemory)),
+		comfort: max(l.Reading/comfortReading, targetsFor(held, e.Memory, comfortMemory), targetsFor(l.Running, e.Slots, comfortMemory)),
 	}
 }
 
-// part returns how many targets a use takes, of which each may be filled to a
-// share; 0 where their size is not known.
-func part(use float64, size int, share float64) float64 {
+// targetsFor returns the number of targets of a given size for a use, at the
+// given utilization; 0 if the size is unknown.
+func targetsFor(use float64, size int, utilization float64) float64 {
 	if size <= 0 {
 		return 0
 	}
-	return use / (float64(size) * share)
+	return use / (float64(size) * utilization)
 }
 
-// Least returns the fewest targets that a load can do with.
-func (e Engine) Least(l Load) int { return int(math.Ceil(e.needOf(l).most)) }
+// Least returns the fewest targets that can serve a load.
+func (e Engine) Least(l Load) int { return int(math.Ceil(e.needOf(l).minimum)) }
 
-// Risks are the parts of the time in which something is missing or more than
-// usual comes, until the fleet has been made to fit.
+// Risks are the fractions of time during which a fault or burst lasts, until
+// the fleet has adapted.
 type Risks struct {
-	HallLost float64 // the targets of a given data hall
-	Reclaim  float64 // the spot targets of a given data hall
-	Burst    float64 // burstSize times the requests
+	HallLost float64 // a given data hall has lost its targets
+	Reclaim  float64 // the spot targets of a given data hall are reclaimed
+	Burst    float64 // burstFactor times the request rate
 }
 
-// Assumed parts of the time, of a site of which nothing else is known.
+// Default risks of a site without other information.
 const (
-	// assumedLost is rather the part of the time in which a hall's targets have
-	// just been lost and their work is being made up for elsewhere.
+	// assumedLost covers the loss of a data hall and the recovery of its work
+	// elsewhere.
 	assumedLost = 0.1
-	// assumedReclaimed is the part in which a hall has no spot targets: who
-	// sells them promises nothing, and where they were taken away there are none
-	// for a while.
+	// assumedReclaimed covers spot reclaims and the shortage that follows them.
 	assumedReclaimed = 0.1
-	// assumedBurst is the part in which half as many requests again and more
-	// come, without notice.
+	// assumedBurst covers load far above the forecast.
 	assumedBurst = 0.1
 )
 
-// AssumedRisks returns the risks of a site of which nothing is known.
+// AssumedRisks returns the default risks of a site.
 func AssumedRisks() Risks {
 	return Risks{HallLost: assumedLost, Reclaim: assumedReclaimed, Burst: assumedBurst}
 }
 
-// idleShare is the part of the targets that there were which has to stay while
-// the load is not known.
-const idleShare = 0.75
+// minInitialPart is the fraction of the initial targets that must stay while
+// the load is unknown.
+const minInitialPart = 0.75
 
-// Least returns the fewest targets that are to be there at any time.
+// Least returns the fewest targets that must serve at any time.
 func (s *Situation) Least() int {
 	if s.Load != nil {
 		return s.Engine.Least(*s.Load)
@@ -97,5 +94,5 @@
 	for _, n := range s.Base {
 		base += n
 	}
-	return int(math.Ceil(idleShare * float64(base)))
+	return int(math.Ceil(minInitialPart * float64(base)))
 }
--- a/fleet/plan.go
+++ b/fleet/plan.go
@@ -5,49 +5,48 @@
 	"slices"
 )
 
-// Method names a way in which a plan was made.
+// Method is a planning method.
 type Method string
 
-// The methods.
+// The planning methods.
 const (
-	// KeepCapacity keeps as many targets as there were, of the cheaper kind,
-	// while the load is not known.
+	// KeepCapacity keeps the initial number of targets, with cheaper kinds,
+	// while the load is unknown.
 	KeepCapacity Method = "keep-capacity"
-	// HallReserve has comfortable room after the loss of any one hall.
+	// HallReserve provisions for comfortable use after the loss of any one data
+	// hall.
 	HallReserve Method = "hall-reserve"
-	// LeastCost has the least expected cost of targets and of what callers
-	// lose.
+	// LeastCost minimizes the expected cost of targets and penalties.
 	LeastCost Method = "least-cost"
 )
 
-// Plan says how many targets are wanted.
+// Plan is the wanted counts and how they were chosen.
 type Plan struct {
 	Wanted Counts
 	Method Method
-	Cost   float64 // expected, a second, in prices of targets; 0 for KeepCapacity
-	Other  Method  // the runner-up; empty if there was none
-	// OtherWanted and OtherCost are what the runner-up comes to.
+	Cost   float64 // expected per second, in target prices; 0 for KeepCapacity
+	Other  Method  // the alternative method; empty if there was none
+	// OtherWanted and OtherCost are the result of the alternative method.
 	OtherWanted Counts
 	OtherCost   float64
 }
 
-// Situation is what a plan goes by.
+// Situation is the input of a plan.
 type Situation struct {
 	Scaling Scaling
 	Engine  Engine
 	Risks   Risks
-	// Base is how many targets each data hall had before any was ordered. Its
-	// halls are those of the service.
+	// Base is the initial number of targets by data hall, before any orders. It
+	// also defines the data halls of the service.
 	Base map[string]int
-	// Load is what to be ready for; nil while it is not known, and for a
-	// service of which nobody knows what its targets can do.
+	// Load is the load to provision for; nil if it or the capacity of a target
+	// is unknown.
 	Load *Load
-	// Stuck are the places where no more are to be had now, with how many are
-	// there.
+	// Stuck are the places without further capacity, with their current counts.
 	Stuck Counts
 }
 
-// halls returns the data halls in order.
+// halls returns the data halls, sorted.
 func (s *Situation) halls() []string {
 	halls := make([]string, 0, len(s.Base))
 	for hall := range s.Base {
@@ -57,22 +56,22 @@
 	return halls
 }
 
-// Plan works out how many targets are wanted. In each data hall there are
-// from Min to Max of them.
+// Plan returns the wanted counts. They stay within Min and Max in each data
+// hall.
 func (s *Situation) Plan() Plan {
 	if s.Load == nil {
-		return Plan{Wanted: s.keep(), Method: KeepCapacity}
-	}
-	reserve := s.reserve()
-	least := s.cheapest(reserve)
-	s.fillUp(least)
-	s.bear(least)
-	plan := Plan{Wanted: least, Method: LeastCost, Cost: s.expected(least)}
-	plan.Other, plan.OtherWanted, plan.OtherCost = HallReserve, reserve, s.expected(reserve)
+		return Plan{Wanted: s.keepCapacity(), Method: KeepCapacity}
+	}
+	reserve := s.hallReserve()
+	least := s.searchLeastCost(reserve)
+	s.ensureMin(least)
+	s.ensureLeast(least)
+	plan := Plan{Wanted: least, Method: LeastCost, Cost: s.expectedCost(least)}
+	plan.Other, plan.OtherWanted, plan.OtherCost = HallReserve, reserve, s.expectedCost(reserve)
 	return plan
 }
 
-// cheapKind returns the kind that costs less.
+// cheapKind returns the cheaper kind.
 func (s *Situation) cheapKind() Kind {
 	if s.Scaling.SpotPrice > 0 && s.Scaling.SpotPrice < 1 {
 		return Spot
@@ -80,23 +79,23 @@
 	return OnDemand
 }
 
-// most returns how many targets a place may have beside those of the other
-// kind.
-func (s *Situation) most(c Counts, p Place) int {
-	most := max(0, s.Scaling.Max-c[Place{p.DataHall, 1 - p.Kind}])
-	if there, stuck := s.Stuck[p]; stuck {
-		most = min(most, there)
+// maxAt returns the highest count of a place, given the count of the other kind
+// and any capacity shortage.
+func (s *Situation) maxAt(c Counts, p Place) int {
+	limit := max(0, s.Scaling.Max-c[Place{p.DataHall, 1 - p.Kind}])
+	if available, stuck := s.Stuck[p]; stuck {
+		limit = min(limit, available)
 	}
-	return most
+	return limit
 }
 
-// keep wants as many targets as there were in each hall, of the kinds that
-// suit the load that these could bear. What can't be had in a hall is wanted
-// in the others.
-func (s *Situation) keep() Counts {
-	borne := *s
-	borne.Load = s.borne()
-	kinds := borne.cheapest(borne.reserve())
+// keepCapacity returns the initial number of targets for each data hall, with kinds
+// chosen for the load that these targets can bear. Counts that are not
+// available in a data hall move to others.
+func (s *Situation) keepCapacity() Counts {
+	situation := *s
+	situation.Load = s.bearableLoad()
+	kinds := situation.searchLeastCost(situation.hallReserve())
 	wanted := Counts{}
 	missing := 0
 	cheap := s.cheapKind()
@@ -104,29 +103,28 @@
 		p, other := Place{hall, cheap}, Place{hall, 1 - cheap}
 		base := min(max(s.Base[hall], s.Scaling.Min), s.Scaling.Max)
 		wanted[other] = min(base, kinds[other])
-		wanted[p] = min(base-wanted[other], s.most(wanted, p))
+		wanted[p] = min(base-wanted[other], s.maxAt(wanted, p))
 		missing += base - wanted.Hall(hall)
 	}
 	for _, kind := range []Kind{cheap, 1 - cheap} {
 		missing -= s.spread(wanted, kind, missing)
 	}
-	s.fillUp(wanted)
+	s.ensureMin(wanted)
 	return wanted
 }
 
-// borne returns the load that the targets there were could bear in a burst
-// after the loss of a hall: an operator who fixed their number had to see to
-// that.
-func (s *Situation) borne() *Load {
-	there := Counts{}
+// bearableLoad returns the load that the initial targets can bear in a burst after the
+// loss of a data hall, assuming that the operator sized them for that.
+func (s *Situation) bearableLoad() *Load {
+	initial := Counts{}
 	for hall, n := range s.Base {
-		there[Place{hall, OnDemand}] = n
+		initial[Place{hall, OnDemand}] = n
 	}
-	return &Load{Reading: mostReading * float64(s.afterLoss(there)) / burstSize}
+	return &Load{Reading: maxReading * float64(s.afterLoss(initial)) / burstFactor}
 }
 
-// spread adds up to n targets of a kind, each where there are fewest, and
-// returns how many it added.
+// spread adds up to n targets of a kind, one at a time in the data hall with
+// the fewest, and returns the number added.
 func (s *Situation) spread(wanted Counts, kind Kind, n int) int {
 	if kind == Spot && s.Scaling.SpotPrice <= 0 {
 		return 0
@@ -136,7 +134,7 @@
 		best := Place{}
 		for _, hall := range halls {
 			p := Place{hall, kind}
-			if wanted[p] >= s.most(wanted, p) {
+			if wanted[p] >= s.maxAt(wanted, p) {
 				continue
 			}
 			if best.DataHall == "" || wanted.Hall(hall) < wanted.Hall(best.DataHall) {
@@ -151,36 +149,36 @@
 	return max(0, n)
 }
 
-// fillUp brings every hall to its least number.
-func (s *Situation) fillUp(wanted Counts) {
+// ensureMin raises every data hall to Scaling.Min.
+func (s *Situation) ensureMin(wanted Counts) {
 	for _, hall := range s.halls() {
 		for _, kind := range []Kind{s.cheapKind(), OnDemand} {
 			p := Place{hall, kind}
 			short := s.Scaling.Min - wanted.Hall(hall)
-			wanted[p] += max(0, min(short, s.most(wanted, p)-wanted[p]))
+			wanted[p] += max(0, min(short, s.maxAt(wanted, p)-wanted[p]))
 		}
 	}
 }
 
-// reserve wants comfortable room for the load after the loss of any one hall,
-// of the cheaper kind as far as that goes.
-func (s *Situation) reserve() Counts {
-	wanted := s.base()
-	s.fillUp(wanted)
+// hallReserve returns counts that serve the load comfortably after the loss of any
+// one data hall, of the cheaper kind where possible.
+func (s *Situation) hallReserve() Counts {
+	wanted := s.onDemandBase()
+	s.ensureMin(wanted)
 	comfort := int(math.Ceil(s.Engine.needOf(*s.Load).comfort))
 	for _, kind := range []Kind{s.cheapKind(), 1 - s.cheapKind()} {
 		for s.afterLoss(wanted) < comfort && s.spread(wanted, kind, 1) > 0 {
 		}
 	}
-	s.bear(wanted)
+	s.ensureLeast(wanted)
 	return wanted
 }
 
-// base returns the on-demand targets that each hall has at least where there
-// are spot ones: so many that they serve the load alone, without any to spare,
-// when all spot targets are gone and a hall is lost. One hall after the other may
-// lose its spot targets while the control group can't order others.
-func (s *Situation) base() Counts {
+// onDemandBase returns the minimum of on-demand targets by data hall if spot targets
+// are used. They can just serve the load after all spot targets are reclaimed
+// and one data hall is lost, since successive reclaims may occur while the
+// control group cannot scale.
+func (s *Situation) onDemandBase() Counts {
 	base := Counts{}
 	if s.cheapKind() == OnDemand {
 		return base
@@ -189,21 +187,21 @@
 	each := int(math.Ceil(s.Load.Reading / float64(max(1, len(halls)-1))))
 	for _, hall := range halls {
 		p := Place{hall, OnDemand}
-		base[p] = min(each, s.most(base, p))
+		base[p] = min(each, s.maxAt(base, p))
 	}
 	return base
 }
 
-// bear adds what the load can't do without.
-func (s *Situation) bear(wanted Counts) {
+// ensureLeast adds targets until the load can be served.
+func (s *Situation) ensureLeast(wanted Counts) {
 	missing := s.Engine.Least(*s.Load) - wanted.Total()
 	for _, kind := range []Kind{s.cheapKind(), 1 - s.cheapKind()} {
 		missing -= s.spread(wanted, kind, missing)
 	}
 }
 
-// afterLoss returns how many targets are left when the hall with the most is
-// lost; all of them where there is only one hall.
+// afterLoss returns the number of targets left after the loss of the largest
+// data hall, or all if there is only one.
 func (s *Situation) afterLoss(c Counts) int {
 	halls := s.halls()
 	if len(halls) < 2 {
--- a/fleet/record.go
+++ b/fleet/record.go
@@ -9,32 +9,32 @@
 	"github.com/walnutramp/walnutramp/duty"
 )
 
-// Record is what the control group has agreed on about a service's targets.
+// Record is the replicated state of a service's targets.
 type Record struct {
 	Service string
-	// Base is how many targets each data hall had before any was ordered.
+	// Base is the initial number of targets by data hall, before any orders.
 	Base []HallCount
-	// Orders are the newest by place. Where there is none, Base tells how many
-	// on-demand targets there are.
+	// Orders are the latest orders by place. For a place without an order, Base
+	// gives the on-demand count.
 	Orders []Order
-	// Load is what the newest orders were to be ready for; nil if it was not
-	// known. It is a guide to whoever decides next, until nodes tell more.
+	// Load is the load that the latest orders provision for; nil if unknown. A
+	// new leader uses it until nodes report.
 	Load *Load
 }
 
-// Untouched reports whether no on-demand target has been ordered, so that all
-// that there are belong to Base.
+// Untouched reports whether no on-demand targets have been ordered, so that all
+// existing ones belong to Base.
 func (r *Record) Untouched() bool {
 	return !slices.ContainsFunc(r.Orders, func(o Order) bool { return o.Kind == OnDemand })
 }
 
-// HallCount is a number of targets in a data hall.
+// HallCount is the target count of a data hall.
 type HallCount struct {
 	DataHall string
 	Count    int
 }
 
-// Ordered returns how many targets are ordered, by place.
+// Ordered returns the desired counts: the latest orders, else Base.
 func (r *Record) Ordered() Counts {
 	ordered := Counts{}
 	for _, b := range r.Base {
@@ -44,7 +44,7 @@
 	return ordered
 }
 
-// Given returns the newest orders, by place.
+// Given returns the counts of the latest orders.
 func (r *Record) Given() Counts {
 	given := Counts{}
 	for _, o := range r.Orders {
@@ -53,7 +53,7 @@
 	return given
 }
 
-// BaseCounts returns Base by data hall.
+// BaseCounts returns Base as a map by data hall.
 func (r *Record) BaseCounts() map[string]int {
 	base := map[string]int{}
 	for _, b := range r.Base {
@@ -62,7 +62,7 @@
 	return base
 }
 
-// Put takes orders in place of earlier ones for the same places.
+// Put replaces the orders for the same places.
 func (r *Record) Put(orders []Order) {
 	r.Orders = slices.Clone(r.Orders)
 	for _, o := range orders {
@@ -75,17 +75,16 @@
 	}
 }
 
-// Service is what the configuration says of a service whose targets can be
-// ordered.
+// Service is the configuration of a scalable service.
 type Service struct {
 	Scaling Scaling
 	Engine  Engine
 }
 
-// Place returns where the order's targets are.
+// Place returns the place that the order applies to.
 func (o Order) Place() Place { return Place{o.DataHall, o.Kind} }
 
-// Call returns the call that gives the order.
+// Call returns the duty call that sends the order.
 func (o Order) Call(s Scaler) duty.Call {
 	return duty.Call{
 		Subject: o.Subject(),
--- a/fleet/simulation_test.go
+++ b/fleet/simulation_test.go
@@ -9,17 +9,17 @@
 	"github.com/walnutramp/walnutramp/fleet"
 )
 
-// A simulation plays a load, a platform and a controller against each other,
-// and counts what targets cost and what callers get.
+// The simulation runs the controller against a model of a platform and a load,
+// and tracks cost and refused requests.
 
 const (
-	simStep    = 200 * time.Millisecond
-	simList    = time.Second // by which the list lags
-	simDrain   = 4 * time.Second
-	simNotice  = 2 * time.Second
-	simReading = 1.0    // seconds of a target for one prompt
-	simRun     = 5.0    // seconds of a run
-	simHold    = 8800.0 // tokens that a run holds
+	simStep        = 200 * time.Millisecond
+	simListDelay   = time.Second // delay of the target list
+	simDrain       = 4 * time.Second
+	simNotice      = 2 * time.Second
+	simPrefillTime = 1.0    // prefill time of a prompt, in seconds
+	simRunTime     = 5.0    // duration of a run, in seconds
+	simRunMemory   = 8800.0 // KV memory of a run, in tokens
 )
 
 var simHalls = []string{"a", "b", "c"}
@@ -30,46 +30,46 @@
 
 func simEngine() fleet.Engine { return fleet.Engine{Slots: 48, Memory: 88000, Copies: true} }
 
-// simTarget is one target of the platform.
+// simTarget is a simulated target.
 type simTarget struct {
-	place  fleet.Place
-	boots  time.Duration // when it serves
-	drains time.Duration // when it takes no new work any more; 0 for not yet
-	ends   time.Duration
+	place    fleet.Place
+	servesAt time.Duration // when it starts to serve
+	drainsAt time.Duration // when it starts to drain; 0 if it does not
+	endsAt   time.Duration
 }
 
-// simulation is the state of a play. Times are since its start.
+// simulation is the state of a simulation. Times are relative to its start.
 type simulation struct {
-	t       *testing.T
-	scaling fleet.Scaling
-	halls   []string
-	base    int // targets of a hall at the start
-	load    func(at time.Duration) float64
-	down    func(at time.Duration) bool          // the platform answers nothing
-	late    func(at time.Duration) time.Duration // by which it carries an order out after it lost the answer
-	dry     map[fleet.Place]func(time.Duration) bool
-	leaders []time.Duration // when another leader takes over
+	t               *testing.T
+	scaling         fleet.Scaling
+	halls           []string
+	base            int // initial targets per data hall
+	load            func(at time.Duration) float64
+	down            func(at time.Duration) bool          // whether the platform does not answer
+	lostAnswerDelay func(at time.Duration) time.Duration // delay with which the platform executes an order whose answer is lost
+	noCapacity      map[fleet.Place]func(time.Duration) bool
+	leaders         []time.Duration // times of leader changes
 
-	now     time.Duration
-	targets []*simTarget
-	lists   []simListed
-	delayed []simDelayed
-	record  fleet.Record
-	mover   *fleet.Mover
-	tally   *fleet.Tally
-	f       *fleet.Forecast
-	demand  fleet.Demand
-	life    uint64
+	now      time.Duration
+	targets  []*simTarget
+	history  []simList
+	delayed  []simDelayed
+	record   fleet.Record
+	mover    *fleet.Mover
+	tally    *fleet.Tally
+	forecast *fleet.Forecast
+	demand   fleet.Demand
+	life     uint64
 
-	cost    float64 // of targets
-	wanted  float64 // requests
-	refused float64
-	calls   int
-	steps   []simOrder
-	lowest  int // targets that served at once, from the first request on
+	cost       float64
+	requests   float64
+	refused    float64
+	calls      int
+	steps      []simOrder
+	minServing int // lowest number of serving targets since the first request
 }
 
-type simListed struct {
+type simList struct {
 	at               time.Duration
 	serving, leaving fleet.Counts
 }
@@ -85,12 +85,12 @@
 }
 
 func newSimulation(t *testing.T, load func(time.Duration) float64) *simulation {
-	return &simulation{t: t, scaling: simScaling(), halls: simHalls, base: 60, load: load, dry: map[fleet.Place]func(time.Duration) bool{}, lowest: math.MaxInt}
+	return &simulation{t: t, scaling: simScaling(), halls: simHalls, base: 60, load: load, noCapacity: map[fleet.Place]func(time.Duration) bool{}, minServing: math.MaxInt}
 }
 
-// wave is the usual load: 41 requests a second on average, with a crest every
-// 11 s, from 9 s on.
-func wave(at time.Duration) float64 {
+// periodicLoad is the default load: on average 41 requests/s from 9 s on, with a peak
+// every 11 s.
+func periodicLoad(at time.Duration) float64 {
 	if at < 9*time.Second {
 		return 0
 	}
@@ -111,61 +111,62 @@
 			s.leaders = s.leaders[1:]
 			s.lead()
 		}
-		s.play()
+		s.advance()
 		s.decide()
 	}
 }
 
-// lead begins the time of a new leader, who knows the record alone.
+// lead starts a new leader, which knows only the record.
 func (s *simulation) lead() {
-	s.mover, s.tally, s.f = fleet.NewMover("engines"), fleet.NewTally(), &fleet.Forecast{}
+	s.mover, s.tally, s.forecast = fleet.NewMover("engines"), fleet.NewTally(), &fleet.Forecast{}
 }
 
 func (s *simulation) clock() time.Time { return time.Unix(0, 0).Add(s.now) }
 
-// play takes the platform and the callers a step further.
-func (s *simulation) play() {
+// advance runs one step of the platform and the load.
+func (s *simulation) advance() {
 	for len(s.delayed) > 0 && s.now >= s.delayed[0].at {
-		s.carryOut(s.delayed[0].order)
+		s.execute(s.delayed[0].order)
 		s.delayed = s.delayed[1:]
 	}
-	serving, there, listed := 0, s.targets[:0], simListed{at: s.now, serving: fleet.Counts{}, leaving: fleet.Counts{}}
+	serving, remaining, listed := 0, s.targets[:0], simList{at: s.now, serving: fleet.Counts{}, leaving: fleet.Counts{}}
 	for _, t := range s.targets {
-		if t.drains > 0 && s.now >= t.ends {
+		if t.drainsAt > 0 && s.now >= t.endsAt {
 			continue
 		}
-		there = append(there, t)
+		remaining = append(remaining, t)
 		s.cost += simStep.Seconds() * s.scaling.Cost(fleet.Counts{t.place: 1})
 		switch {
-		case t.drains > 0:
+		case t.drainsAt > 0:
 			listed.leaving[t.place]++
-		case s.now >= t.boots:
+		case s.now >= t.servesAt:
 			listed.serving[t.place]++
 			serving++
 		}
 	}
-	s.targets = there
-	s.lists = append(s.lists, listed)
+	s.targets = remaining
+	s.history = append(s.history, listed)
 	s.serve(serving)
 }
 
-// serve lets requests come, as many as targets read.
+// serve adds the requests of one step; each target serves one prompt per
+// simReading.
 func (s *simulation) serve(serving int) {
-	wanted := s.load(s.now) * simStep.Seconds()
-	able := float64(serving) / simReading * simStep.Seconds()
-	if wanted == 0 {
+	arriving := s.load(s.now) * simStep.Seconds()
+	capacity := float64(serving) / simPrefillTime * simStep.Seconds()
+	if arriving == 0 {
 		return
 	}
-	s.lowest = min(s.lowest, serving)
-	s.wanted += wanted
-	s.refused += max(0, wanted-able)
-	s.demand.Requests += uint64(math.Round(wanted * 1000)) // in thousandths, to keep the fractions
-	s.demand.ReadMS += uint64(wanted * simReading * 1000)
-	s.demand.RunMS += uint64(wanted * simRun * 1000)
-	s.demand.HoldMS += uint64(wanted * simRun * simHold * 1000)
+	s.minServing = min(s.minServing, serving)
+	s.requests += arriving
+	s.refused += max(0, arriving-capacity)
+	s.demand.Requests += uint64(math.Round(arriving * 1000)) // in thousandths, to keep fractions
+	s.demand.ReadMS += uint64(arriving * simPrefillTime * 1000)
+	s.demand.RunMS += uint64(arriving * simRunTime * 1000)
+	s.demand.HoldMS += uint64(arriving * simRunTime * simRunMemory * 1000)
 }
 
-// decide does what a leader does.
+// decide runs one step of the leader.
 func (s *simulation) decide() {
 	listed, ok := s.listed()
 	if !ok {
@@ -173,10 +174,10 @@
 	}
 	s.tally.Take("entry", s.life, []fleet.Demand{s.demand})
 	total, _ := s.tally.Of("engines")
-	s.f.Observe(s.clock(), total)
+	s.forecast.Observe(s.clock(), total)
 	load := s.record.Load
-	if s.f.Known() {
-		expected := s.f.Expected()
+	if s.forecast.Known() {
+		expected := s.forecast.Expected()
 		load = &expected
 	}
 	view := fleet.View{
@@ -203,68 +204,68 @@
 	}
 }
 
-// listed returns the list as it is read now.
-func (s *simulation) listed() (simListed, bool) {
-	for i := len(s.lists) - 1; i >= 0; i-- {
-		if s.now-s.lists[i].at >= simList {
-			return s.lists[i], true
+// listed returns the target list as the leader sees it.
+func (s *simulation) listed() (simList, bool) {
+	for i := len(s.history) - 1; i >= 0; i-- {
+		if s.now-s.history[i].at >= simListDelay {
+			return s.history[i], true
 		}
 	}
-	return simListed{}, false
+	return simList{}, false
 }
 
-// call gives the platform an order.
+// call sends an order to the platform.
 func (s *simulation) call(o fleet.Order) duty.Outcome {
 	s.calls++
 	if s.down != nil && s.down(s.now) {
 		return duty.Unclear
 	}
-	if dry := s.dry[o.Place()]; dry != nil && dry(s.now) && o.Count > s.count(o.Place()) {
+	if exhausted := s.noCapacity[o.Place()]; exhausted != nil && exhausted(s.now) && o.Count > s.count(o.Place()) {
 		return duty.Rejected
 	}
-	if s.late != nil {
-		if by := s.late(s.now); by > 0 {
-			s.delayed = append(s.delayed, simDelayed{s.now + by, o})
+	if s.lostAnswerDelay != nil {
+		if delay := s.lostAnswerDelay(s.now); delay > 0 {
+			s.delayed = append(s.delayed, simDelayed{s.now + delay, o})
 			return duty.Unclear
 		}
 	}
-	s.carryOut(o)
+	s.execute(o)
 	return duty.Done
 }
 
 func (s *simulation) count(p fleet.Place) int {
 	n := 0
 	for _, t := range s.targets {
-		if t.place == p && t.drains == 0 {
+		if t.place == p && t.drainsAt == 0 {
 			n++
 		}
 	}
 	return n
 }
 
-func (s *simulation) carryOut(o fleet.Order) {
+func (s *simulation) execute(o fleet.Order) {
 	p := o.Place()
 	other := s.count(fleet.Place{DataHall: p.DataHall, Kind: 1 - p.Kind})
 	if sum := o.Count + other; sum > s.scaling.Max || sum < s.scaling.Min {
-		s.t.Errorf("%v: %d targets ordered in hall %s beside %d, want %d to %d", s.now, o.Count, p.DataHall, other, s.scaling.Min, s.scaling.Max)
+		s.t.Errorf("%v: order of %d targets in hall %s with %d of the other kind, want %d to %d in total", s.now, o.Count, p.DataHall, other, s.scaling.Min, s.scaling.Max)
 	}
 	for n := s.count(p); n < o.Count; n++ {
-		s.targets = append(s.targets, &simTarget{place: p, boots: s.now + s.scaling.Boot})
+		s.targets = append(s.targets, &simTarget{place: p, servesAt: s.now + s.scaling.Boot})
 	}
-	s.take(p, max(0, s.count(p)-o.Count), simDrain)
+	s.drain(p, max(0, s.count(p)-o.Count), simDrain)
 }
 
-// take has so many targets of a place leave.
-func (s *simulation) take(p fleet.Place, n int, drain time.Duration) {
+// drain starts to drain n targets of a place.
+func (s *simulation) drain(p fleet.Place, n int, drain time.Duration) {
 	for _, t := range s.targets {
-		if n > 0 && t.place == p && t.drains == 0 {
-			t.drains, t.ends = s.now, s.now+drain
+		if n > 0 && t.place == p && t.drainsAt == 0 {
+			t.drainsAt, t.endsAt = s.now, s.now+drain
 			n--
 		}
 	}
 }
 
-// at calls a function once the play has come to a time, with every step.
+// at schedules a function.
 func (s *simulation) at(when time.Duration, do func()) {
 	load, done := s.load, false
 	s.load = func(now time.Duration) float64 {
@@ -276,4 +277,4 @@
 	}
 }
 
-func (s *simulation) served() float64 { return 1 - s.refused/s.wanted }
+func (s *simulation) served() float64 { return 1 - s.refused/s.requests }
--- a/rollout/experiment/play.go
+++ b/rollout/experiment/play.go
@@ -216,7 +216,7 @@
 	}
 }
 
-// generate sends the requests that generate in one tick.
+// generate sends the requests that arrive in one tick.
 func (p *simulation) generate() {
 	for r, route := range p.site.Routes {
 		for range p.poisson(route.PerS * tick.Seconds()) {
--- a/rollout/judge_test.go
+++ b/rollout/judge_test.go
@@ -37,7 +37,7 @@
 	}
 }
 
-// both adds answers of both versions in every second from from to to.
+// both adds answers of both versions once per second of the given period.
 func (s *generator) both(from, to time.Duration, oldErrorRate, newErrorRate float64, newLatency time.Duration) {
 	for at := from; at < to; at += time.Second {
 		s.answers(at, "v1", 200, oldErrorRate, 30*time.Millisecond)
