--- a/emulator/engine.go
+++ b/emulator/engine.go
@@ -1,7 +1,7 @@
-// Package emulator imitates model engines closely enough to try a policy in
-// virtual time: they batch continuously, read prompts in pieces between the
-// tokens of others, share their memory between requests, and turn requests
-// away when it is full. It is grown from the stand-ins, which answer at once.
+// Package emulator emulates model engines and plain services in virtual time,
+// to compare balancing policies. Engines do continuous batching with chunked
+// prefill, share KV memory between requests, and refuse requests when it is
+// full.
 package emulator
 
 import (
@@ -15,68 +15,68 @@
 	"time"
 )
 
-// Config describes an engine.
+// Config is the configuration of an engine.
 type Config struct {
-	Step       time.Duration // of the whole batch, without a prompt to read
-	StepPerRun time.Duration // more for each run in the batch
-	ReadPerMS  float64       // prompt tokens read in a millisecond
-	Piece      int           // prompt tokens read in a step
-	Slots      int           // runs at once
-	Memory     int           // tokens
-	Stride     int           // tokens in an event
-	Names      Names
+	StepTime       time.Duration // duration of a decode step without prefill
+	StepPerRun     time.Duration // additional step duration per run in the batch
+	PrefillPerMS   float64       // prefill rate, in tokens per millisecond
+	PrefillChunk   int           // prefill chunk, in tokens per step
+	Slots          int           // concurrent runs
+	Memory         int           // KV memory, in tokens
+	TokensPerEvent int           // tokens per event
+	Names          Names
 }
 
-// Names are the header names that the engine reads and writes.
+// Names are the names of the headers that the engine reads and writes.
 type Names struct {
-	Identity string
-	Usage    string // tokens of the prompt, and most out, with a comma between
-	NotRun   string
-	EventID  string
-	Load     string // requests running, requests waiting and slots
+	Identity    string
+	Usage       string // prompt tokens and maximum output tokens, separated by a comma
+	NotExecuted string
+	EventID     string
+	Load        string // running requests, waiting requests and slots, separated by commas
 }
 
-// DefaultConfig is the engine of the users' drafts: a step takes 5.05 ms, 8
-// prompt tokens are read in a millisecond, an event holds 6 tokens.
+// DefaultConfig returns the configuration of an engine with 64 slots, a decode
+// step of 5.05 ms, a prefill rate of 8 tokens per ms and 6 tokens per event.
 func DefaultConfig(names Names) Config {
 	return Config{
-		Step: 5050 * time.Microsecond, StepPerRun: 16 * time.Microsecond, ReadPerMS: 8, Piece: 200,
-		Slots: 64, Memory: 88000, Stride: 6, Names: names,
+		StepTime: 5050 * time.Microsecond, StepPerRun: 16 * time.Microsecond, PrefillPerMS: 8, PrefillChunk: 200,
+		Slots: 64, Memory: 88000, TokensPerEvent: 6, Names: names,
 	}
 }
 
-// Engine is one emulated engine; it implements http.Handler.
+// Engine is an emulated model engine. It implements http.Handler.
 type Engine struct {
 	cfg Config
 
-	mu      sync.Mutex
-	runs    []*run // oldest first
-	held    int    // tokens of memory
-	work    chan struct{}
-	stopped chan struct{}
-	once    sync.Once
+	mu         sync.Mutex
+	runs       []*run // oldest first
+	memoryUsed int    // KV memory in use, in tokens
+	wake       chan struct{}
+	stopped    chan struct{}
+	once       sync.Once
 }
 
-// run is one request in the batch.
+// run is a request in the batch.
 type run struct {
-	unread int // prompt tokens
-	out    int // tokens still to come
-	hold   int
-	step   int // tokens since the last event
-	events chan struct{}
+	prefill    int // prompt tokens still to prefill
+	remaining  int // remaining output tokens
+	memory     int
+	sinceEvent int // tokens since the last event
+	events     chan struct{}
 }
 
-// NewEngine returns an engine that works until Close.
+// NewEngine starts an engine that runs until Close.
 func NewEngine(cfg Config) *Engine {
-	e := &Engine{cfg: cfg, work: make(chan struct{}, 1), stopped: make(chan struct{})}
+	e := &Engine{cfg: cfg, wake: make(chan struct{}, 1), stopped: make(chan struct{})}
 	go e.loop()
 	return e
 }
 
-// Close ends the engine; its runs break off.
+// Close stops the engine and aborts its runs.
 func (e *Engine) Close() { e.once.Do(func() { close(e.stopped) }) }
 
-// Serve answers on a listener until it is closed.
+// Serve serves HTTP on a listener until Close.
 func (e *Engine) Serve(l net.Listener) {
 	server := &http.Server{Handler: e}
 	go server.Serve(l)
@@ -89,19 +89,19 @@
 	io.Copy(io.Discard, r.Body)
 	h := w.Header()
 	h.Set(e.cfg.Names.Identity, r.Header.Get(e.cfg.Names.Identity))
-	prompt, out := usage(r.Header.Get(e.cfg.Names.Usage))
+	prompt, out := parseUsage(r.Header.Get(e.cfg.Names.Usage))
 	last, _ := strconv.Atoi(r.Header.Get(e.cfg.Names.EventID))
-	admitted := e.admit(prompt+last*e.cfg.Stride, out-last*e.cfg.Stride)
+	admitted := e.admit(prompt+last*e.cfg.TokensPerEvent, out-last*e.cfg.TokensPerEvent)
 	if admitted == nil {
-		h.Set(e.cfg.Names.NotRun, "1")
+		h.Set(e.cfg.Names.NotExecuted, "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	defer e.leave(admitted)
+	defer e.release(admitted)
 	h.Set("Content-Type", "text/event-stream")
 	h.Set(e.cfg.Names.Load, e.load())
 	flush := http.NewResponseController(w)
-	for n := last + 1; n*e.cfg.Stride <= out; n++ {
+	for n := last + 1; n*e.cfg.TokensPerEvent <= out; n++ {
 		select {
 		case <-admitted.events:
 		case <-r.Context().Done():
@@ -114,69 +114,70 @@
 	}
 }
 
-// load tells how many runs make tokens and how many wait for their prompt.
+// load returns the value of the load header: runs in decode, runs in prefill,
+// and slots.
 func (e *Engine) load() string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	waiting := 0
 	for _, r := range e.runs {
-		if r.unread > 0 {
+		if r.prefill > 0 {
 			waiting++
 		}
 	}
 	return fmt.Sprintf("%d,%d,%d", len(e.runs)-waiting, waiting, e.cfg.Slots)
 }
 
-func usage(value string) (prompt, out int) {
+func parseUsage(value string) (prompt, out int) {
 	first, second, _ := strings.Cut(value, ",")
 	prompt, _ = strconv.Atoi(first)
 	out, _ = strconv.Atoi(second)
 	return prompt, out
 }
 
-// admit puts a request into the batch, or returns nil if there is no room.
-func (e *Engine) admit(prompt, out int) *run {
+// admit adds a request to the batch, or returns nil if there is no capacity.
+func (e *Engine) admit(prompt, output int) *run {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	hold := prompt + out
-	if len(e.runs) >= e.cfg.Slots || e.held+hold > e.cfg.Memory {
+	memory := prompt + output
+	if len(e.runs) >= e.cfg.Slots || e.memoryUsed+memory > e.cfg.Memory {
 		return nil
 	}
-	r := &run{unread: prompt, out: out, hold: hold, events: make(chan struct{}, out/e.cfg.Stride+1)}
+	r := &run{prefill: prompt, remaining: output, memory: memory, events: make(chan struct{}, output/e.cfg.TokensPerEvent+1)}
 	e.runs = append(e.runs, r)
-	e.held += hold
+	e.memoryUsed += memory
 	select {
-	case e.work <- struct{}{}:
+	case e.wake <- struct{}{}:
 	default:
 	}
 	return r
 }
 
-func (e *Engine) leave(r *run) {
+func (e *Engine) release(r *run) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for i, other := range e.runs {
 		if other == r {
 			e.runs = append(e.runs[:i:i], e.runs[i+1:]...)
-			e.held -= r.hold
+			e.memoryUsed -= r.memory
 			return
 		}
 	}
 }
 
-// loop takes one step after the other while there is work.
+// loop runs steps while there is work.
 func (e *Engine) loop() {
 	for {
-		took := e.step()
-		if took == 0 {
+		duration := e.step()
+		if duration == 0 {
 			select {
-			case <-e.work:
+			case <-e.wake:
 			case <-e.stopped:
 				return
 			}
 			continue
 		}
-		t := time.NewTimer(took)
+		t := time.NewTimer(duration)
 		select {
 		case <-t.C:
 		case <-e.stopped:
@@ -186,37 +187,38 @@
 	}
 }
 
-// step reads a piece of the oldest unread prompt and makes a token for every
-// run whose prompt is read. It returns how long that takes.
+// step processes one prefill chunk of the oldest prompt without complete
+// prefill, and decodes one token for every run with complete prefill. It
+// returns the step's duration, or 0 if there is no work.
 func (e *Engine) step() time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	busy := false
-	read := 0
-	running := 0
+	worked := false
+	prefilled := 0
+	decoding := 0
 	for _, r := range e.runs {
 		switch {
-		case r.unread > 0 && read == 0:
-			read = min(r.unread, e.cfg.Piece)
-			r.unread -= read
-			busy = true
-		case r.unread == 0 && r.out > 0:
-			r.token(e.cfg.Stride)
-			running++
-			busy = true
+		case r.prefill > 0 && prefilled == 0:
+			prefilled = min(r.prefill, e.cfg.PrefillChunk)
+			r.prefill -= prefilled
+			worked = true
+		case r.prefill == 0 && r.remaining > 0:
+			r.decodeToken(e.cfg.TokensPerEvent)
+			decoding++
+			worked = true
 		}
 	}
-	if !busy {
+	if !worked {
 		return 0
 	}
-	return e.cfg.Step + time.Duration(running)*e.cfg.StepPerRun + time.Duration(float64(read)/e.cfg.ReadPerMS*float64(time.Millisecond))
+	return e.cfg.StepTime + time.Duration(decoding)*e.cfg.StepPerRun + time.Duration(float64(prefilled)/e.cfg.PrefillPerMS*float64(time.Millisecond))
 }
 
-func (r *run) token(stride int) {
-	r.out--
-	r.step++
-	if r.step == stride {
-		r.step = 0
+func (r *run) decodeToken(tokensPerEvent int) {
+	r.remaining--
+	r.sinceEvent++
+	if r.sinceEvent == tokensPerEvent {
+		r.sinceEvent = 0
 		r.events <- struct{}{}
 	}
 }
--- a/emulator/policies_test.go
+++ b/emulator/policies_test.go
@@ -32,12 +32,12 @@
 	os.Exit(m.Run())
 }
 
-var names = Names{Identity: "X-Id", Usage: "X-Usage", NotRun: "X-Not-Run", EventID: "X-Last", Load: "X-Load"}
+var engineNames = Names{Identity: "X-Id", Usage: "X-Usage", NotExecuted: "X-Not-Run", EventID: "X-Last", Load: "X-Load"}
 
-var dialect = gateway.Names{
-	Identity: names.Identity, Usage: names.Usage, NotRun: names.NotRun, EventID: names.EventID, Deadline: "X-Deadline", Key: "X-Key",
+var gatewayNames = gateway.Names{
+	Identity: engineNames.Identity, Usage: engineNames.Usage, NotRun: engineNames.NotExecuted, EventID: engineNames.EventID, Deadline: "X-Deadline", Key: "X-Key",
 	Account: "X-Account", Expect: "X-Expect", Priority: "X-Priority", CopyTo: "X-Copy-To", CopyFrom: "X-Copy-From", Load: "X-Load", Prefix: "X-Prefix",
-	ParseUsage: usage, ParseLoad: parseLoad,
+	ParseUsage: parseUsage, ParseLoad: parseLoad,
 }
 
 func parseLoad(value string) (balance.Load, bool) {
@@ -46,44 +46,44 @@
 	return l, err == nil
 }
 
-// Shape of a small site: a data hall's engines die together again and again.
+// Parameters of the emulated site.
 const (
-	halls      = 3
-	entries    = 6
-	length     = 30 * time.Second
-	shareDelay = 15 * time.Millisecond
-	firstAim   = 4500 * time.Millisecond
-	pauseAim   = 700 * time.Millisecond
+	halls               = 3
+	nodeCount           = 6
+	loadDuration        = 30 * time.Second
+	sharePeriod         = 15 * time.Millisecond
+	firstEventObjective = 4500 * time.Millisecond
+	pauseObjective      = 700 * time.Millisecond
 )
 
-// shape is what is tried on a site.
-type shape struct {
+// scenario is the load and policy of an emulation.
+type scenario struct {
 	policy         balance.Policy
 	enginesPerHall int
 	draftsPerS     float64
-	crashes        bool // a data hall's engines crash every 6.5 s
+	crashes        bool // one data hall's engines crash every 6.5 s
 }
 
-// usual is the shape of a small site whose halls crash.
-func usual(policy balance.Policy) shape {
-	return shape{policy: policy, enginesPerHall: 6, draftsPerS: 4.5, crashes: true}
+// defaultScenario is a small site with data hall outages.
+func defaultScenario(policy balance.Policy) scenario {
+	return scenario{policy: policy, enginesPerHall: 6, draftsPerS: 4.5, crashes: true}
 }
 
-// emulation is a site in virtual time.
+// emulation is the state of a site in virtual time.
 type emulation struct {
 	net      *memnet.Network
 	rng      *rand.Rand
 	trackers []*balance.Tracker
 	gateways []*gateway.Gateway
 
-	mu      sync.Mutex
-	engines []*emulated
-	next    int
-	inTime  int
-	all     int
+	mu               sync.Mutex
+	engines          []*emulatedEngine
+	next             int
+	withinObjectives int
+	all              int
 }
 
-type emulated struct {
+type emulatedEngine struct {
 	target   discovery.Target
 	engine   *Engine
 	listener net.Listener
@@ -99,61 +99,62 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.next++
-	m := &emulated{
+	m := &emulatedEngine{
 		target: discovery.Target{ID: fmt.Sprint("i-", e.next), Service: "draft", Address: address, DataHall: hall(hallNumber), Slots: 64},
-		engine: NewEngine(DefaultConfig(names)), listener: l,
+		engine: NewEngine(DefaultConfig(engineNames)), listener: l,
 	}
 	e.engines = append(e.engines, m)
 	go m.engine.Serve(l)
 }
 
-// crash ends all engines of a hall and starts others at their addresses.
+// crash stops all engines of a data hall and starts new ones at their addresses
+// after 1.2 s.
 func (e *emulation) crash(hallNumber int) {
 	e.mu.Lock()
-	var down []*emulated
-	var kept []*emulated
+	var crashed []*emulatedEngine
+	var remaining []*emulatedEngine
 	for _, m := range e.engines {
 		if m.target.DataHall == hall(hallNumber) {
-			down = append(down, m)
+			crashed = append(crashed, m)
 		} else {
-			kept = append(kept, m)
+			remaining = append(remaining, m)
 		}
 	}
-	e.engines = kept
+	e.engines = remaining
 	e.mu.Unlock()
-	for _, m := range down {
+	for _, m := range crashed {
 		m.listener.Close()
 		m.engine.Close()
 	}
 	time.Sleep(1200 * time.Millisecond)
-	for _, m := range down {
+	for _, m := range crashed {
 		e.start(hallNumber, m.target.Address)
 	}
 }
 
-// list hands the list of engines to every entry, 800 ms late.
-func (e *emulation) list(ctx context.Context) {
-	var late []discovery.Target
+// publishTargets updates the target list of every node with a delay of 800 ms.
+func (e *emulation) publishTargets(ctx context.Context) {
+	var delayed []discovery.Target
 	for ctx.Err() == nil {
 		e.mu.Lock()
-		var now []discovery.Target
+		var current []discovery.Target
 		for _, m := range e.engines {
-			now = append(now, m.target)
+			current = append(current, m.target)
 		}
 		e.mu.Unlock()
-		if late == nil {
-			late = now
+		if delayed == nil {
+			delayed = current
 		}
 		for _, t := range e.trackers {
-			t.Update(late)
+			t.Update(delayed)
 		}
-		late = now
+		delayed = current
 		time.Sleep(800 * time.Millisecond)
 	}
 }
 
-// share tells the entries each other's runs.
-func (e *emulation) share(ctx context.Context) {
+// shareRuns exchanges the load state between the nodes.
+func (e *emulation) shareRuns(ctx context.Context) {
 	for ctx.Err() == nil {
 		for i, from := range e.trackers {
 			for j, to := range e.trackers {
@@ -164,31 +165,31 @@
 				}
 			}
 		}
-		time.Sleep(shareDelay)
+		time.Sleep(sharePeriod)
 	}
 }
 
-// watcher is a client that times what it gets.
-type watcher struct {
-	header  http.Header
-	began   time.Time
-	newest  time.Time
-	first   time.Duration
-	longest time.Duration
-	status  int
+// client is a response writer that records latencies.
+type client struct {
+	header       http.Header
+	start        time.Time
+	lastWrite    time.Time
+	firstWrite   time.Duration
+	longestPause time.Duration
+	status       int
 }
 
-func (w *watcher) Header() http.Header    { return w.header }
-func (w *watcher) WriteHeader(status int) { w.status = status }
-func (w *watcher) Flush()                 {}
-func (w *watcher) Write(p []byte) (int, error) {
+func (w *client) Header() http.Header    { return w.header }
+func (w *client) WriteHeader(status int) { w.status = status }
+func (w *client) Flush()                 {}
+func (w *client) Write(p []byte) (int, error) {
 	now := time.Now()
-	if w.first == 0 {
-		w.first = now.Sub(w.began)
+	if w.firstWrite == 0 {
+		w.firstWrite = now.Sub(w.start)
 	} else {
-		w.longest = max(w.longest, now.Sub(w.newest))
+		w.longestPause = max(w.longestPause, now.Sub(w.lastWrite))
 	}
-	w.newest = now
+	w.lastWrite = now
 	return len(p), nil
 }
 
@@ -200,59 +201,60 @@
 		panic(err)
 	}
 	r.RequestURI, r.Host = "/draft/", "a.example"
-	r.Header.Set(names.Identity, fmt.Sprint("draft-", i))
-	r.Header.Set(names.Usage, fmt.Sprint(prompt, ",", out))
-	r.Header.Set(dialect.Prefix, fmt.Sprint("part-", i))
-	w := &watcher{header: http.Header{}, began: time.Now()}
-	whole := func() (whole bool) {
-		defer func() { whole = recover() == nil && w.status == http.StatusOK }()
+	r.Header.Set(engineNames.Identity, fmt.Sprint("draft-", i))
+	r.Header.Set(engineNames.Usage, fmt.Sprint(prompt, ",", out))
+	r.Header.Set(gatewayNames.Prefix, fmt.Sprint("part-", i))
+	w := &client{header: http.Header{}, start: time.Now()}
+	complete := func() (complete bool) {
+		defer func() { complete = recover() == nil && w.status == http.StatusOK }()
 		g.ServeHTTP(w, r)
 		return true
 	}()
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.all++
-	if whole && w.first <= firstAim && w.longest <= pauseAim {
-		e.inTime++
+	if complete && w.firstWrite <= firstEventObjective && w.longestPause <= pauseObjective {
+		e.withinObjectives++
 	}
 }
 
-// emulate plays one seed and returns how many drafts were in time, and all.
-func emulate(t *testing.T, try shape, seed uint64) (inTime, all int) {
+// emulate runs one seed and returns the number of drafts within their latency
+// objectives, and of all drafts.
+func emulate(t *testing.T, sc scenario, seed uint64) (withinObjectives, all int) {
 	synctest.Test(t, func(t *testing.T) {
 		e := &emulation{net: memnet.New(), rng: rand.New(rand.NewPCG(seed, 3))}
 		for h := range halls {
-			for i := range try.enginesPerHall {
+			for i := range sc.enginesPerHall {
 				e.start(h, fmt.Sprintf("10.0.%d.%d:80", h, i))
 			}
 		}
 		budgets := balance.NewBudgets(balance.BudgetConfig{Ratio: 1, Slack: 1000, Window: 10 * time.Second})
 		var pools []*targetconn.Pool
-		for i := range entries {
-			tracker := balance.NewTracker(balance.WithSeed(seed+uint64(i)), balance.WithDataHall(hall(i%halls)), balance.WithPolicy(try.policy))
-			pool := targetconn.NewPool(targetconn.WithIdentityHeader(names.Identity), targetconn.WithDial(e.net.Dialer(fmt.Sprint("entry-", i))))
-			g := gateway.New(tracker, pool, budgets, func() {}, gateway.WithNames(dialect), gateway.WithCopies(false))
+		for i := range nodeCount {
+			tracker := balance.NewTracker(balance.WithSeed(seed+uint64(i)), balance.WithDataHall(hall(i%halls)), balance.WithPolicy(sc.policy))
+			pool := targetconn.NewPool(targetconn.WithIdentityHeader(engineNames.Identity), targetconn.WithDial(e.net.Dialer(fmt.Sprint("node-", i))))
+			g := gateway.New(tracker, pool, budgets, func() {}, gateway.WithNames(gatewayNames), gateway.WithCopies(false))
 			g.SetTable(draftTable())
 			e.trackers, e.gateways, pools = append(e.trackers, tracker), append(e.gateways, g), append(pools, pool)
 		}
 		ctx, stop := context.WithCancel(context.Background())
 		var tasks, drafts sync.WaitGroup
-		tasks.Go(func() { e.list(ctx) })
-		tasks.Go(func() { e.share(ctx) })
+		tasks.Go(func() { e.publishTargets(ctx) })
+		tasks.Go(func() { e.shareRuns(ctx) })
 		tasks.Go(func() {
-			for h := 0; try.crashes && ctx.Err() == nil; h++ {
+			for h := 0; sc.crashes && ctx.Err() == nil; h++ {
 				time.Sleep(6500 * time.Millisecond)
 				e.crash(h % halls)
 			}
 		})
 		time.Sleep(100 * time.Millisecond)
-		end := time.Now().Add(length)
+		end := time.Now().Add(loadDuration)
 		for i := 0; time.Now().Before(end); i++ {
-			g := e.gateways[e.rng.IntN(entries)]
+			g := e.gateways[e.rng.IntN(nodeCount)]
 			prompt := 200 + int(8000*math.Exp(e.rng.NormFloat64()*0.3))
 			out := 6 * int(130*math.Exp(e.rng.NormFloat64()*0.2))
 			drafts.Go(func() { e.draft(i, g, prompt, out) })
-			time.Sleep(time.Duration(e.rng.ExpFloat64() / try.draftsPerS * float64(time.Second)))
+			time.Sleep(time.Duration(e.rng.ExpFloat64() / sc.draftsPerS * float64(time.Second)))
 		}
 		drafts.Wait()
 		stop()
@@ -264,37 +266,37 @@
 			m.listener.Close()
 			m.engine.Close()
 		}
-		inTime, all = e.inTime, e.all
+		withinObjectives, all = e.withinObjectives, e.all
 	})
-	return inTime, all
+	return withinObjectives, all
 }
 
 func draftTable() *gateway.Table {
 	table := &gateway.Table{Version: 1, Services: map[string]gateway.Service{
-		"draft": {Name: "draft", Engine: true, Memory: DefaultConfig(names).Memory, Slots: DefaultConfig(names).Slots},
+		"draft": {Name: "draft", Engine: true, Memory: DefaultConfig(engineNames).Memory, Slots: DefaultConfig(engineNames).Slots},
 	}}
 	table.SetRoutes([]*gateway.Route{{
-		Name: "draft", Host: "a.example", Prefix: "/draft/", Kind: gateway.Stream, Resume: true, Timeout: 25 * time.Second, Aim: firstAim,
+		Name: "draft", Host: "a.example", Prefix: "/draft/", Kind: gateway.Stream, Resume: true, Timeout: 25 * time.Second, Aim: firstEventObjective,
 		MaxAttempts: 5, Split: []gateway.Weighted{{Service: "draft", Weight: 1}},
 	}})
 	return table
 }
 
-// seedsByHand is the variable that asks for more seeds.
-const seedsByHand = "WALNUTRAMP_EMULATOR_SEEDS"
+// seedsVariable is the environment variable that sets the number of seeds.
+const seedsVariable = "WALNUTRAMP_EMULATOR_SEEDS"
 
-// seeds returns how many seeds to play; more by hand.
-func seeds() uint64 {
-	if n, err := strconv.ParseUint(os.Getenv(seedsByHand), 10, 64); err == nil {
+// seedCount returns the number of seeds; 2 by default.
+func seedCount() uint64 {
+	if n, err := strconv.ParseUint(os.Getenv(seedsVariable), 10, 64); err == nil {
 		return n
 	}
 	return 2
 }
 
-// TestPredictionBeatsBlindChoice tries the policies on the same seeds, and
-// holds what the emulator and the users' bench agree on. How far they do is in
+// TestPredictedPolicyIsBest checks that the predicted policy meets more latency
+// objectives than random and round-robin on the same seeds. See
 // docs/design/routing.md.
-func TestPredictionBeatsBlindChoice(t *testing.T) {
+func TestPredictedPolicyIsBest(t *testing.T) {
 	mean := map[balance.Policy]float64{}
 	var mu sync.Mutex
 	t.Run("policies", func(t *testing.T) {
@@ -302,13 +304,13 @@
 			t.Run(string(policy), func(t *testing.T) {
 				t.Parallel()
 				sum := 0.0
-				for seed := range seeds() {
-					inTime, all := emulate(t, usual(policy), seed)
-					sum += float64(inTime) / float64(all)
+				for seed := range seedCount() {
+					withinObjectives, all := emulate(t, defaultScenario(policy), seed)
+					sum += float64(withinObjectives) / float64(all)
 				}
 				mu.Lock()
 				defer mu.Unlock()
-				mean[policy] = sum / float64(seeds())
+				mean[policy] = sum / float64(seedCount())
 			})
 		}
 	})
@@ -317,26 +319,25 @@
 	require.Less(t, mean[balance.RoundRobin], mean[balance.Predicted])
 }
 
-// Beyond what the engines can do, drafts are refused at once, and as many as
-// before are in time. Without a bound on what is sent to an engine, all get
-// slower, and at four times the load next to none is.
-func TestAsManyAreInTimeBeyondTheKnee(t *testing.T) {
-	var inTime []int
+// Checks that goodput does not collapse under overload: excess drafts are
+// refused, so about as many as at capacity stay within their objectives.
+func TestGoodputHoldsUnderOverload(t *testing.T) {
+	var goodput []int
 	loads := []float64{1, 3, 6, 9, 12}
 	for _, load := range loads {
-		n, all := emulate(t, shape{policy: balance.Predicted, enginesPerHall: 2, draftsPerS: load}, 1)
-		t.Logf("%v drafts a second: %d of %d in time", load, n, all)
-		inTime = append(inTime, n)
+		n, all := emulate(t, scenario{policy: balance.Predicted, enginesPerHall: 2, draftsPerS: load}, 1)
+		t.Logf("%v drafts/s: %d of %d within objectives", load, n, all)
+		goodput = append(goodput, n)
 	}
-	peak := slices.Max(inTime)
-	for i, n := range inTime[slices.Index(inTime, peak):] {
-		require.Greater(t, float64(n), 0.9*float64(peak), "step %d beyond the peak", i)
+	peak := slices.Max(goodput)
+	for i, n := range goodput[slices.Index(goodput, peak):] {
+		require.Greater(t, float64(n), 0.9*float64(peak), "load step %d past the peak", i)
 	}
 }
 
-func TestEngineReadsOnePromptAfterTheOther(t *testing.T) {
+func TestEnginePrefillsPromptsInOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		e := NewEngine(DefaultConfig(names))
+		e := NewEngine(DefaultConfig(engineNames))
 		defer e.Close()
 		began := time.Now()
 		a, b := e.admit(8000, 60), e.admit(8000, 60)
@@ -349,14 +350,14 @@
 	})
 }
 
-func TestEngineTurnsAwayWhatItCanNotHold(t *testing.T) {
+func TestEngineRefusesWhenMemoryIsFull(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		e := NewEngine(DefaultConfig(names))
+		e := NewEngine(DefaultConfig(engineNames))
 		defer e.Close()
 		first := e.admit(80000, 600)
 		require.NotNil(t, first)
 		require.Nil(t, e.admit(8000, 600))
-		e.leave(first)
+		e.release(first)
 		require.NotNil(t, e.admit(8000, 600))
 	})
 }
--- a/emulator/service.go
+++ b/emulator/service.go
@@ -6,82 +6,84 @@
 	"time"
 )
 
-// ServiceConfig describes a plain service's server on a host that it shares.
+// ServiceConfig is the configuration of a plain service's server on a shared
+// host.
 type ServiceConfig struct {
-	Slots int // requests worked on at once; others wait in order
-	// Change is the mean time between two changes of the host's pace, Busy the share
-	// of the time in which the host is busy, and Slowdown how many times as long work
-	// takes then.
-	Change   time.Duration
-	Busy     float64
-	Slowdown float64
+	Slots int // concurrent requests; others queue in FIFO order
+	// ChangePeriod is the mean time between changes of the host's speed,
+	// SlowPart the fraction of time during which the host is slow, and Slowdown
+	// the factor on service times while it is.
+	ChangePeriod time.Duration
+	SlowPart     float64
+	Slowdown     float64
 }
 
-// Report is what a server tells of itself.
+// Report is the load reported by a server.
 type Report struct {
 	Running  int
 	Waiting  int
-	Slowdown float64 // how long work takes beside the usual
+	Slowdown float64 // current factor on service times
 }
 
-// Service is one emulated server. Its host's pace jumps until Close.
+// Service is an emulated server whose host changes speed at random until Close.
 type Service struct {
 	cfg   ServiceConfig
 	slots chan struct{}
 
-	mu       sync.Mutex
-	present  int // running and waiting
-	slowdown float64
-	stopped  chan struct{}
+	mu         sync.Mutex
+	inProgress int // running and waiting requests
+	slowdown   float64
+	stopped    chan struct{}
 }
 
-// NewService returns a server; rng draws when and how its host's pace changes.
+// NewService starts a server; rng determines the host's speed over time.
 func NewService(cfg ServiceConfig, rng *rand.Rand) *Service {
 	s := &Service{cfg: cfg, slots: make(chan struct{}, cfg.Slots), slowdown: 1, stopped: make(chan struct{})}
-	go s.share(rng)
+	go s.varySpeed(rng)
 	return s
 }
 
-// Close ends the changes of pace.
+// Close stops the changes of the host's speed.
 func (s *Service) Close() { close(s.stopped) }
 
-// share changes the host's pace again and again.
-func (s *Service) share(rng *rand.Rand) {
+// varySpeed changes the host's speed at random.
+func (s *Service) varySpeed(rng *rand.Rand) {
 	for {
 		slowdown := 1.0
-		if rng.Float64() < s.cfg.Busy {
+		if rng.Float64() < s.cfg.SlowPart {
 			slowdown = s.cfg.Slowdown
 		}
 		s.mu.Lock()
 		s.slowdown = slowdown
 		s.mu.Unlock()
 		select {
-		case <-time.After(time.Duration(rng.ExpFloat64() * float64(s.cfg.Change))):
+		case <-time.After(time.Duration(rng.ExpFloat64() * float64(s.cfg.ChangePeriod))):
 		case <-s.stopped:
 			return
 		}
 	}
 }
 
-// Work does a request's work, of so long on a host that is not busy, and returns
-// what the answer tells. The host's pace is that of the moment at which it begins.
-func (s *Service) Work(usual time.Duration) Report {
+// Work processes a request with the given service time on a host at full speed,
+// and returns the load after it. The slowdown is that at the start of
+// processing.
+func (s *Service) Work(serviceTime time.Duration) Report {
 	s.mu.Lock()
-	s.present++
+	s.inProgress++
 	s.mu.Unlock()
 	s.slots <- struct{}{}
-	time.Sleep(time.Duration(float64(usual) * s.Report().Slowdown))
+	time.Sleep(time.Duration(float64(serviceTime) * s.Report().Slowdown))
 	<-s.slots
 	s.mu.Lock()
-	s.present--
+	s.inProgress--
 	s.mu.Unlock()
 	return s.Report()
 }
 
-// Report tells the server's load now, as its health path does.
+// Report returns the current load, as on the health path.
 func (s *Service) Report() Report {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	running := min(s.present, s.cfg.Slots)
-	return Report{Running: running, Waiting: s.present - running, Slowdown: s.slowdown}
+	running := min(s.inProgress, s.cfg.Slots)
+	return Report{Running: running, Waiting: s.inProgress - running, Slowdown: s.slowdown}
 }
