--- a/scores/scores.go
+++ b/scores/scores.go
@@ -1,5 +1,5 @@
-// Package scores reads the journal of a site's measured days and shows how
-// their worth went over time, as a table and as a plot.
+// Package scores reads benchmark results from a site's journal and shows their
+// history as a table and a plot.
 package scores
 
 import (
@@ -12,60 +12,60 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Day is one measured day of a run.
+// Day is the result of one benchmark day.
 type Day struct {
-	Name  string             `json:"name"`
-	Worth float64            `json:"G"`
-	Full  *float64           `json:"top"` // worth that counts as full score; nil where the day has none
-	Rules map[string]float64 `json:"rules"`
+	Name      string             `json:"name"`
+	Value     float64            `json:"G"`
+	FullScore *float64           `json:"top"` // value of a full score; nil if the day has none
+	Rules     map[string]float64 `json:"rules"`
 }
 
-// Run is one scoring of a site's standard days.
+// Run is one benchmark run over a site's standard days.
 type Run struct {
 	ID      string   `json:"id"`
 	Command string   `json:"cmd"`
 	At      []string `json:"at"`
-	Head    string   `json:"head"` // commit that was measured
+	Head    string   `json:"head"` // benchmarked commit
 	Site    string   `json:"site"`
 	Score   *float64 `json:"score"`
 	Days    []Day    `json:"days"`
 }
 
-// began returns when the run began, for ordering.
-func (r *Run) began() string {
+// startTime returns the start time, for sorting, or "" if unknown.
+func (r *Run) startTime() string {
 	if len(r.At) == 0 {
 		return ""
 	}
 	return r.At[0]
 }
 
-// shortHash is how many letters of a commit's name are shown.
+// shortHash is the length of an abbreviated commit hash.
 const shortHash = 7
 
-// Commit returns the short name of the commit that was measured.
+// Commit returns the abbreviated hash of the benchmarked commit.
 func (r *Run) Commit() string { return r.Head[:min(shortHash, len(r.Head))] }
 
-// Broken counts the rules that a day broke.
+// Broken returns the number of rules violated on the day.
 func (d *Day) Broken() int { return len(d.Rules) }
 
 const scoreCommand = "score"
 
-// Site is every run of one site, oldest first.
+// Site is all runs of a site, oldest first.
 type Site struct {
 	Name string
 	Runs []Run
 }
 
-// drawnPrefix begins the names of days that are drawn anew for each run.
-const drawnPrefix = "fresh-"
+// randomPrefix is the name prefix of days that are generated anew for each run.
+const randomPrefix = "fresh-"
 
-// Days names the days of a site that every run shares, in the order of the
-// newest run. Days that are drawn anew for each run are left out.
+// Days returns the names of the days that all runs of the site share, in the
+// order of the latest run. Days generated for a single run are omitted.
 func (s *Site) Days() []string {
 	var names []string
 	newest := s.Runs[len(s.Runs)-1]
 	for _, d := range newest.Days {
-		if d.Full != nil && !strings.HasPrefix(d.Name, drawnPrefix) && !slices.Contains(names, d.Name) && s.inAll(d.Name) {
+		if d.FullScore != nil && !strings.HasPrefix(d.Name, randomPrefix) && !slices.Contains(names, d.Name) && s.inAll(d.Name) {
 			names = append(names, d.Name)
 		}
 	}
@@ -81,7 +81,7 @@
 	return true
 }
 
-// day returns a day by its name, or nil.
+// day returns the day with the given name, or nil.
 func (r *Run) day(name string) *Day {
 	for i := range r.Days {
 		if r.Days[i].Name == name {
@@ -91,7 +91,8 @@
 	return nil
 }
 
-// Read reads a journal's folder: the scorings of every site, by its name.
+// Read reads the runs of all sites from a journal folder, sorted by site name.
+// Errors name the file that cannot be parsed.
 func Read(folder string) ([]Site, error) {
 	files, err := filepath.Glob(filepath.Join(folder, "*.json"))
 	if err != nil {
@@ -114,7 +115,7 @@
 	var sites []Site
 	for name, runs := range bySite {
 		slices.SortFunc(runs, func(a, b Run) int {
-			if a.began() < b.began() {
+			if a.startTime() < b.startTime() {
 				return -1
 			}
 			return 1
--- a/scores/scores_test.go
+++ b/scores/scores_test.go
@@ -21,15 +21,15 @@
 }
 
 const (
-	older = `{"id":"1","cmd":"score","at":["2026-01-01T00:00:00Z"],"head":"aaaaaaaaaa","site":"north","score":0.5,"days":[
+	olderRun = `{"id":"1","cmd":"score","at":["2026-01-01T00:00:00Z"],"head":"aaaaaaaaaa","site":"north","score":0.5,"days":[
 	 {"name":"quiet","G":0.4,"top":0.6,"rules":{}},{"name":"trouble","G":-0.2,"top":0.5,"rules":{"LOST":1}},{"name":"fresh-1","G":0.3,"top":null}]}`
-	newer = `{"id":"2","cmd":"score","at":["2026-02-01T00:00:00Z"],"head":"bbbbbbbbbb","site":"north","score":0.9,"days":[
+	newerRun = `{"id":"2","cmd":"score","at":["2026-02-01T00:00:00Z"],"head":"bbbbbbbbbb","site":"north","score":0.9,"days":[
 	 {"name":"quiet","G":0.7,"top":0.6,"rules":{}},{"name":"trouble","G":0.45,"top":0.5,"rules":{}},{"name":"fresh-2","G":0.3,"top":null}]}`
-	hunted = `{"id":"3","cmd":"hunt","at":["2026-03-01T00:00:00Z"],"head":"cc","site":"north","days":[{"name":"mix","G":0.1}]}`
+	otherCommand = `{"id":"3","cmd":"hunt","at":["2026-03-01T00:00:00Z"],"head":"cc","site":"north","days":[{"name":"mix","G":0.1}]}`
 )
 
 func TestTable(t *testing.T) {
-	sites, err := Read(journal(t, newer, older, hunted))
+	sites, err := Read(journal(t, newerRun, olderRun, otherCommand))
 	require.NoError(t, err)
 	var out bytes.Buffer
 	require.NoError(t, WriteTable(&out, sites))
@@ -43,7 +43,7 @@
 }
 
 func TestPlotIsWellFormed(t *testing.T) {
-	sites, err := Read(journal(t, newer, older))
+	sites, err := Read(journal(t, newerRun, olderRun))
 	require.NoError(t, err)
 	var out bytes.Buffer
 	require.NoError(t, WritePlot(&out, sites))
@@ -59,10 +59,10 @@
 			lines++
 		}
 	}
-	require.Equal(t, 2, lines, "one for each day that all runs share")
+	require.Equal(t, 2, lines, "one line for each day shared by all runs")
 }
 
-func TestDamagedEntryIsNamed(t *testing.T) {
+func TestReadNamesInvalidFile(t *testing.T) {
 	_, err := Read(journal(t, "{"))
 	require.ErrorContains(t, err, "a.json")
 }
--- a/scores/write.go
+++ b/scores/write.go
@@ -7,8 +7,8 @@
 	"text/template"
 )
 
-// WriteTable writes a Markdown table of each site: a row a day, a column a run.
-// A worth on a day that broke a rule is marked with a star.
+// WriteTable writes a Markdown table per site, with a row per day and a column
+// per run. A star marks days with violated rules.
 func WriteTable(w io.Writer, sites []Site) error {
 	var b strings.Builder
 	for i := range sites {
@@ -19,14 +19,14 @@
 		}
 		b.WriteString("\n|" + strings.Repeat("---|", 2+len(s.Runs)) + "\n| score | |")
 		for _, r := range s.Runs {
-			fmt.Fprintf(&b, " %s |", number(r.Score))
+			fmt.Fprintf(&b, " %s |", formatScore(r.Score))
 		}
 		b.WriteString("\n")
 		for _, name := range s.Days() {
-			fmt.Fprintf(&b, "| %s | %s |", name, number(s.Runs[len(s.Runs)-1].day(name).Full))
+			fmt.Fprintf(&b, "| %s | %s |", name, formatScore(s.Runs[len(s.Runs)-1].day(name).FullScore))
 			for j := range s.Runs {
 				d := s.Runs[j].day(name)
-				fmt.Fprintf(&b, " %.3f%s |", d.Worth, strings.Repeat("*", min(1, d.Broken())))
+				fmt.Fprintf(&b, " %.3f%s |", d.Value, strings.Repeat("*", min(1, d.Broken())))
 			}
 			b.WriteString("\n")
 		}
@@ -36,14 +36,14 @@
 	return err
 }
 
-func number(v *float64) string {
+func formatScore(v *float64) string {
 	if v == nil {
 		return "–"
 	}
 	return fmt.Sprintf("%.3f", *v)
 }
 
-// Sizes of the plot, in pixels.
+// Dimensions of the plot, in pixels.
 const (
 	plotWidth  = 640
 	plotHeight = 220
@@ -51,19 +51,19 @@
 	legendLine = 16
 )
 
-// colours tell the days apart.
+// colours are the line colours of the days, used in turn.
 var colours = []string{"#1b6ca8", "#c0392b", "#27794a", "#8e44ad", "#b9770e", "#2c3e50", "#16a085", "#7f8c8d"}
 
-// line is one day over all runs.
+// line is the plot line of one day.
 type line struct {
 	Name, Colour, Points string
 	LegendY              int
 }
 
-// chart is one site.
+// chart is the chart of one site.
 type chart struct {
 	Name             string
-	Top              int // of the site's part of the plot
+	Top              int // vertical offset in the plot
 	Left, Right      int
 	Bottom, Height   int
 	TextX            int
@@ -74,7 +74,7 @@
 var plotTemplate = template.Must(template.New("plot").Parse(`<svg xmlns="http://www.w3.org/2000/svg" width="{{.Width}}" height="{{.Height}}" font-family="sans-serif" font-size="12">
 <rect width="100%" height="100%" fill="white"/>
 {{range .Charts}}<g transform="translate(0,{{.Top}})">
-<text x="{{.Left}}" y="16" font-weight="bold">{{.Name}}: worth of the standard days</text>
+<text x="{{.Left}}" y="16" font-weight="bold">{{.Name}}: value of the standard days</text>
 <line x1="{{.Left}}" y1="{{.Bottom}}" x2="{{.Right}}" y2="{{.Bottom}}" stroke="black"/>
 <line x1="{{.Left}}" y1="24" x2="{{.Left}}" y2="{{.Bottom}}" stroke="black"/>
 <text x="8" y="30">1.0</text><text x="8" y="{{.Bottom}}">0.0</text>
@@ -85,7 +85,7 @@
 {{end}}</svg>
 `))
 
-// WritePlot writes an SVG picture with a chart of each site.
+// WritePlot writes an SVG image with one chart per site.
 func WritePlot(w io.Writer, sites []Site) error {
 	page := struct {
 		Width, Height int
@@ -106,20 +106,20 @@
 	for i, name := range s.Days() {
 		l := line{Name: name, Colour: colours[i%len(colours)], LegendY: 30 + i*legendLine}
 		for j := range s.Runs {
-			l.Points += fmt.Sprintf("%.1f,%.1f ", c.x(j, len(s.Runs)), c.y(s.Runs[j].day(name).Worth))
+			l.Points += fmt.Sprintf("%.1f,%.1f ", c.x(j, len(s.Runs)), c.y(s.Runs[j].day(name).Value))
 		}
 		c.Lines = append(c.Lines, l)
 	}
 	return c
 }
 
-// x returns where a run stands; a single one stands at the left.
+// x returns the horizontal position of a run; a single run is at the left edge.
 func (c *chart) x(run, runs int) float64 {
 	return float64(c.Left) + float64(c.Right-c.Left)*float64(run)/float64(max(1, runs-1))
 }
 
-// y returns the height of a worth; what is below 0 stands on the line.
-func (c *chart) y(worth float64) float64 {
+// y returns the vertical position of a value, clamped to the range 0 to 1.
+func (c *chart) y(value float64) float64 {
 	const top = 24
-	return float64(c.Bottom) - max(0, min(1, worth))*float64(c.Bottom-top)
+	return float64(c.Bottom) - max(0, min(1, value))*float64(c.Bottom-top)
 }
