--- a/fleet/cost.go
+++ b/fleet/cost.go
@@ -23,7 +23,8 @@
 	burstFactor = 2.0
 )
 
-// lossEvent is a loss of targets and the fraction of time during which it applies.
+// lossEvent is a loss of targets and the fraction of time during which it
+// applies.
 type lossEvent struct {
 	probability float64
 	reclaimed   []string // data halls whose spot targets are reclaimed
@@ -49,8 +50,8 @@
 // are rare, and the number of events doubles with each data hall.
 const maxReclaims = 3
 
-// lossEvents lists the loss scenarios: reclaimed spot targets in up to maxReclaims
-// data halls, combined with the loss of up to one data hall.
+// lossEvents lists the loss scenarios: reclaimed spot targets in up to
+// maxReclaims data halls, combined with the loss of up to one data hall.
 func (s *Situation) lossEvents() []lossEvent {
 	halls := s.halls()
 	events := []lossEvent{{probability: 1}}
@@ -76,7 +77,8 @@
 	return events
 }
 
-// imbalance returns the number of targets above maxHallRatio over all data halls.
+// imbalance returns the number of targets above maxHallRatio over all data
+// halls.
 func imbalance(halls []string, c Counts) float64 {
 	bound := maxHallRatio * float64(c.Total()) / float64(len(halls))
 	excess := 0.0
@@ -122,9 +124,9 @@
 // stepSizes are the step sizes of the local search, largest first.
 var stepSizes = []int{16, 4, 1}
 
-// searchLeastCost runs a local search for the lowest expected cost, starting at the
-// guess. It changes single places, pairs of places, and all data halls at once.
-// The result never costs more than the guess.
+// searchLeastCost runs a local search for the lowest expected cost, starting at
+// the guess. It changes single places, pairs of places, and all data halls at
+// once. The result never costs more than the guess.
 func (s *Situation) searchLeastCost(guess Counts) Counts {
 	cost, base := s.costFunc(), s.onDemandBase()
 	best, lowest := maps.Clone(guess), cost(guess)
--- a/fleet/demand_test.go
+++ b/fleet/demand_test.go
@@ -120,15 +120,15 @@
 	times       int
 }
 
-func (m *forecastError) add(expected, actual float64) {
-	m.short += max(0, actual-expected)
-	m.over += max(0, expected-actual)
-	m.times++
+func (e *forecastError) add(expected, actual float64) {
+	e.short += max(0, actual-expected)
+	e.over += max(0, expected-actual)
+	e.times++
 }
 
 // mean returns the mean shortfall and excess of the forecast.
-func (m *forecastError) mean() (short, over float64) {
-	return m.short / float64(m.times), m.over / float64(m.times)
+func (e *forecastError) mean() (short, over float64) {
+	return e.short / float64(e.times), e.over / float64(e.times)
 }
 
 func rate(steps []float64) float64 {
--- a/fleet/mover.go
+++ b/fleet/mover.go
@@ -22,9 +22,9 @@
 	// refusal, and stays short so that new capacity is found soon.
 	maxBackoff    = 2
 	backoffFactor = 1.3
-	// maxShrinkPart limits the fraction of a data hall's targets that one order
+	// maxScaleDownPart limits the fraction of a data hall's targets that one order
 	// removes, since other targets must take over their runs.
-	maxShrinkPart = 0.25
+	maxScaleDownPart = 0.25
 	// deadBand is the change, as a fraction of a data hall's targets, below
 	// which no order is made.
 	deadBand = 0.05
@@ -74,10 +74,10 @@
 // once and down slowly, removes targets only after their replacements serve,
 // and repeats orders that do not take effect.
 type Mover struct {
-	service    string
-	places     map[Place]*placeState
-	lastShrunk map[string]time.Time // time of the last scale-down, by data hall
-	wanted     []wantedAt           // within scaleDownDelay, oldest first
+	service        string
+	places         map[Place]*placeState
+	lastScaledDown map[string]time.Time // time of the last scale-down, by data hall
+	wanted         []wantedAt           // within scaleDownDelay, oldest first
 }
 
 // wantedAt is the wanted counts at one time.
@@ -89,7 +89,7 @@
 // placeState is the state of the orders for one place.
 type placeState struct {
 	lastSent     time.Time // last call of this Mover; zero if there was none
-	lastGrown    time.Time // last scale-up
+	lastScaledUp time.Time // last scale-up
 	unclear      int       // consecutive calls with an unclear outcome
 	repeated     int       // of an acknowledged order that did not take effect
 	differsSince time.Time // since when the list differs from the order; zero if it does not
@@ -102,7 +102,7 @@
 
 // NewMover returns a mover for a service without any orders.
 func NewMover(service string) *Mover {
-	return &Mover{service: service, places: map[Place]*placeState{}, lastShrunk: map[string]time.Time{}}
+	return &Mover{service: service, places: map[Place]*placeState{}, lastScaledDown: map[string]time.Time{}}
 }
 
 func (m *Mover) at(p Place) *placeState {
@@ -173,7 +173,7 @@
 	s := m.at(step.Order.Place())
 	s.lastSent = at
 	if step.Order.Count > step.Before {
-		s.lastGrown = at
+		s.lastScaledUp = at
 	}
 	switch outcome {
 	case duty.Done:
@@ -182,7 +182,7 @@
 			s.repeated++
 		}
 		if step.Order.Count < step.Before {
-			m.lastShrunk[step.Order.DataHall] = at
+			m.lastScaledDown[step.Order.DataHall] = at
 			s.recordRemoved(at, step.Before-step.Order.Count)
 		}
 	case duty.Rejected:
@@ -281,7 +281,7 @@
 		if count <= before || m.outcomeUnclear(p) || now.Before(m.at(p).backoffUntil) || v.inDeadBand(count-before, hall) {
 			continue
 		}
-		booting := !v.Idle && now.Sub(m.at(p).lastGrown) < v.Scaling.Boot
+		booting := !v.Idle && now.Sub(m.at(p).lastScaledUp) < v.Scaling.Boot
 		if booting && float64(count-before) < regrowPart*float64(v.Ordered.Hall(hall)) {
 			continue
 		}
@@ -294,14 +294,14 @@
 // number of staying targets beyond those wanted, over all data halls; scaleDown
 // deducts what it removes.
 func (m *Mover) scaleDown(now time.Time, v *View, hall string, spare *int, staying Counts) (Step, bool) {
-	if at := m.lastShrunk[hall]; v.Filling || !v.Idle && !at.IsZero() && now.Sub(at) < v.Scaling.Boot {
+	if at := m.lastScaledDown[hall]; v.Filling || !v.Idle && !at.IsZero() && now.Sub(at) < v.Scaling.Boot {
 		return Step{}, false
 	}
 	for _, kind := range []Kind{OnDemand, Spot} {
 		p, other := Place{hall, kind}, Place{hall, 1 - kind}
 		before := v.Ordered[p]
 		surplus := before - v.Wanted[p]
-		booting := !v.Idle && now.Sub(m.at(p).lastGrown) < v.Scaling.Boot
+		booting := !v.Idle && now.Sub(m.at(p).lastScaledUp) < v.Scaling.Boot
 		if surplus <= 0 || booting || m.outcomeUnclear(p) || m.outcomeUnclear(other) || now.Before(m.at(p).backoffUntil) {
 			continue
 		}
@@ -312,10 +312,10 @@
 		if v.Wanted[other] > v.Scaling.Max-before {
 			// The data hall is at Max: targets must be removed before others
 			// can be added.
-			allowed = min(staying.Total()-v.Least, v.maxShrink(hall))
+			allowed = min(staying.Total()-v.Least, v.maxScaleDown(hall))
 		}
 		if !v.Idle {
-			allowed = min(allowed, v.maxShrink(hall), v.Ordered.Hall(hall)-m.maxWanted(hall))
+			allowed = min(allowed, v.maxScaleDown(hall), v.Ordered.Hall(hall)-m.maxWanted(hall))
 		}
 		allowed = min(allowed, v.Ordered.Hall(hall)-v.Scaling.Min)
 		surplus = min(surplus, allowed)
@@ -329,9 +329,9 @@
 	return Step{}, false
 }
 
-// maxShrink returns how many targets of a data hall one order may remove.
-func (v *View) maxShrink(hall string) int {
-	return max(1, int(math.Ceil(maxShrinkPart*float64(v.Ordered.Hall(hall)))))
+// maxScaleDown returns how many targets of a data hall one order may remove.
+func (v *View) maxScaleDown(hall string) int {
+	return max(1, int(math.Ceil(maxScaleDownPart*float64(v.Ordered.Hall(hall)))))
 }
 
 // inDeadBand reports whether a change is within the dead band.
@@ -339,7 +339,8 @@
 	return !v.Idle && v.Ordered.Total() >= v.Least && float64(change) < deadBand*float64(v.Ordered.Hall(hall))
 }
 
-// outcomeUnclear reports whether the last call for a place had an unclear outcome.
+// outcomeUnclear reports whether the last call for a place had an unclear
+// outcome.
 func (m *Mover) outcomeUnclear(p Place) bool {
 	s := m.at(p)
 	return s.unclear > 0
--- a/fleet/plan.go
+++ b/fleet/plan.go
@@ -89,8 +89,8 @@
 	return limit
 }
 
-// keepCapacity returns the initial number of targets for each data hall, with kinds
-// chosen for the load that these targets can bear. Counts that are not
+// keepCapacity returns the initial number of targets for each data hall, with
+// kinds chosen for the load that these targets can bear. Counts that are not
 // available in a data hall move to others.
 func (s *Situation) keepCapacity() Counts {
 	situation := *s
@@ -113,8 +113,9 @@
 	return wanted
 }
 
-// bearableLoad returns the load that the initial targets can bear in a burst after the
-// loss of a data hall, assuming that the operator sized them for that.
+// bearableLoad returns the load that the initial targets can bear in a burst
+// after the loss of a data hall, assuming that the operator sized them for
+// that.
 func (s *Situation) bearableLoad() *Load {
 	initial := Counts{}
 	for hall, n := range s.Base {
@@ -160,8 +161,8 @@
 	}
 }
 
-// hallReserve returns counts that serve the load comfortably after the loss of any
-// one data hall, of the cheaper kind where possible.
+// hallReserve returns counts that serve the load comfortably after the loss of
+// any one data hall, of the cheaper kind where possible.
 func (s *Situation) hallReserve() Counts {
 	wanted := s.onDemandBase()
 	s.ensureMin(wanted)
@@ -174,10 +175,10 @@
 	return wanted
 }
 
-// onDemandBase returns the minimum of on-demand targets by data hall if spot targets
-// are used. They can just serve the load after all spot targets are reclaimed
-// and one data hall is lost, since successive reclaims may occur while the
-// control group cannot scale.
+// onDemandBase returns the minimum of on-demand targets by data hall if spot
+// targets are used. They can just serve the load after all spot targets are
+// reclaimed and one data hall is lost, since successive reclaims may occur
+// while the control group cannot scale.
 func (s *Situation) onDemandBase() Counts {
 	base := Counts{}
 	if s.cheapKind() == OnDemand {
--- a/fleet/simulation_test.go
+++ b/fleet/simulation_test.go
@@ -88,8 +88,8 @@
 	return &simulation{t: t, scaling: simScaling(), halls: simHalls, base: 60, load: load, noCapacity: map[fleet.Place]func(time.Duration) bool{}, minServing: math.MaxInt}
 }
 
-// periodicLoad is the default load: on average 41 requests/s from 9 s on, with a peak
-// every 11 s.
+// periodicLoad is the default load: on average 41 requests/s from 9 s on, with
+// a peak every 11 s.
 func periodicLoad(at time.Duration) float64 {
 	if at < 9*time.Second {
 		return 0
@@ -172,7 +172,7 @@
 	if !ok {
 		return
 	}
-	s.tally.Take("entry", s.life, []fleet.Demand{s.demand})
+	s.tally.Take("node", s.life, []fleet.Demand{s.demand})
 	total, _ := s.tally.Of("engines")
 	s.forecast.Observe(s.clock(), total)
 	load := s.record.Load
--- a/rollout/experiment/answer.go
+++ b/rollout/experiment/answer.go
@@ -60,26 +60,26 @@
 }
 
 // handle delivers the next event of an answer to its node.
-func (p *simulation) handle(a answer) {
+func (sim *simulation) handle(a answer) {
 	switch a.stage {
 	case stageFirst:
 		a.request.First()
 		if a.run > 0 {
 			a.stage, a.at = stageInterval, a.at+min(intervalEvents*a.interval, a.run)
-			heap.Push(&p.inFlight, a)
+			heap.Push(&sim.inFlight, a)
 			return
 		}
 	case stageInterval:
 		a.request.Pace(a.interval)
 		a.stage, a.at = stageEnd, a.at+max(0, a.run-intervalEvents*a.interval)
-		heap.Push(&p.inFlight, a)
+		heap.Push(&sim.inFlight, a)
 		return
 	}
-	p.end(a)
+	sim.end(a)
 }
 
 // end records the outcome of a request, and retries failed requests.
-func (p *simulation) end(a answer) {
+func (sim *simulation) end(a answer) {
 	a.target.inFlight--
 	if a.unknown {
 		a.request.Dropped()
@@ -87,81 +87,81 @@
 		a.request.Ended(a.outcome)
 	}
 	if a.bad {
-		p.out.BadAnswers++
+		sim.out.BadAnswers++
 	}
 	if a.key.Version == newVersion && (a.bad || a.outcome != rollout.Served) {
-		p.badAnswers++
-		if p.badAnswers == stopWithinAfter {
-			p.out.FiftiethBad = p.now
+		sim.badAnswers++
+		if sim.badAnswers == stopWithinAfter {
+			sim.out.FiftiethBad = sim.now
 		}
 	}
 	if a.outcome != rollout.Served && a.tries < maxRetries {
-		p.send(a.node, a.route, a.tries+1)
+		sim.send(a.node, a.route, a.tries+1)
 	}
 }
 
 // isBad reports whether the version's fault affects a request at a target now.
-func (p *simulation) isBad(at *target, route string) bool {
-	if !at.new || !p.version.Bad() {
+func (sim *simulation) isBad(at *target, route string) bool {
+	if !at.new || !sim.version.Bad() {
 		return false
 	}
-	switch p.version.When {
+	switch sim.version.When {
 	case Later:
-		return p.now >= p.badFrom
+		return sim.now >= sim.badFrom
 	case OneRoute:
-		return route == p.badRoute
+		return route == sim.badRoute
 	case Loaded:
-		return float64(at.inFlight) >= p.badLoad
+		return float64(at.inFlight) >= sim.badLoad
 	}
 	return true
 }
 
 // answer simulates the answer to a request.
-func (p *simulation) answer(node, routeNumber, tries int, at *target, key rollout.Key) answer {
-	route := p.site.Routes[routeNumber]
+func (sim *simulation) answer(node, routeNumber, tries int, at *target, key rollout.Key) answer {
+	route := sim.site.Routes[routeNumber]
 	a := answer{node: node, key: key, route: routeNumber, tries: tries, outcome: rollout.Served}
-	latency := time.Duration(float64(route.Latency) * math.Exp(route.Spread*p.rng.NormFloat64()))
-	interval := time.Duration(float64(eventInterval) * math.Exp(0.2*p.rng.NormFloat64()))
+	latency := time.Duration(float64(route.Latency) * math.Exp(route.Spread*sim.rng.NormFloat64()))
+	interval := time.Duration(float64(eventInterval) * math.Exp(0.2*sim.rng.NormFloat64()))
 	run := route.StreamTime
-	bad := p.isBad(at, route.Name)
-	if bad && p.version.Slow > 1 {
-		latency = time.Duration(p.version.Slow * float64(latency))
-		interval = time.Duration(p.version.Slow * float64(interval))
-		run = time.Duration(p.version.Slow * float64(run))
+	bad := sim.isBad(at, route.Name)
+	if bad && sim.version.Slow > 1 {
+		latency = time.Duration(sim.version.Slow * float64(latency))
+		interval = time.Duration(sim.version.Slow * float64(interval))
+		run = time.Duration(sim.version.Slow * float64(run))
 		a.bad = true
 	}
-	a.at, a.run, a.interval = p.now+latency, run, interval
+	a.at, a.run, a.interval = sim.now+latency, run, interval
 	switch {
-	case p.down(at, a.at+run):
+	case sim.down(at, a.at+run):
 		a.stage, a.outcome, a.bad = stageEnd, rollout.Lost, false
-		a.at = p.now + time.Duration(p.rng.Float64()*float64(latency+run))
-		a.unknown = p.rng.Float64() < hallLossKnown
-	case bad && p.rng.Float64() < p.version.Fails:
+		a.at = sim.now + time.Duration(sim.rng.Float64()*float64(latency+run))
+		a.unknown = sim.rng.Float64() < hallLossKnown
+	case bad && sim.rng.Float64() < sim.version.Fails:
 		a.stage, a.outcome, a.bad = stageEnd, rollout.Failed, true
-		if p.rng.IntN(2) == 0 && run > 0 {
+		if sim.rng.IntN(2) == 0 && run > 0 {
 			a.outcome = rollout.Lost // the stream is truncated
-			a.at += time.Duration(p.rng.Float64() * float64(run))
+			a.at += time.Duration(sim.rng.Float64() * float64(run))
 		}
-	case p.rng.Float64() < route.ErrorRate || p.failsPartially(at) && p.rng.Float64() < partialErrorRate:
+	case sim.rng.Float64() < route.ErrorRate || sim.failsPartially(at) && sim.rng.Float64() < partialErrorRate:
 		a.stage, a.outcome = stageEnd, rollout.Failed
 	}
 	return a
 }
 
 // failsPartially reports whether a target currently has a partial failure.
-func (p *simulation) failsPartially(at *target) bool {
-	return at.partialFailure && p.now >= p.partialFrom && p.now < p.partialFrom+partialDuration
+func (sim *simulation) failsPartially(at *target) bool {
+	return at.partialFailure && sim.now >= sim.partialFrom && sim.now < sim.partialFrom+partialDuration
 }
 
 // down reports whether a target's data hall crashes before an answer is
 // complete. Nodes avoid a hall that is down, except for some requests that
 // detect it.
-func (p *simulation) down(at *target, until time.Duration) bool {
-	for _, c := range p.crashes {
-		if c.hall != at.hall || until < c.from || p.now > c.from+crashDuration {
+func (sim *simulation) down(at *target, until time.Duration) bool {
+	for _, c := range sim.crashes {
+		if c.hall != at.hall || until < c.from || sim.now > c.from+crashDuration {
 			continue
 		}
-		if p.now < c.from || p.rng.Float64() < 0.3 {
+		if sim.now < c.from || sim.rng.Float64() < 0.3 {
 			return true
 		}
 	}
--- a/rollout/experiment/play.go
+++ b/rollout/experiment/play.go
@@ -31,11 +31,13 @@
 	// badLoadPart is the fraction of the full load from which a version that
 	// fails under load is bad.
 	badLoadPart = 0.5
-	minBadLoad  = 2
+	minBadLoad  = 2 // requests in flight
 	// eventInterval is the median time between the events of a stream.
 	eventInterval = 120 * time.Millisecond
 	// maxRetries limits the retries of a request.
-	maxRetries      = 2
+	maxRetries = 2
+	// stopWithinAfter is the number of bad answers from which Bounds.StopWithin
+	// counts.
 	stopWithinAfter = 50
 	// hallLossKnown is the share of answers lost in a data hall outage that the
 	// node attributes to the outage.
@@ -102,181 +104,181 @@
 	view rollout.View
 }
 
-// Simulate simulates one rollout of a version on a site. The same seed gives the
-// same outcome.
+// Simulate simulates one rollout of a version on a site. The same seed gives
+// the same outcome.
 func Simulate(site Site, v Version, troubles Troubles, policy rollout.Policy, seed uint64) Outcome {
-	p := newSimulation(site, v, troubles, policy, seed)
-	for p.now = 0; p.now < site.Duration; p.now += tick {
-		p.deliver()
-		p.decide()
-		p.report()
-		p.generate()
+	sim := newSimulation(site, v, troubles, policy, seed)
+	for sim.now = 0; sim.now < site.Duration; sim.now += tick {
+		sim.deliver()
+		sim.decide()
+		sim.report()
+		sim.generate()
 	}
-	p.out.State = p.record.State
-	return p.out
+	sim.out.State = sim.record.State
+	return sim.out
 }
 
 func newSimulation(site Site, v Version, troubles Troubles, policy rollout.Policy, seed uint64) *simulation {
-	p := &simulation{site: site, version: v, rng: rand.New(rand.NewPCG(seed, 31)), begin: time.Unix(0, 0), tally: rollout.NewTally(),
+	sim := &simulation{site: site, version: v, rng: rand.New(rand.NewPCG(seed, 31)), begin: time.Unix(0, 0), tally: rollout.NewTally(),
 		judge: rollout.NewJudge(policy, site.Duration)}
-	p.record = rollout.Record{Service: service, InForce: []string{oldVersion}, Number: 1, Target: newVersion, State: rollout.Running, Duration: site.Duration}
+	sim.record = rollout.Record{Service: service, InForce: []string{oldVersion}, Number: 1, Target: newVersion, State: rollout.Running, Duration: site.Duration}
 	for i := range site.Nodes {
-		p.agents = append(p.agents, rollout.NewAgent(seed*1000+uint64(i), rollout.WithClock(p.clock)))
+		sim.agents = append(sim.agents, rollout.NewAgent(seed*1000+uint64(i), rollout.WithClock(sim.clock)))
 	}
 	for i := range site.Targets {
-		p.old = append(p.old, &target{id: fmt.Sprint("o", i), hall: i % site.Halls})
-		p.new = append(p.new, &target{id: fmt.Sprint("n", i), hall: i % site.Halls, new: true})
+		sim.old = append(sim.old, &target{id: fmt.Sprint("o", i), hall: i % site.Halls})
+		sim.new = append(sim.new, &target{id: fmt.Sprint("n", i), hall: i % site.Halls, new: true})
 	}
 	if troubles.Grey {
-		p.addPartialFailures()
+		sim.addPartialFailures()
 	}
 	if troubles.Crashes {
 		for range 2 {
-			p.crashes = append(p.crashes, crash{hall: p.rng.IntN(site.Halls), from: time.Duration(p.rng.Float64() * float64(site.Duration))})
+			sim.crashes = append(sim.crashes, crash{hall: sim.rng.IntN(site.Halls), from: time.Duration(sim.rng.Float64() * float64(site.Duration))})
 		}
 	}
-	p.badFrom = time.Duration((0.25 + 0.5*p.rng.Float64()) * float64(site.Duration))
-	p.partialFrom = time.Duration(p.rng.Float64() * float64(site.Duration-partialDuration))
-	p.badLoad = max(minBadLoad, badLoadPart*site.inFlight())
-	p.badRoute = site.Routes[p.rng.IntN(len(site.Routes))].Name
-	p.publish()
-	return p
+	sim.badFrom = time.Duration((0.25 + 0.5*sim.rng.Float64()) * float64(site.Duration))
+	sim.partialFrom = time.Duration(sim.rng.Float64() * float64(site.Duration-partialDuration))
+	sim.badLoad = max(minBadLoad, badLoadPart*site.inFlight())
+	sim.badRoute = site.Routes[sim.rng.IntN(len(site.Routes))].Name
+	sim.publish()
+	return sim
 }
 
 // addPartialFailures selects targets of both versions for partial failures.
-func (p *simulation) addPartialFailures() {
-	all := slices.Concat(p.old, p.new)
-	for _, i := range p.rng.Perm(len(all))[:int(partialShare*float64(len(all)))] {
+func (sim *simulation) addPartialFailures() {
+	all := slices.Concat(sim.old, sim.new)
+	for _, i := range sim.rng.Perm(len(all))[:int(partialShare*float64(len(all)))] {
 		all[i].partialFailure = true
 	}
 }
 
-func (p *simulation) clock() time.Time { return p.begin.Add(p.now) }
+func (sim *simulation) clock() time.Time { return sim.begin.Add(sim.now) }
 
 // publish sends the record to all nodes after viewDelay.
-func (p *simulation) publish() {
-	p.revision++
-	p.views = append(p.views, pendingView{at: p.now + viewDelay, view: rollout.View{Revision: p.revision, Records: []rollout.Record{p.record}}})
+func (sim *simulation) publish() {
+	sim.revision++
+	sim.views = append(sim.views, pendingView{at: sim.now + viewDelay, view: rollout.View{Revision: sim.revision, Records: []rollout.Record{sim.record}}})
 }
 
 // deliver delivers the views and answers that are due.
-func (p *simulation) deliver() {
-	for len(p.views) > 0 && p.views[0].at <= p.now {
-		for _, a := range p.agents {
-			a.SetView(p.views[0].view)
+func (sim *simulation) deliver() {
+	for len(sim.views) > 0 && sim.views[0].at <= sim.now {
+		for _, a := range sim.agents {
+			a.SetView(sim.views[0].view)
 		}
-		p.views = p.views[1:]
+		sim.views = sim.views[1:]
 	}
-	for len(p.inFlight) > 0 && p.inFlight[0].at <= p.now {
-		p.handle(heap.Pop(&p.inFlight).(answer))
+	for len(sim.inFlight) > 0 && sim.inFlight[0].at <= sim.now {
+		sim.handle(heap.Pop(&sim.inFlight).(answer))
 	}
 }
 
 // decide runs the leader's part: it plans the next step and applies it.
-func (p *simulation) decide() {
-	if p.record.State != rollout.Running || p.now%decisionPeriod != 0 {
+func (sim *simulation) decide() {
+	if sim.record.State != rollout.Running || sim.now%decisionPeriod != 0 {
 		return
 	}
-	s := rollout.Situation{Record: p.record, Elapsed: p.now, ShiftedAt: p.shiftedAt, Sums: p.tally.Sums(service), Streams: p.site.Streams,
-		OldPlaces: p.site.Targets, Verdict: p.judge.Verdict()}
-	if p.now >= targetBoot {
-		s.NewPlaces = p.site.Targets
+	s := rollout.Situation{Record: sim.record, Elapsed: sim.now, ShiftedAt: sim.shiftedAt, Sums: sim.tally.Sums(service), Streams: sim.site.Streams,
+		OldPlaces: sim.site.Targets, Verdict: sim.judge.Verdict()}
+	if sim.now >= targetBoot {
+		s.NewPlaces = sim.site.Targets
 	}
-	p.step = p.site.Bounds.Plan(s)
-	if p.step.State == rollout.Running && p.step.Stage == p.record.Stage {
+	sim.step = sim.site.Bounds.Plan(s)
+	if sim.step.State == rollout.Running && sim.step.Stage == sim.record.Stage {
 		return
 	}
-	if p.step.Stage != p.record.Stage {
-		p.shiftedAt = p.now
+	if sim.step.Stage != sim.record.Stage {
+		sim.shiftedAt = sim.now
 	}
-	p.record.State, p.record.Stage, p.record.Reason = p.step.State, p.step.Stage, p.step.Reason
-	if p.record.State != rollout.Running {
-		p.out.EndedAt, p.out.Reason = p.now, p.step.Reason
+	sim.record.State, sim.record.Stage, sim.record.Reason = sim.step.State, sim.step.Stage, sim.step.Reason
+	if sim.record.State != rollout.Running {
+		sim.out.EndedAt, sim.out.Reason = sim.now, sim.step.Reason
 	}
-	if p.record.State == rollout.Completed {
-		p.record.InForce = []string{newVersion}
+	if sim.record.State == rollout.Completed {
+		sim.record.InForce = []string{newVersion}
 	}
-	p.publish()
+	sim.publish()
 }
 
 // report delivers the reports that are due and renews the nodes' permits.
-func (p *simulation) report() {
-	if p.record.State != rollout.Running {
+func (sim *simulation) report() {
+	if sim.record.State != rollout.Running {
 		return
 	}
-	late := p.judge.Late()
-	for i, a := range p.agents {
+	late := sim.judge.Late()
+	for i, a := range sim.agents {
 		offset := time.Duration(i%int(reportPeriod/tick)) * tick
-		if p.now%reportPeriod != offset {
+		if sim.now%reportPeriod != offset {
 			continue
 		}
-		increments := p.tally.Take(strconv.Itoa(i), 1, a.Report(1))
-		p.judge.Take(p.now, newVersion, increments)
-		a.SetPermits([]rollout.Permit{{Service: service, Number: 1, Shares: p.step.Shares, Other: p.step.Other, Focus: p.step.Focus, Late: late, For: rollout.PermitLife}}, p.clock())
+		increments := sim.tally.Take(strconv.Itoa(i), 1, a.Report(1))
+		sim.judge.Take(sim.now, newVersion, increments)
+		a.SetPermits([]rollout.Permit{{Service: service, Number: 1, Shares: sim.step.Shares, Other: sim.step.Other, Focus: sim.step.Focus, Late: late, For: rollout.PermitLife}}, sim.clock())
 	}
 }
 
 // generate sends the requests that arrive in one tick.
-func (p *simulation) generate() {
-	for r, route := range p.site.Routes {
-		for range p.poisson(route.PerS * tick.Seconds()) {
-			p.send(p.rng.IntN(p.site.Nodes), r, 0)
+func (sim *simulation) generate() {
+	for r, route := range sim.site.Routes {
+		for range sim.poisson(route.PerS * tick.Seconds()) {
+			sim.send(sim.rng.IntN(sim.site.Nodes), r, 0)
 		}
 	}
 }
 
-func (p *simulation) poisson(mean float64) int {
-	n, product := 0, p.rng.Float64()
-	for limit := math.Exp(-mean); product > limit; product *= p.rng.Float64() {
+func (sim *simulation) poisson(mean float64) int {
+	n, product := 0, sim.rng.Float64()
+	for limit := math.Exp(-mean); product > limit; product *= sim.rng.Float64() {
 		n++
 	}
 	return n
 }
 
 // send sends a request to a target, with the gateway's version selection.
-func (p *simulation) send(node, routeNumber, tries int) {
-	route := p.site.Routes[routeNumber]
-	agent := p.agents[node]
-	drawn := (tries == 0 || agent.Shifted(service)) && p.now >= targetBoot && agent.Draw(service, route.Name)
-	at := p.pick(agent, drawn)
-	p.requests++
+func (sim *simulation) send(node, routeNumber, tries int) {
+	route := sim.site.Routes[routeNumber]
+	agent := sim.agents[node]
+	drawn := (tries == 0 || agent.Shifted(service)) && sim.now >= targetBoot && agent.Draw(service, route.Name)
+	at := sim.pick(agent, drawn)
+	sim.requests++
 	if at.new {
-		p.expose(at)
+		sim.expose(at)
 	}
 	key := rollout.Key{Service: service, Route: route.Name, Version: oldVersion, DataHall: fmt.Sprint(at.hall), Target: at.id}
 	if at.new {
 		key.Version = newVersion
 	}
 	at.inFlight++
-	a := p.answer(node, routeNumber, tries, at, key)
+	a := sim.answer(node, routeNumber, tries, at, key)
 	a.target = at
 	a.request = agent.Begin(key)
-	heap.Push(&p.inFlight, a)
+	heap.Push(&sim.inFlight, a)
 }
 
-func (p *simulation) pick(agent *rollout.Agent, drawn bool) *target {
+func (sim *simulation) pick(agent *rollout.Agent, drawn bool) *target {
 	versions := agent.Versions(service, drawn)
 	if !versions.Has(newVersion) {
-		return p.old[p.rng.IntN(len(p.old))]
+		return sim.old[sim.rng.IntN(len(sim.old))]
 	}
 	focus := agent.Focus(service)
 	if focus.Part >= 1 || !drawn {
-		return p.new[p.rng.IntN(len(p.new))]
+		return sim.new[sim.rng.IntN(len(sim.new))]
 	}
-	if p.focused == nil || p.focusRound != focus.Round {
-		p.focusRound, p.focused = focus.Round, slices.Clone(p.new)
+	if sim.focused == nil || sim.focusRound != focus.Round {
+		sim.focusRound, sim.focused = focus.Round, slices.Clone(sim.new)
 		round := strconv.FormatUint(focus.Round, 10)
-		slices.SortFunc(p.focused, func(a, b *target) int {
+		slices.SortFunc(sim.focused, func(a, b *target) int {
 			return cmp.Compare(rendezvous.Weight(round, b.id), rendezvous.Weight(round, a.id))
 		})
 	}
-	return p.focused[p.rng.IntN(max(1, int(math.Ceil(focus.Part*float64(len(p.focused))))))]
+	return sim.focused[sim.rng.IntN(max(1, int(math.Ceil(focus.Part*float64(len(sim.focused))))))]
 }
 
 // expose counts a request to the new version.
-func (p *simulation) expose(at *target) {
-	p.out.Exposed++
-	p.out.LastSend = p.now
-	b := p.site.Bounds
-	p.out.Over = max(p.out.Over, p.out.Exposed-b.Share*p.requests-b.Slack)
+func (sim *simulation) expose(at *target) {
+	sim.out.Exposed++
+	sim.out.LastSend = sim.now
+	b := sim.site.Bounds
+	sim.out.Over = max(sim.out.Over, sim.out.Exposed-b.Share*sim.requests-b.Slack)
 }
--- a/rollout/judge.go
+++ b/rollout/judge.go
@@ -151,10 +151,10 @@
 }
 
 // samples returns the samples of a metric for the new version, by target.
-func (r *routeEvidence) samples(k metric) map[targetKey][]sample {
+func (r *routeEvidence) samples(m metric) map[targetKey][]sample {
 	var slow int
 	var share float64
-	switch k {
+	switch m {
 	case metricFailed:
 		share = baselineErrorShare(float64(r.baseline.Failed), float64(r.baseline.Answered()))
 	case metricFirstEvent:
@@ -168,7 +168,7 @@
 	for u, bins := range r.canary {
 		for _, b := range bins {
 			s := sample{bin: b.bin, baseline: share}
-			switch k {
+			switch m {
 			case metricFailed:
 				s.n, s.bad = float64(b.counts.Answered()), float64(b.counts.Failed+b.counts.Lost)
 				loss := r.lossShare(u.hall, b.bin)
@@ -206,19 +206,19 @@
 // Verdict assesses all counts taken so far.
 func (j *Judge) Verdict() Verdict {
 	v := Verdict{Score: math.Inf(-1)}
-	for k := range numMetrics {
+	for m := range numMetrics {
 		all := map[targetKey][]sample{} // samples of all routes
 		for _, name := range slices.Sorted(maps.Keys(j.routes)) {
-			byTarget := j.routes[name].samples(k)
+			byTarget := j.routes[name].samples(m)
 			if len(j.routes) > 1 {
-				v.keepWorst(fmt.Sprintf("answers %s on route %s", metricNames[k], name), j.score(byTarget))
+				v.keepWorst(fmt.Sprintf("answers %s on route %s", metricNames[m], name), j.score(byTarget))
 			}
 			for u, samples := range byTarget {
 				all[u] = append(all[u], samples...)
 			}
 		}
-		v.keepWorst(fmt.Sprintf("answers %s on all routes", metricNames[k]), j.score(all))
-		v.addCounts(k, all)
+		v.keepWorst(fmt.Sprintf("answers %s on all routes", metricNames[m]), j.score(all))
+		v.addCounts(m, all)
 	}
 	rollbackAt, promoteAt := rollbackLLR, promoteLLR
 	if j.policy == Threshold {
@@ -235,9 +235,9 @@
 	}
 }
 
-// addCounts updates the number of answers and the excess of bad ones, leaving out
-// the worst target if there are several.
-func (v *Verdict) addCounts(k metric, byTarget map[targetKey][]sample) {
+// addCounts updates the number of answers and the excess of bad ones, leaving
+// out the worst target if there are several.
+func (v *Verdict) addCounts(m metric, byTarget map[targetKey][]sample) {
 	n, excess, expected, worstTarget := 0.0, 0.0, 0.0, 0.0
 	for _, samples := range byTarget {
 		ofTarget := 0.0
@@ -252,7 +252,7 @@
 	if len(byTarget) > 1 {
 		excess -= worstTarget
 	}
-	if k == metricFailed {
+	if m == metricFailed {
 		v.Answers = n
 	}
 	v.Excess = max(v.Excess, excess-excessSigmas*math.Sqrt(expected))
@@ -264,16 +264,16 @@
 	if j.policy == Threshold {
 		return thresholdScore(byTarget)
 	}
-	best := math.Inf(-1)
+	highest := math.Inf(-1)
 	for _, effect := range effectSizes {
 		ratios := suffixRatios(byTarget, effect, j.lastBin)
 		if j.policy == Likelihood {
-			best = max(best, ratios[0])
+			highest = max(highest, ratios[0])
 			continue
 		}
-		best = max(best, slices.Max(ratios))
+		highest = max(highest, slices.Max(ratios))
 	}
-	return best
+	return highest
 }
 
 // Late returns, by route, the time to first event from which an answer counts
--- a/rollout/judge_test.go
+++ b/rollout/judge_test.go
@@ -23,25 +23,25 @@
 
 // answers adds n answers of a version, spread over targets of four data halls,
 // with the given error rate and latency.
-func (s *generator) answers(at time.Duration, version string, n int, errorRate float64, latency time.Duration) {
+func (g *generator) answers(at time.Duration, version string, n int, errorRate float64, latency time.Duration) {
 	for i := range n {
 		key := Key{Service: "s", Route: "r", Version: version, DataHall: fmt.Sprint("hall-", i%4), Target: fmt.Sprint("t-", i%12)}
 		c := Counts{Sent: 1}
-		if s.rng.Float64() < errorRate {
+		if g.rng.Float64() < errorRate {
 			c.Failed = 1
 		} else {
 			c.Served = 1
 		}
-		c.First = c.First.Note(time.Duration(float64(latency) * (0.7 + 0.6*s.rng.Float64())))
-		s.judge.Take(at, "v2", []Cell{{Key: key, Counts: c}})
+		c.First = c.First.Note(time.Duration(float64(latency) * (0.7 + 0.6*g.rng.Float64())))
+		g.judge.Take(at, "v2", []Cell{{Key: key, Counts: c}})
 	}
 }
 
 // both adds answers of both versions once per second of the given period.
-func (s *generator) both(from, to time.Duration, oldErrorRate, newErrorRate float64, newLatency time.Duration) {
+func (g *generator) both(from, to time.Duration, oldErrorRate, newErrorRate float64, newLatency time.Duration) {
 	for at := from; at < to; at += time.Second {
-		s.answers(at, "v1", 200, oldErrorRate, 30*time.Millisecond)
-		s.answers(at, "v2", 12, newErrorRate, newLatency)
+		g.answers(at, "v1", 200, oldErrorRate, 30*time.Millisecond)
+		g.answers(at, "v2", 12, newErrorRate, newLatency)
 	}
 }
 
--- a/rollout/likelihood.go
+++ b/rollout/likelihood.go
@@ -20,7 +20,8 @@
 	priorSlowAnswers = 50.0
 	// maxTargetLLR limits the contribution of one target to a few bad answers'
 	// worth. It is scaled up if there are fewer than manyTargets targets; with
-	// more, maxDiscount limits the discount of the worst one (about one answer).
+	// more, maxDiscount limits the discount of the worst one (about one
+	// answer).
 	maxTargetLLR = 3.5
 	manyTargets  = 8
 	maxDiscount  = 2.5
@@ -37,7 +38,7 @@
 	baseline float64 // bad-answer rate of the old version
 }
 
-// logLikelihoodRatio returns the log-logLikelihoodRatio ratio of the sample, between a
+// logLikelihoodRatio returns the log-likelihood ratio of the sample, between a
 // bad-answer rate that is higher by the effect size and the baseline rate.
 func (s *sample) logLikelihoodRatio(effect float64) float64 {
 	bad := s.baseline + (1-s.baseline)*effect
@@ -52,8 +53,8 @@
 
 // baselineSlowShare returns the old version's share of slow answers, smoothed
 // by the prior.
-func baselineSlowShare(old Histogram, slow int) float64 {
-	return (old.atLeast(slow) + slowShare*priorSlowAnswers) / (old.total() + priorSlowAnswers)
+func baselineSlowShare(baseline Histogram, slow int) float64 {
+	return (baseline.atLeast(slow) + slowShare*priorSlowAnswers) / (baseline.total() + priorSlowAnswers)
 }
 
 // suffixRatios returns, for each bin, the log-likelihood ratio of all answers
--- a/rollout/plan.go
+++ b/rollout/plan.go
@@ -68,8 +68,8 @@
 	Elapsed   time.Duration // since the order
 	ShiftedAt time.Duration // since the order, start of StageShift
 	Sums      map[Key]Counts
-	NewPlaces int // capacity of the new version's available targets
-	OldPlaces int
+	NewPlaces int  // total slots of the new version's available targets
+	OldPlaces int  // total slots of the old version's targets
 	Streams   bool // the service's answers are streams
 	Verdict   Verdict
 }
@@ -176,8 +176,8 @@
 	return min(max(room, s.shiftMin()), wanted)
 }
 
-// allowance returns the number of requests that a new version may receive out of
-// all, with the safety margin.
+// allowance returns the number of requests that a new version may receive out
+// of all, with the safety margin.
 func (b Bounds) allowance(all float64) float64 {
 	bound := b.Share*all + b.Slack
 	return max(0, bound-boundSigmas*math.Sqrt(bound))
