--- a/rollout/experiment/answer.go
+++ b/rollout/experiment/answer.go
@@ -8,43 +8,44 @@
 	"github.com/walnutramp/walnutramp/rollout"
 )
 
-// target is one target of the model.
+// target is a simulated target.
 type target struct {
-	id    string
-	hall  int
-	new   bool
-	grey  bool
-	under int // requests under way
+	id             string
+	hall           int
+	new            bool
+	partialFailure bool
+	inFlight       int // requests in flight
 }
 
-// answer is what comes back to a node next of one request.
+// answer is the next event of a request at a node.
 type answer struct {
-	at      time.Duration
-	stage   stage
-	node    int
-	key     rollout.Key
-	target  *target
-	request *rollout.Request
-	outcome rollout.Outcome
-	unknown bool          // the node knows that the outcome says nothing of the version
-	run     time.Duration // of a stream, from its first event on
-	pace    time.Duration // between a stream's events
-	bad     bool          // the version's own fault
-	route   int
-	tries   int
+	at       time.Duration
+	stage    stage
+	node     int
+	key      rollout.Key
+	target   *target
+	request  *rollout.Request
+	outcome  rollout.Outcome
+	unknown  bool          // the node knows that the outcome is unrelated to the version
+	run      time.Duration // duration of a stream after its first event
+	interval time.Duration // interval between a stream's events
+	bad      bool          // caused by the version's fault
+	route    int
+	tries    int
 }
 
-// stage is a part of an answer.
+// stage is a stage of an answer.
 type stage int
 
 const (
-	stageFirst stage = iota // the first event, or the whole answer
-	stagePaced              // enough events to tell the pace
+	stageFirst    stage = iota // first event, or the complete answer
+	stageInterval              // enough events to measure their interval
 	stageEnd
 )
 
-// paceEvents is how many events tell a stream's pace.
-const paceEvents = 6
+// intervalEvents is the number of events from which the mean event interval is
+// measured.
+const intervalEvents = 6
 
 type answers []answer
 
@@ -58,109 +59,109 @@
 	return last
 }
 
-// take has a node see a part of an answer.
-func (p *play) take(a answer) {
+// handle delivers the next event of an answer to its node.
+func (sim *simulation) handle(a answer) {
 	switch a.stage {
 	case stageFirst:
 		a.request.First()
 		if a.run > 0 {
-			a.stage, a.at = stagePaced, a.at+min(paceEvents*a.pace, a.run)
-			heap.Push(&p.under, a)
+			a.stage, a.at = stageInterval, a.at+min(intervalEvents*a.interval, a.run)
+			heap.Push(&sim.inFlight, a)
 			return
 		}
-	case stagePaced:
-		a.request.Pace(a.pace)
-		a.stage, a.at = stageEnd, a.at+max(0, a.run-paceEvents*a.pace)
-		heap.Push(&p.under, a)
+	case stageInterval:
+		a.request.Pace(a.interval)
+		a.stage, a.at = stageEnd, a.at+max(0, a.run-intervalEvents*a.interval)
+		heap.Push(&sim.inFlight, a)
 		return
 	}
-	p.end(a)
+	sim.end(a)
 }
 
-// end has a node see how a request ended; what failed at the new version is
-// tried again at the old one.
-func (p *play) end(a answer) {
-	a.target.under--
+// end records the outcome of a request, and retries failed requests.
+func (sim *simulation) end(a answer) {
+	a.target.inFlight--
 	if a.unknown {
 		a.request.Dropped()
 	} else {
 		a.request.Ended(a.outcome)
 	}
 	if a.bad {
-		p.out.Hurt++
+		sim.out.BadAnswers++
 	}
 	if a.key.Version == newVersion && (a.bad || a.outcome != rollout.Served) {
-		p.badSeen++
-		if p.badSeen == fiftieth {
-			p.out.Fiftieth = p.now
+		sim.badAnswers++
+		if sim.badAnswers == stopWithinAfter {
+			sim.out.FiftiethBad = sim.now
 		}
 	}
-	if a.outcome != rollout.Served && a.tries < retriesOf {
-		p.send(a.node, a.route, a.tries+1)
+	if a.outcome != rollout.Served && a.tries < maxRetries {
+		sim.send(a.node, a.route, a.tries+1)
 	}
 }
 
-// isBad reports whether the version's fault shows in this answer's target now.
-func (p *play) isBad(at *target, route string) bool {
-	if !at.new || !p.version.Bad() {
+// isBad reports whether the version's fault affects a request at a target now.
+func (sim *simulation) isBad(at *target, route string) bool {
+	if !at.new || !sim.version.Bad() {
 		return false
 	}
-	switch p.version.When {
+	switch sim.version.When {
 	case Later:
-		return p.now >= p.badFrom
+		return sim.now >= sim.badFrom
 	case OneRoute:
-		return route == p.badWay
+		return route == sim.badRoute
 	case Loaded:
-		return float64(at.under) >= p.loaded
+		return float64(at.inFlight) >= sim.badLoad
 	}
 	return true
 }
 
-// answer works out what comes back.
-func (p *play) answer(node, routeNumber, tries int, at *target, key rollout.Key) answer {
-	route := p.site.Routes[routeNumber]
+// answer simulates the answer to a request.
+func (sim *simulation) answer(node, routeNumber, tries int, at *target, key rollout.Key) answer {
+	route := sim.site.Routes[routeNumber]
 	a := answer{node: node, key: key, route: routeNumber, tries: tries, outcome: rollout.Served}
-	work := time.Duration(float64(route.Work) * math.Exp(route.Spread*p.rng.NormFloat64()))
-	pace := time.Duration(float64(paceOf) * math.Exp(0.2*p.rng.NormFloat64()))
-	run := route.Run
-	bad := p.isBad(at, route.Name)
-	if bad && p.version.Slow > 1 {
-		work = time.Duration(p.version.Slow * float64(work))
-		pace = time.Duration(p.version.Slow * float64(pace))
-		run = time.Duration(p.version.Slow * float64(run))
+	latency := time.Duration(float64(route.Latency) * math.Exp(route.Spread*sim.rng.NormFloat64()))
+	interval := time.Duration(float64(eventInterval) * math.Exp(0.2*sim.rng.NormFloat64()))
+	run := route.StreamTime
+	bad := sim.isBad(at, route.Name)
+	if bad && sim.version.Slow > 1 {
+		latency = time.Duration(sim.version.Slow * float64(latency))
+		interval = time.Duration(sim.version.Slow * float64(interval))
+		run = time.Duration(sim.version.Slow * float64(run))
 		a.bad = true
 	}
-	a.at, a.run, a.pace = p.now+work, run, pace
+	a.at, a.run, a.interval = sim.now+latency, run, interval
 	switch {
-	case p.down(at, a.at+run):
+	case sim.down(at, a.at+run):
 		a.stage, a.outcome, a.bad = stageEnd, rollout.Lost, false
-		a.at = p.now + time.Duration(p.rng.Float64()*float64(work+run))
-		a.unknown = p.rng.Float64() < hallKnown
-	case bad && p.rng.Float64() < p.version.Fails:
+		a.at = sim.now + time.Duration(sim.rng.Float64()*float64(latency+run))
+		a.unknown = sim.rng.Float64() < hallLossKnown
+	case bad && sim.rng.Float64() < sim.version.Fails:
 		a.stage, a.outcome, a.bad = stageEnd, rollout.Failed, true
-		if p.rng.IntN(2) == 0 && run > 0 {
-			a.outcome = rollout.Lost // it breaks off
-			a.at += time.Duration(p.rng.Float64() * float64(run))
+		if sim.rng.IntN(2) == 0 && run > 0 {
+			a.outcome = rollout.Lost // the stream is truncated
+			a.at += time.Duration(sim.rng.Float64() * float64(run))
 		}
-	case p.rng.Float64() < route.Fails || p.isGrey(at) && p.rng.Float64() < greyFails:
+	case sim.rng.Float64() < route.ErrorRate || sim.failsPartially(at) && sim.rng.Float64() < partialErrorRate:
 		a.stage, a.outcome = stageEnd, rollout.Failed
 	}
 	return a
 }
 
-// isGrey reports whether a target fails some requests now.
-func (p *play) isGrey(at *target) bool {
-	return at.grey && p.now >= p.greyAt && p.now < p.greyAt+greyTime
+// failsPartially reports whether a target currently has a partial failure.
+func (sim *simulation) failsPartially(at *target) bool {
+	return at.partialFailure && sim.now >= sim.partialFrom && sim.now < sim.partialFrom+partialDuration
 }
 
-// down reports whether a target's data hall crashes before an answer is whole.
-// Nodes avoid a hall that is down, but for some requests that find it out.
-func (p *play) down(at *target, until time.Duration) bool {
-	for _, c := range p.crashes {
-		if c.hall != at.hall || until < c.from || p.now > c.from+crashTime {
+// down reports whether a target's data hall crashes before an answer is
+// complete. Nodes avoid a hall that is down, except for some requests that
+// detect it.
+func (sim *simulation) down(at *target, until time.Duration) bool {
+	for _, c := range sim.crashes {
+		if c.hall != at.hall || until < c.from || sim.now > c.from+crashDuration {
 			continue
 		}
-		if p.now < c.from || p.rng.Float64() < 0.3 {
+		if sim.now < c.from || sim.rng.Float64() < 0.3 {
 			return true
 		}
 	}
