--- a/internal/build/build.go
+++ b/internal/build/build.go
@@ -1,17 +1,17 @@
-// Package build names the build that runs, so that operators can tell old nodes from
-// new ones while these replace them.
+// Package build identifies the running build, so that operators can tell node
+// versions apart during an upgrade.
 package build
 
 import "runtime/debug"
 
-// version is set by the linker for releases.
+// version is the release version, set with -ldflags -X.
 var version = ""
 
-// revisionLength is how much of a commit's name tells it from others.
+// revisionLength is the length of an abbreviated commit hash.
 const revisionLength = 12
 
-// Name returns the release, else the commit that the program was built from, with a
-// plus if the tree had changes, else "unknown".
+// Name returns the release version, else the abbreviated commit hash, with a "+"
+// if the work tree was modified, else "unknown".
 func Name() string {
 	if version != "" {
 		return version
@@ -20,24 +20,24 @@
 	if !ok {
 		return unknown
 	}
-	return revisionOf(info.Settings)
+	return vcsRevision(info.Settings)
 }
 
 const unknown = "unknown"
 
-// revisionOf reads the commit out of what the go command notes in a program.
-func revisionOf(settings []debug.BuildSetting) string {
-	revision, changed := "", ""
+// vcsRevision returns the commit recorded in the build settings.
+func vcsRevision(settings []debug.BuildSetting) string {
+	revision, dirtySuffix := "", ""
 	for _, s := range settings {
 		switch {
 		case s.Key == "vcs.revision":
 			revision = s.Value[:min(len(s.Value), revisionLength)]
 		case s.Key == "vcs.modified" && s.Value == "true":
-			changed = "+"
+			dirtySuffix = "+"
 		}
 	}
 	if revision == "" {
 		return unknown
 	}
-	return revision + changed
+	return revision + dirtySuffix
 }
--- a/internal/dutycheck/dutycheck.go
+++ b/internal/dutycheck/dutycheck.go
@@ -1,5 +1,6 @@
-// Package dutycheck is a platform's side of duties for tests: it looks at
-// fences as calls take effect, and holds what it saw to the rules for holders.
+// Package dutycheck fakes the platform that duty holders call, for tests. It
+// enforces fencing tokens and checks the recorded calls for violations of mutual
+// exclusion.
 package dutycheck
 
 import (
@@ -11,70 +12,70 @@
 	"github.com/walnutramp/walnutramp/duty"
 )
 
-// Call is one call as it was written.
+// Call is one write of a duty holder to the platform.
 type Call struct {
-	Node    string // the machine that wrote it
+	Node    string // the calling node
 	Subject duty.Subject
 	Content string
-	// Once names what must have one content whoever tells it; empty for none.
+	// Once is a key for which all calls must have the same content; empty for none.
 	Once    string
 	Token   duty.Token
 	Written time.Time
-	took    bool // it took effect, at least once
+	applied bool // took effect at least once
 }
 
-// Platform keeps what it saw. It is safe for use by several tasks at a time.
+// Platform records calls and their effects. It is safe for concurrent use.
 type Platform struct {
-	mu      sync.Mutex
-	calls   []*Call
-	carried map[duty.Subject][]*Call // in the order in which they took effect
-	highest map[duty.Subject]duty.Token
-	refused map[place]duty.Token // that the machine was told
-	behind  map[shown]int        // calls under a token below the highest
-	bad     []string
+	mu           sync.Mutex
+	calls        []*Call
+	appliedCalls map[duty.Subject][]*Call // in the order of application
+	highest      map[duty.Subject]duty.Token
+	rejected     map[nodeSubject]duty.Token // highest rejected token that the node has been told of
+	staleCalls   map[tokenUse]int           // number of calls with a token below the highest
+	violations   []string
 }
 
-// fencedCalls is how many calls under a refused token a platform bears on a
-// subject: a holder may miss an answer.
-const fencedCalls = 3
+// maxStaleCalls is the number of calls that a node may make on a subject with a
+// stale token, since it may miss the response that rejects it.
+const maxStaleCalls = 3
 
-// shown is a token as a machine showed it.
-type shown struct {
-	place
+// tokenUse identifies a node's use of a token on a subject.
+type tokenUse struct {
+	nodeSubject
 	token duty.Token
 }
 
-// place is a machine's calls on a subject.
-type place struct {
+// nodeSubject identifies a node's calls on a subject.
+type nodeSubject struct {
 	node    string
 	subject duty.Subject
 }
 
-// NewPlatform returns a platform that has seen no call.
+// NewPlatform returns a platform without recorded calls.
 func NewPlatform() *Platform {
-	return &Platform{carried: map[duty.Subject][]*Call{}, highest: map[duty.Subject]duty.Token{}, refused: map[place]duty.Token{}, behind: map[shown]int{}}
+	return &Platform{appliedCalls: map[duty.Subject][]*Call{}, highest: map[duty.Subject]duty.Token{}, rejected: map[nodeSubject]duty.Token{}, staleCalls: map[tokenUse]int{}}
 }
 
-// Write notes that a call was written, and finds one under a token that its
-// machine was told is refused.
+// Write records a call as sent. It records a violation if the node knows that the
+// token is rejected, or has used a stale token too often.
 func (p *Platform) Write(c *Call) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.calls = append(p.calls, c)
-	at := place{c.Node, c.Subject}
+	caller := nodeSubject{c.Node, c.Subject}
 	if c.Token < p.highest[c.Subject] {
-		p.behind[shown{at, c.Token}]++
+		p.staleCalls[tokenUse{caller, c.Token}]++
 	}
-	if n := p.behind[shown{at, c.Token}]; n > fencedCalls {
-		p.bad = append(p.bad, fmt.Sprintf("%s made %d calls under token %d after a higher one", c.Node, n, c.Token))
+	if n := p.staleCalls[tokenUse{caller, c.Token}]; n > maxStaleCalls {
+		p.violations = append(p.violations, fmt.Sprintf("%s made %d calls with token %d after a higher token was applied", c.Node, n, c.Token))
 	}
-	if told, ok := p.refused[at]; ok && c.Token <= told {
-		p.bad = append(p.bad, fmt.Sprintf("%s calls under token %d, of which it was told that it is refused", c.Node, c.Token))
+	if highestRejected, ok := p.rejected[caller]; ok && c.Token <= highestRejected {
+		p.violations = append(p.violations, fmt.Sprintf("%s made a call with token %d after it was told that the token is rejected", c.Node, c.Token))
 	}
 }
 
-// CarryOut has a call take effect, now or late or once more. False says that a
-// higher token was seen.
+// CarryOut applies a call; a delayed or duplicated call is applied at any later
+// time. It returns false if a higher token has been applied.
 func (p *Platform) CarryOut(c *Call) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -82,78 +83,79 @@
 		return false
 	}
 	p.highest[c.Subject] = c.Token
-	p.carried[c.Subject] = append(p.carried[c.Subject], c)
-	c.took = true
+	p.appliedCalls[c.Subject] = append(p.appliedCalls[c.Subject], c)
+	c.applied = true
 	return true
 }
 
-// Told notes that the machine of a call read that its token is refused.
+// Told records that the calling node received the rejection of the call's token.
 func (p *Platform) Told(c *Call) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	at := place{c.Node, c.Subject}
-	p.refused[at] = max(p.refused[at], c.Token)
+	caller := nodeSubject{c.Node, c.Subject}
+	p.rejected[caller] = max(p.rejected[caller], c.Token)
 }
 
-// TookSince returns how many calls written since a time took effect.
+// TookSince returns the number of applied calls that were written after t.
 func (p *Platform) TookSince(t time.Time) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	n := 0
 	for _, c := range p.calls {
-		if c.took && c.Written.After(t) {
+		if c.applied && c.Written.After(t) {
 			n++
 		}
 	}
 	return n
 }
 
-// Wrong returns a rule that was broken, empty if none was.
+// Wrong returns a description of the first violation found, or "". lease is the
+// lease duration of a duty.
 func (p *Platform) Wrong(lease time.Duration) string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if len(p.bad) > 0 {
-		return p.bad[0]
+	if len(p.violations) > 0 {
+		return p.violations[0]
 	}
 	calls := slices.Clone(p.calls)
 	slices.SortStableFunc(calls, func(a, b *Call) int { return a.Written.Compare(b.Written) })
-	for _, what := range []string{sharedToken(calls), inTurn(calls, lease), twoContents(calls)} {
-		if what != "" {
-			return what
+	for _, violation := range []string{findSharedToken(calls), findInterleaving(calls, lease), findConflict(calls)} {
+		if violation != "" {
+			return violation
 		}
 	}
-	for subject, carried := range p.carried {
-		if what := undone(carried); what != "" {
-			return fmt.Sprintf("%s: %s", subject, what)
+	for subject, ordered := range p.appliedCalls {
+		if violation := findOverwrite(ordered); violation != "" {
+			return fmt.Sprintf("%s: %s", subject, violation)
 		}
 	}
 	return ""
 }
 
-// sharedToken finds two machines that showed one token.
-func sharedToken(calls []*Call) string {
+// findSharedToken reports a token that two nodes have used.
+func findSharedToken(calls []*Call) string {
 	owner := map[duty.Token]string{}
 	for _, c := range calls {
 		if o, ok := owner[c.Token]; ok && o != c.Node {
-			return fmt.Sprintf("token %d of %s and %s", c.Token, o, c.Node)
+			return fmt.Sprintf("token %d used by both %s and %s", c.Token, o, c.Node)
 		}
 		owner[c.Token] = c.Node
 	}
 	return ""
 }
 
-// inTurn finds machines that acted in the order A, B, A within a lease, as far
-// as the platform took their calls.
-func inTurn(calls []*Call, lease time.Duration) string {
-	last := map[string]time.Time{} // of each machine's calls
-	between := map[string]string{} // who called since then
+// findInterleaving reports applied calls of nodes in the order A, B, A within one
+// lease.
+func findInterleaving(calls []*Call, lease time.Duration) string {
+	last := map[string]time.Time{} // time of each node's last call
+	between := map[string]string{} // another node that has called since then
 	for _, c := range calls {
-		if !c.took {
+		if !c.applied {
 			continue
 		}
 		since := c.Written.Sub(last[c.Node])
 		if b := between[c.Node]; b != "" && since < lease {
-			return fmt.Sprintf("%s, %s, %s within %v", c.Node, b, c.Node, since)
+			return fmt.Sprintf("interleaved calls of %s, %s, %s within %v", c.Node, b, c.Node, since)
 		}
 		last[c.Node] = c.Written
 		delete(between, c.Node)
@@ -166,28 +168,28 @@
 	return ""
 }
 
-// twoContents finds what was told in two ways.
-func twoContents(calls []*Call) string {
-	told := map[string]*Call{}
+// findConflict reports a key that was written with two different contents.
+func findConflict(calls []*Call) string {
+	firstByKey := map[string]*Call{}
 	for _, c := range calls {
-		if c.Once == "" || !c.took {
+		if c.Once == "" || !c.applied {
 			continue
 		}
-		if first, ok := told[c.Once]; ok && first.Content != c.Content {
+		if first, ok := firstByKey[c.Once]; ok && first.Content != c.Content {
 			return fmt.Sprintf("%s is %q from %s and %q from %s", c.Once, first.Content, first.Node, c.Content, c.Node)
 		}
-		told[c.Once] = c
+		firstByKey[c.Once] = c
 	}
 	return ""
 }
 
-// undone finds a call that took effect behind one with other content that was
-// written after it.
-func undone(carried []*Call) string {
-	for i, c := range carried {
-		for _, later := range carried[i+1:] {
+// findOverwrite reports a call that was applied after a call with different content
+// that was written later.
+func findOverwrite(calls []*Call) string {
+	for i, c := range calls {
+		for _, later := range calls[i+1:] {
 			if later.Written.Before(c.Written) && later.Content != c.Content {
-				return fmt.Sprintf("%q of token %d undid %q of token %d", later.Content, later.Token, c.Content, c.Token)
+				return fmt.Sprintf("older write %q with token %d replaced %q with token %d", later.Content, later.Token, c.Content, c.Token)
 			}
 		}
 	}
--- a/internal/dutycheck/dutycheck_test.go
+++ b/internal/dutycheck/dutycheck_test.go
@@ -10,12 +10,12 @@
 
 const lease = 3 * time.Second
 
-func at(ms int, node string, token duty.Token, content string) *Call {
+func newCall(ms int, node string, token duty.Token, content string) *Call {
 	return &Call{Node: node, Subject: "s", Token: token, Content: content, Written: time.UnixMilli(int64(ms))}
 }
 
-// seen returns a platform that carried calls out as they were written.
-func seen(calls ...*Call) *Platform {
+// platformWith returns a platform that applied the calls in order.
+func platformWith(calls ...*Call) *Platform {
 	p := NewPlatform()
 	for _, c := range calls {
 		p.Write(c)
@@ -24,25 +24,25 @@
 	return p
 }
 
-func TestHoldersInOrderAreFine(t *testing.T) {
-	p := seen(at(0, "a", 5, "x"), at(1, "a", 5, "y"), at(2, "b", 6, "x"), at(3001, "a", 7, "z"))
+func TestSuccessiveHoldersAccepted(t *testing.T) {
+	p := platformWith(newCall(0, "a", 5, "x"), newCall(1, "a", 5, "y"), newCall(2, "b", 6, "x"), newCall(3001, "a", 7, "z"))
 	require.Empty(t, p.Wrong(lease))
 	require.Equal(t, 2, p.TookSince(time.UnixMilli(1)))
 }
 
-func TestTwoMachinesWithOneToken(t *testing.T) {
-	require.NotEmpty(t, seen(at(0, "a", 5, "x"), at(1, "b", 5, "x")).Wrong(lease))
+func TestSharedTokenDetected(t *testing.T) {
+	require.NotEmpty(t, platformWith(newCall(0, "a", 5, "x"), newCall(1, "b", 5, "x")).Wrong(lease))
 }
 
-func TestMachinesInTurn(t *testing.T) {
-	require.NotEmpty(t, seen(at(0, "a", 5, "x"), at(100, "b", 6, "x"), at(200, "b", 6, "x"), at(2999, "a", 7, "x")).Wrong(lease))
-	require.NotEmpty(t, seen(at(0, "a", 5, "x"), at(100, "b", 6, "x"), at(200, "c", 7, "x"), at(300, "a", 8, "x")).Wrong(lease))
-	require.Empty(t, seen(at(0, "a", 5, "x"), at(100, "b", 6, "x"), at(200, "a", 5, "x")).Wrong(lease), "the platform refused it")
+func TestInterleavedHoldersDetected(t *testing.T) {
+	require.NotEmpty(t, platformWith(newCall(0, "a", 5, "x"), newCall(100, "b", 6, "x"), newCall(200, "b", 6, "x"), newCall(2999, "a", 7, "x")).Wrong(lease))
+	require.NotEmpty(t, platformWith(newCall(0, "a", 5, "x"), newCall(100, "b", 6, "x"), newCall(200, "c", 7, "x"), newCall(300, "a", 8, "x")).Wrong(lease))
+	require.Empty(t, platformWith(newCall(0, "a", 5, "x"), newCall(100, "b", 6, "x"), newCall(200, "a", 5, "x")).Wrong(lease), "the platform rejected the last call")
 }
 
-func TestCallThatIsUndone(t *testing.T) {
+func TestOverwriteByOlderCallDetected(t *testing.T) {
 	p := NewPlatform()
-	first, second := at(0, "a", 5, "x"), at(100, "a", 5, "y")
+	first, second := newCall(0, "a", 5, "x"), newCall(100, "a", 5, "y")
 	p.Write(first)
 	p.Write(second)
 	require.True(t, p.CarryOut(second))
@@ -58,33 +58,33 @@
 	require.Empty(t, p.Wrong(lease))
 }
 
-func TestExactRepeatUndoesNothing(t *testing.T) {
-	p := seen(at(0, "a", 5, "x"))
-	repeat := at(100, "a", 5, "x")
+func TestDuplicateCallAccepted(t *testing.T) {
+	p := platformWith(newCall(0, "a", 5, "x"))
+	repeat := newCall(100, "a", 5, "x")
 	p.Write(repeat)
 	p.CarryOut(repeat)
 	p.CarryOut(repeat)
 	require.Empty(t, p.Wrong(lease))
 }
 
-func TestTwoContentsOfAWindow(t *testing.T) {
-	first, second := at(0, "a", 5, "x"), at(100, "a", 5, "y")
+func TestConflictingContentDetected(t *testing.T) {
+	first, second := newCall(0, "a", 5, "x"), newCall(100, "a", 5, "y")
 	first.Once, second.Once = "window 1", "window 1"
-	require.NotEmpty(t, seen(first, second).Wrong(lease))
+	require.NotEmpty(t, platformWith(first, second).Wrong(lease))
 	second.Once = "window 2"
-	require.Empty(t, seen(first, second).Wrong(lease))
+	require.Empty(t, platformWith(first, second).Wrong(lease))
 }
 
-func TestCallUnderARefusedToken(t *testing.T) {
-	p := seen(at(0, "a", 5, "x"), at(100, "b", 6, "x"))
-	p.Told(at(0, "a", 5, "x"))
-	p.Write(at(200, "a", 5, "x"))
+func TestCallAfterRejectionDetected(t *testing.T) {
+	p := platformWith(newCall(0, "a", 5, "x"), newCall(100, "b", 6, "x"))
+	p.Told(newCall(0, "a", 5, "x"))
+	p.Write(newCall(200, "a", 5, "x"))
 	require.NotEmpty(t, p.Wrong(lease))
 }
 
-func TestManyCallsUnderARefusedToken(t *testing.T) {
-	p := seen(at(0, "a", 5, "x"), at(100, "b", 6, "x"), at(200, "a", 5, "x"), at(300, "a", 5, "x"), at(400, "a", 5, "x"))
+func TestTooManyStaleCallsDetected(t *testing.T) {
+	p := platformWith(newCall(0, "a", 5, "x"), newCall(100, "b", 6, "x"), newCall(200, "a", 5, "x"), newCall(300, "a", 5, "x"), newCall(400, "a", 5, "x"))
 	require.Empty(t, p.Wrong(lease))
-	p.Write(at(500, "a", 5, "x"))
+	p.Write(newCall(500, "a", 5, "x"))
 	require.NotEmpty(t, p.Wrong(lease))
 }
--- a/internal/memfs/memfs.go
+++ b/internal/memfs/memfs.go
@@ -1,5 +1,5 @@
-// Package memfs is an in-memory folder for tests of what survives a crash:
-// only what was synced does, and any sync or write can be made to fail.
+// Package memfs is an in-memory directory for crash tests. Only synced data
+// survives a crash, and write, sync and rename errors can be injected.
 package memfs
 
 import (
@@ -10,12 +10,12 @@
 	"github.com/walnutramp/walnutramp/wal"
 )
 
-// FS is an in-memory folder; it implements wal.FS.
+// FS is an in-memory directory; it implements wal.FS.
 type FS struct {
-	mu     sync.Mutex
-	files  map[string]*content
-	fail   int // operations until one fails; negative for never
-	closed int // handles from before this generation of the disk are dead
+	mu        sync.Mutex
+	files     map[string]*content
+	failAfter int // operations until the first failure; negative for never
+	epoch     int // incremented by Crash and Wipe; handles of earlier epochs are closed
 }
 
 type content struct {
@@ -23,49 +23,49 @@
 	synced int // bytes that survive a crash
 }
 
-// ErrFault is the failure that FailAfter brings about.
-var ErrFault = errors.New("disk fault")
+// ErrFault is the error injected by FailAfter.
+var ErrFault = errors.New("injected disk fault")
 
-// New returns an empty folder.
-func New() *FS { return &FS{files: map[string]*content{}, fail: -1} }
+// New returns an empty directory.
+func New() *FS { return &FS{files: map[string]*content{}, failAfter: -1} }
 
-// FailAfter makes the operation after n more writes, syncs and renames fail,
-// and every one behind it.
+// FailAfter makes opens, writes, syncs and renames fail with ErrFault after n more
+// of them.
 func (f *FS) FailAfter(n int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.fail = n
+	f.failAfter = n
 }
 
-// Crash drops what was not synced, but for keep bytes of it, and lifts every
-// fault. Handles from before write nowhere.
+// Crash discards unsynced data except the first keep bytes of each file, clears
+// injected faults and closes open handles.
 func (f *FS) Crash(keep int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.fail = -1
-	f.closed++
+	f.failAfter = -1
+	f.epoch++
 	for _, c := range f.files {
 		c.data = c.data[:min(len(c.data), c.synced+keep)]
 		c.synced = len(c.data)
 	}
 }
 
-// Wipe empties the folder.
+// Wipe removes all files and closes open handles.
 func (f *FS) Wipe() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.closed++
+	f.epoch++
 	f.files = map[string]*content{}
 }
 
-// Flip inverts a bit of a file's byte.
+// Flip flips the lowest bit of the byte at an offset. The file must exist.
 func (f *FS) Flip(name string, at int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.files[name].data[at] ^= 1
 }
 
-// Size returns the length of a file, 0 if there is none.
+// Size returns the size of a file in bytes, or 0 if it does not exist.
 func (f *FS) Size(name string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -75,13 +75,14 @@
 	return 0
 }
 
-// step counts an operation down; the caller holds the mutex.
-func (f *FS) step() error {
-	if f.fail == 0 {
+// injectFault counts an operation and returns ErrFault if it must fail. The caller
+// must hold f.mu.
+func (f *FS) injectFault() error {
+	if f.failAfter == 0 {
 		return ErrFault
 	}
-	if f.fail > 0 {
-		f.fail--
+	if f.failAfter > 0 {
+		f.failAfter--
 	}
 	return nil
 }
@@ -104,7 +105,7 @@
 func (f *FS) Append(name string, size int64) (wal.File, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if err := f.step(); err != nil {
+	if err := f.injectFault(); err != nil {
 		return nil, err
 	}
 	c := f.files[name]
@@ -114,14 +115,14 @@
 	}
 	c.data = c.data[:size]
 	c.synced = min(c.synced, int(size))
-	return &file{fs: f, content: c, era: f.closed}, nil
+	return &file{fs: f, content: c, epoch: f.epoch}, nil
 }
 
 // Rename implements wal.FS.
 func (f *FS) Rename(from, to string) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if err := f.step(); err != nil {
+	if err := f.injectFault(); err != nil {
 		return err
 	}
 	f.files[to] = f.files[from]
@@ -132,17 +133,17 @@
 type file struct {
 	fs      *FS
 	content *content
-	era     int
+	epoch   int
 }
 
 // Write implements wal.File.
 func (h *file) Write(p []byte) (int, error) {
 	h.fs.mu.Lock()
 	defer h.fs.mu.Unlock()
-	if h.era != h.fs.closed {
+	if h.epoch != h.fs.epoch {
 		return 0, os.ErrClosed
 	}
-	if err := h.fs.step(); err != nil {
+	if err := h.fs.injectFault(); err != nil {
 		n := len(p) / 2
 		h.content.data = append(h.content.data, p[:n]...)
 		return n, err
@@ -155,10 +156,10 @@
 func (h *file) Sync() error {
 	h.fs.mu.Lock()
 	defer h.fs.mu.Unlock()
-	if h.era != h.fs.closed {
+	if h.epoch != h.fs.epoch {
 		return os.ErrClosed
 	}
-	if err := h.fs.step(); err != nil {
+	if err := h.fs.injectFault(); err != nil {
 		return err
 	}
 	h.content.synced = len(h.content.data)
--- a/internal/memnet/memnet.go
+++ b/internal/memnet/memnet.go
@@ -1,5 +1,5 @@
-// Package memnet is an in-memory network for tests: listeners by address,
-// connections over net.Pipe, and cuts between named hosts.
+// Package memnet is an in-memory network for tests. Connections use net.Pipe, and
+// named hosts can be partitioned from each other.
 package memnet
 
 import (
@@ -13,13 +13,13 @@
 	"github.com/walnutramp/walnutramp/internal/slownet"
 )
 
-// Network joins hosts by address.
+// Network connects named hosts.
 type Network struct {
-	// Delay is how long each way takes between two hosts; nil means no time.
-	// It is set before the first connection, and needed where Rate is set.
+	// Delay returns the one-way latency between two hosts; nil means zero. It must
+	// be set before the first connection, and if Rate is set.
 	Delay func(a, b string) time.Duration
-	// Rate is how many bytes a second a host's link carries, each way; nil means
-	// any number. It is set before the first connection.
+	// Rate returns the bandwidth of a host's link in each direction, in bytes per
+	// second; nil means unlimited. It must be set before the first connection.
 	Rate func(host string) float64
 
 	mu        sync.Mutex
@@ -29,7 +29,7 @@
 	links     map[string]*hostLinks
 }
 
-// hostLinks are a host's links into the network and out of it.
+// hostLinks is the two directions of a host's network link.
 type hostLinks struct {
 	out, in *slownet.Link
 }
@@ -44,12 +44,12 @@
 	}
 }
 
-// Listen opens address on the named host.
+// Listen listens on address as the named host. It fails if the address is in use.
 func (n *Network) Listen(host, address string) (net.Listener, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.listeners[address] != nil {
-		return nil, errors.Newf("address %s is taken", address)
+		return nil, errors.Newf("address %s is already in use", address)
 	}
 	l := &listener{net: n, host: host, address: address, conns: make(chan net.Conn, 128), done: make(chan struct{})}
 	n.listeners[address] = l
@@ -76,8 +76,8 @@
 	}
 	a, b := net.Pipe()
 	if n.Delay != nil {
-		there, back := n.ways(host, l.host)
-		a = slownet.New(a, n.Delay(host, l.host), there, back)
+		outbound, inbound := n.paths(host, l.host)
+		a = slownet.New(a, n.Delay(host, l.host), outbound, inbound)
 	}
 	client := &conn{Conn: a, net: n, hosts: pair(host, l.host)}
 	server := &conn{Conn: b, net: n, hosts: client.hosts}
@@ -90,13 +90,12 @@
 	default:
 		a.Close()
 		b.Close()
-		return nil, errors.Newf("dial %s: refused, too many wait", address)
+		return nil, errors.Newf("dial %s: connection refused: accept queue is full", address)
 	}
 }
 
-// ways returns the links between two hosts, each way. The caller holds the
-// mutex.
-func (n *Network) ways(a, b string) (there, back slownet.Links) {
+// paths returns the links from a to b and from b to a. The caller must hold n.mu.
+func (n *Network) paths(a, b string) (forward, reverse slownet.Links) {
 	if n.Rate == nil || a == b {
 		return nil, nil
 	}
@@ -104,7 +103,7 @@
 	return slownet.Links{from.out, to.in}, slownet.Links{to.out, from.in}
 }
 
-// linksOf returns a host's links. The caller holds the mutex.
+// linksOf returns the links of a host. The caller must hold n.mu.
 func (n *Network) linksOf(host string) *hostLinks {
 	l := n.links[host]
 	if l == nil {
@@ -114,7 +113,7 @@
 	return l
 }
 
-// Cut breaks every connection between two hosts and refuses new ones.
+// Cut partitions two hosts: it closes their connections and rejects new ones.
 func (n *Network) Cut(a, b string) {
 	n.mu.Lock()
 	n.cut[pair(a, b)] = true
@@ -129,21 +128,21 @@
 	delete(n.cut, pair(a, b))
 }
 
-// Reset breaks every connection of a host once.
+// Reset closes all current connections of a host.
 func (n *Network) Reset(host string) {
 	n.drop(func(c *conn) bool { return c.hosts[0] == host || c.hosts[1] == host })
 }
 
 func (n *Network) drop(match func(*conn) bool) {
 	n.mu.Lock()
-	var hit []*conn
+	var matched []*conn
 	for c := range n.conns {
 		if match(c) {
-			hit = append(hit, c)
+			matched = append(matched, c)
 		}
 	}
 	n.mu.Unlock()
-	for _, c := range hit {
+	for _, c := range matched {
 		c.Close()
 	}
 }
@@ -191,7 +190,7 @@
 // Close implements net.Listener.
 func (l *listener) Close() error {
 	l.once.Do(func() {
-		// Once the address is gone nobody dials into the queue below.
+		// Unregister first, so that no connection is added to the queue drained below.
 		l.net.mu.Lock()
 		delete(l.net.listeners, l.address)
 		l.net.mu.Unlock()
--- a/internal/part/part.go
+++ b/internal/part/part.go
@@ -1,5 +1,5 @@
-// Package part labels goroutines with the part of the system they work for,
-// so that a processor profile can be split by part.
+// Package part sets pprof labels on goroutines, so that a CPU profile can be
+// split by subsystem.
 package part
 
 import (
@@ -7,18 +7,18 @@
 	"runtime/pprof"
 )
 
-// Label is the key of the profile label.
+// Label is the key of the pprof label.
 const Label = "part"
 
-// The parts. A goroutine's children belong to its part unless they say
-// otherwise; goroutines without a label are not the node's.
+// Label values, one per subsystem. Goroutines inherit the label of the goroutine
+// that starts them; goroutines without a label do not belong to a node.
 const (
-	Callers = "callers" // answering callers and reading engines
-	Guard   = "guard"   // replicating generations and answering replicas
+	Callers = "callers" // serving clients and reading from engines
+	Guard   = "guard"   // replication of generations
 	Control = "control" // membership, bundles, consensus, load reports
 )
 
-// Do runs f as work of a part.
+// Do runs f with the label set to name.
 func Do(name string, f func()) {
 	pprof.Do(context.Background(), pprof.Labels(Label, name), func(context.Context) { f() })
 }
--- a/internal/pause/pause.go
+++ b/internal/pause/pause.go
@@ -1,5 +1,5 @@
-// Package pause holds a task up until a time has passed or its context ends, and says
-// when who is not held up had better come back.
+// Package pause provides a sleep that a context can interrupt, and jittered retry
+// delays.
 package pause
 
 import (
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// For waits for d; false means ctx ended first.
+// For sleeps for d. It returns false if ctx ended first.
 func For(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -19,12 +19,12 @@
 	}
 }
 
-// spread is the part of a wait by which those that wait for the same end are spread
-// behind it: what they wait for would not be served by meeting them all at once.
-const spread = 0.25
+// jitterFraction is the largest jitter as a fraction of the delay. Jitter keeps
+// clients that wait for the same event from retrying at once.
+const jitterFraction = 0.25
 
-// Behind returns when to come back for what is to be had after a while: somewhat later,
-// by a draw from 0 to 1.
+// Behind returns the delay before a retry of something that becomes available after
+// left: left plus a jitter that grows with draw, a random number in [0, 1].
 func Behind(left time.Duration, draw float64) time.Duration {
-	return time.Duration((1 + spread*draw) * float64(left))
+	return time.Duration((1 + jitterFraction*draw) * float64(left))
 }
--- a/internal/rendezvous/rendezvous.go
+++ b/internal/rendezvous/rendezvous.go
@@ -1,6 +1,6 @@
-// Package rendezvous ranks names for a key by the hash of both, so that all who
-// know the same names agree without a word, and one name more or less moves
-// few keys.
+// Package rendezvous implements rendezvous (highest random weight) hashing: nodes
+// with the same list of names agree on the order for each key, and adding or
+// removing a name moves few keys.
 package rendezvous
 
 import (
@@ -10,22 +10,22 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Weight returns how high a name ranks for a key.
+// Weight returns the weight of a name for a key. Higher weights rank first.
 func Weight(key, name string) uint64 { return xxhash.Sum64String(key + "@" + name) }
 
-// ranked is a name with its weight for a key.
-type ranked struct {
+// weightedName is a name with its weight for a key.
+type weightedName struct {
 	name   string
 	weight uint64
 }
 
-// Sort puts names in order, the one that ranks highest for the key first.
+// Sort sorts names in place by descending weight for the key.
 func Sort(names []string, key string) {
-	all := make([]ranked, len(names))
+	all := make([]weightedName, len(names))
 	for i, name := range names {
-		all[i] = ranked{name: name, weight: Weight(key, name)}
+		all[i] = weightedName{name: name, weight: Weight(key, name)}
 	}
-	slices.SortFunc(all, func(a, b ranked) int {
+	slices.SortFunc(all, func(a, b weightedName) int {
 		return cmp.Or(cmp.Compare(b.weight, a.weight), cmp.Compare(a.name, b.name))
 	})
 	for i, r := range all {
--- a/internal/rendezvous/rendezvous_test.go
+++ b/internal/rendezvous/rendezvous_test.go
@@ -17,7 +17,7 @@
 	return all
 }
 
-func TestOrderDoesNotDependOnTheOrderBefore(t *testing.T) {
+func TestSortIgnoresInputOrder(t *testing.T) {
 	a, b := names(20), names(20)
 	slices.Reverse(b)
 	rendezvous.Sort(a, "key")
@@ -28,13 +28,13 @@
 	}
 }
 
-func TestOneNameLessMovesOnlyItsKeys(t *testing.T) {
+func TestRemovingANameKeepsTheOrderOfOthers(t *testing.T) {
 	for i := range 100 {
 		key := fmt.Sprint("key-", i)
-		all, less := names(20), names(19)
+		all, remaining := names(20), names(19)
 		rendezvous.Sort(all, key)
-		rendezvous.Sort(less, key)
+		rendezvous.Sort(remaining, key)
 		all = slices.DeleteFunc(all, func(name string) bool { return name == "node-19" })
-		require.Equal(t, all, less)
+		require.Equal(t, all, remaining)
 	}
 }
--- a/internal/retryafter/retryafter.go
+++ b/internal/retryafter/retryafter.go
@@ -1,4 +1,4 @@
-// Package retryafter reads for how long an answer asks to be left alone.
+// Package retryafter parses the Retry-After header of HTTP responses.
 package retryafter
 
 import (
@@ -8,15 +8,15 @@
 	"time"
 )
 
-// Header is the header that tells it.
+// Header is the name of the HTTP header.
 const Header = "Retry-After"
 
-// Longest bounds what may be asked for: a target that wants nothing for a day is taken
-// out of service before.
+// Longest is the upper bound for the returned delay.
 const Longest = 24 * time.Hour
 
-// Of returns the rest that an answer of status 503 asks for in seconds, fractions
-// included; 0 for any other answer, and where that can't be read.
+// Of returns the delay that a response with status 503 requests, in seconds with an
+// optional fraction. It returns 0 for other statuses and for invalid values,
+// HTTP dates included.
 func Of(status int, answer http.Header) time.Duration {
 	if status != http.StatusServiceUnavailable {
 		return 0
--- a/internal/schema/schema.go
+++ b/internal/schema/schema.go
@@ -1,5 +1,5 @@
-// Package schema writes down the fields of types that are stored or sent, so that
-// tests see when one of them changes.
+// Package schema describes the fields of serialized types, so that tests detect
+// changes of stored and wire formats.
 package schema
 
 import (
@@ -9,12 +9,11 @@
 	"strings"
 )
 
-// module is how the paths of this module's packages begin: only their types are
-// described field by field.
-const module = "github.com/walnutramp/walnutramp"
+// modulePath is this modulePath's path. Types of other modules are not described.
+const modulePath = "github.com/walnutramp/walnutramp"
 
-// Of describes the types of values, and all types of this module that they are made
-// of: a line for each field, with its type and its msgpack name if it has one.
+// Of describes the types of values and, recursively, the struct types of this
+// module that they refer to: one line per field with its type and msgpack tag.
 func Of(values ...any) string {
 	seen := map[reflect.Type]string{}
 	for _, v := range values {
@@ -28,7 +27,7 @@
 	return strings.Join(all, "\n")
 }
 
-// describe adds a type, and those that it is made of.
+// describe adds the struct types reachable from t to seen.
 func describe(t reflect.Type, seen map[reflect.Type]string) {
 	switch t.Kind() {
 	case reflect.Pointer, reflect.Slice, reflect.Array:
@@ -42,16 +41,16 @@
 }
 
 func describeStruct(t reflect.Type, seen map[reflect.Type]string) {
-	if _, done := seen[t]; done || !strings.HasPrefix(t.PkgPath(), module) {
+	if _, done := seen[t]; done || !strings.HasPrefix(t.PkgPath(), modulePath) {
 		return
 	}
-	seen[t] = "" // it may be made of itself
+	seen[t] = "" // stops the recursion for recursive types
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s\n", t)
 	for i := range t.NumField() {
 		f := t.Field(i)
 		if !f.IsExported() && f.Name != "_msgpack" {
-			continue // neither codec writes it
+			continue // unexported fields are not encoded
 		}
 		fmt.Fprintf(&b, "\t%s %s %s\n", f.Name, f.Type, f.Tag.Get("msgpack"))
 		describe(f.Type, seen)
--- a/internal/shortname/shortname.go
+++ b/internal/shortname/shortname.go
@@ -1,9 +1,9 @@
-// Package shortname names targets and nodes in four bytes, for messages that
-// name many.
+// Package shortname hashes the names of targets and nodes to 32 bits, for messages
+// with many names.
 package shortname
 
 import "github.com/cespare/xxhash/v2"
 
-// Of returns the short name of a target or a node. Of 12,000 names two are alike
-// once in 60 sites; what is known of these two is added up.
+// Of returns the 32-bit hash of a name. Collisions are possible (a chance of 1 in 60
+// for 12,000 names); the data of colliding names is summed.
 func Of(name string) uint32 { return uint32(xxhash.Sum64String(name)) }
--- a/internal/site/network.go
+++ b/internal/site/network.go
@@ -1,6 +1,6 @@
-// Package site runs a whole site in one process: entry nodes, engines and
-// services, over loopback or an in-memory network. The demo, the load tool
-// and tests use it.
+// Package site runs a complete site in one process for the demo, the load tool and
+// tests: nodes, stand-in engines and services, over loopback or an in-memory
+// network.
 package site
 
 import (
@@ -14,17 +14,18 @@
 	"github.com/walnutramp/walnutramp/internal/slownet"
 )
 
-// Network joins the site's processes.
+// Network connects the nodes, targets and clients of a site.
 type Network interface {
 	// Reserve returns a free address for a host in a data hall.
 	Reserve(host, hall string) (string, error)
-	// Listen opens a reserved address, again after its listener closed.
+	// Listen listens on a reserved address. It may be called again after the
+	// listener was closed.
 	Listen(host, address string) (net.Listener, error)
-	// Dialer returns how a host connects to others.
+	// Dialer returns the dial function of a host.
 	Dialer(host string) func(ctx context.Context, network, address string) (net.Conn, error)
 }
 
-// Memory is the in-memory network of tests.
+// Memory is a Network in memory.
 type Memory struct {
 	*memnet.Network
 
@@ -43,54 +44,54 @@
 	return fmt.Sprintf("10.0.%d.%d:80", m.next/250, m.next%250+1), nil
 }
 
-// Loopback joins processes over 127.0.0.1, with a delay between data halls.
+// Loopback is a Network over 127.0.0.1 with simulated latency.
 type Loopback struct {
-	Between time.Duration // one way, between hosts of different halls
-	Client  time.Duration // one way, between callers and the site
+	Between time.Duration // one-way latency between data halls
+	Client  time.Duration // one-way latency between clients and the site
 
-	mu   sync.Mutex
-	hall map[string]string       // by host, and by address
-	held map[string]net.Listener // reserved and not yet asked for
+	mu       sync.Mutex
+	hall     map[string]string       // by host, and by address
+	reserved map[string]net.Listener // reserved addresses that have not been listened on
 }
 
-// ClientHost is the host name that callers dial from.
+// ClientHost is the host name of clients.
 const ClientHost = "caller"
 
 // Reserve implements Network.
 func (l *Loopback) Reserve(host, hall string) (string, error) {
-	held, err := net.Listen("tcp", "127.0.0.1:0")
+	reserved, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", err
 	}
-	address := held.Addr().String()
+	address := reserved.Addr().String()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.hall == nil {
 		l.hall = map[string]string{}
-		l.held = map[string]net.Listener{}
+		l.reserved = map[string]net.Listener{}
 	}
-	l.held[address] = held
+	l.reserved[address] = reserved
 	l.hall[host] = hall
 	l.hall[address] = hall
 	return address, nil
 }
 
-// listenPatience is how long a port that was closed may stay taken.
-const listenPatience = 5 * time.Second
+// listenRetryTimeout bounds the retries while a closed port is still in use.
+const listenRetryTimeout = 5 * time.Second
 
 // Listen implements Network.
 func (l *Loopback) Listen(_, address string) (net.Listener, error) {
 	l.mu.Lock()
-	held := l.held[address]
-	delete(l.held, address)
+	reserved := l.reserved[address]
+	delete(l.reserved, address)
 	l.mu.Unlock()
-	if held != nil {
-		return held, nil
+	if reserved != nil {
+		return reserved, nil
 	}
-	for began := time.Now(); ; time.Sleep(20 * time.Millisecond) {
-		again, err := net.Listen("tcp", address)
-		if err == nil || time.Since(began) > listenPatience {
-			return again, err
+	for start := time.Now(); ; time.Sleep(20 * time.Millisecond) {
+		listener, err := net.Listen("tcp", address)
+		if err == nil || time.Since(start) > listenRetryTimeout {
+			return listener, err
 		}
 	}
 }
--- a/internal/site/site.go
+++ b/internal/site/site.go
@@ -17,7 +17,7 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// Config says what the site has.
+// Config describes a site.
 type Config struct {
 	Name       string
 	Halls      []walnutramp.DataHall
@@ -26,18 +26,19 @@
 	Services   int
 	Engine     standin.EngineConfig
 	ServiceCfg standin.ServiceConfig
-	Accounts   []bundle.Account // each has the key that KeyOf gives
+	Accounts   []bundle.Account // KeyOf returns the API key of each
 	Guard      bundle.Guard
 	Leaning    bundle.Leaning
-	Patience   time.Duration // of admission; 0 for the node's own
+	Patience   time.Duration // admission timeout; 0 for the node's default
 	Objectives []bundle.Objective
 	Network    Network
 	NodeOpt    []node.Option
-	Control    int // how many of the nodes have a disk and found the control group
+	Control    int // number of nodes that have a disk and form the initial control group
 	Seed       uint64
 }
 
-// Default is a small site: three nodes, four engines and a service.
+// Default returns the configuration of a small site: three nodes, four engines and
+// one service, without a control group.
 func Default() Config {
 	return Config{
 		Name:     "demo",
@@ -53,11 +54,11 @@
 	}
 }
 
-// ServiceName is the site's one plain service; calls under /lookup may be
-// repeated, others not.
+// ServiceName is the name of the site's plain service. Only requests under /lookup
+// are idempotent.
 const ServiceName = "desk"
 
-// KeyOf is the API key of an account.
+// KeyOf returns the API key of a client account.
 func KeyOf(a walnutramp.ClientAccount) string { return "key-" + string(a) }
 
 // Site is a running site.
@@ -71,44 +72,44 @@
 	Services    []*Service
 }
 
-// Node is one entry node and how to start it again.
+// Node is a node that can be restarted.
 type Node struct {
 	*node.Node
 	Name    walnutramp.NodeName
 	Hall    walnutramp.DataHall
-	Callers string // address for callers
+	Callers string // address for clients
 	Peers   string // address for peers
 	site    *Site
 	runs    int
 
-	Disk       *memfs.FS // nil on nodes without one
-	SentBefore int64     // bytes that earlier runs sent to peers
+	Disk       *memfs.FS // nil if the node has none
+	SentBefore int64     // bytes sent to peers before the last restart
 }
 
-// Engine is one stand-in engine and how to start it again.
+// Engine is a stand-in engine that can be restarted.
 type Engine struct {
 	*standin.Engine
 	Target bundle.Target
 	site   *Site
 	runs   int
 
-	DecodedBefore int // tokens that earlier runs decoded
+	DecodedBefore int // tokens decoded before the last restart
 }
 
-// Service is one stand-in service.
+// Service is a stand-in service.
 type Service struct {
 	*standin.Service
 	Target bundle.Target
 }
 
-// Start runs a site.
+// Start starts a site and, with a control group, submits its first bundle.
 func Start(cfg Config) (*Site, error) {
 	s := &Site{cfg: cfg}
-	if err := s.reserve(); err != nil {
+	if err := s.reserveAddresses(); err != nil {
 		return nil, err
 	}
 	s.Bundle = s.makeBundle()
-	if err := s.found(); err != nil {
+	if err := s.initControlGroup(); err != nil {
 		return nil, err
 	}
 	for _, e := range s.Engines {
@@ -134,11 +135,12 @@
 	return s, s.Submit(context.Background(), 0, s.Bundle)
 }
 
-// operatorName signs the site's bundles.
+// operatorName is the operator that signs the site's bundles.
 const operatorName = "operator"
 
-// found makes the operator's key and the control group's disks.
-func (s *Site) found() error {
+// initControlGroup creates the operator's key and the disks of the initial control
+// group.
+func (s *Site) initControlGroup() error {
 	public, private, err := bundle.NewOperatorKey()
 	if err != nil {
 		return err
@@ -156,8 +158,8 @@
 	return nil
 }
 
-// Submit signs a bundle and submits it through a node, until it is accepted
-// or refused for good.
+// Submit signs a bundle and submits it through the node with index through. It
+// retries until the bundle is accepted, is rejected as invalid, or 20 s have passed.
 func (s *Site) Submit(ctx context.Context, through int, b *bundle.Bundle) error {
 	doc, err := yaml.Marshal(b)
 	if err != nil {
@@ -175,7 +177,7 @@
 			return nil
 		}
 		if err == nil || walnutramp.HasCode(err, walnutramp.CodeBundleInvalid) || ctx.Err() != nil {
-			return errors.Newf("bundle %d: %v, %v", b.Version, r.Code, err)
+			return errors.Newf("submit bundle %d: code %v: %v", b.Version, r.Code, err)
 		}
 	}
 }
@@ -190,14 +192,15 @@
 
 func (s *Site) hall(i int) walnutramp.DataHall { return s.cfg.Halls[i%len(s.cfg.Halls)] }
 
-// reserve names everything and gives it addresses.
-func (s *Site) reserve() error {
+// reserveAddresses creates the engines, services and nodes, and assigns their names
+// and addresses.
+func (s *Site) reserveAddresses() error {
 	for i := range s.cfg.Engines {
 		t := bundle.Target{
 			Name: walnutramp.TargetName(fmt.Sprintf("engine-%d", i+1)), DataHall: s.hall(i), Kind: bundle.KindEngine,
 			Models: []walnutramp.ModelName{s.cfg.Engine.Model}, Slots: s.cfg.Engine.Slots, ChecksOrders: true,
 		}
-		if err := s.place(&t); err != nil {
+		if err := s.assignAddress(&t); err != nil {
 			return err
 		}
 		s.Engines = append(s.Engines, &Engine{Target: t, site: s})
@@ -207,7 +210,7 @@
 			Name: walnutramp.TargetName(fmt.Sprintf("desk-%d", i+1)), DataHall: s.hall(i), Kind: bundle.KindService,
 			Slots: serviceSlots,
 		}
-		if err := s.place(&t); err != nil {
+		if err := s.assignAddress(&t); err != nil {
 			return err
 		}
 		s.Services = append(s.Services, &Service{Service: standin.NewService(s.cfg.ServiceCfg), Target: t})
@@ -228,7 +231,7 @@
 
 const serviceSlots = 64
 
-func (s *Site) place(t *bundle.Target) error {
+func (s *Site) assignAddress(t *bundle.Target) error {
 	address, err := s.cfg.Network.Reserve(string(t.Name), string(t.DataHall))
 	t.Address = address
 	return err
@@ -247,13 +250,13 @@
 	for _, e := range s.Engines {
 		b.Targets = append(b.Targets, e.Target)
 	}
-	desk := bundle.Service{Name: ServiceName, Routes: []bundle.Route{{Path: "/lookup", Repeatable: true}}}
+	service := bundle.Service{Name: ServiceName, Routes: []bundle.Route{{Path: "/lookup", Repeatable: true}}}
 	for _, svc := range s.Services {
 		b.Targets = append(b.Targets, svc.Target)
-		desk.Targets = append(desk.Targets, svc.Target.Name)
+		service.Targets = append(service.Targets, svc.Target.Name)
 	}
 	if len(s.Services) > 0 {
-		b.Services = []bundle.Service{desk}
+		b.Services = []bundle.Service{service}
 	}
 	for _, a := range s.cfg.Accounts {
 		a.Keys = []string{bundle.HashKey(KeyOf(a.Name))}
@@ -262,7 +265,7 @@
 	return b
 }
 
-// Start runs the engine, afresh after Kill.
+// Start starts the engine. It may be called again after Kill.
 func (e *Engine) Start() error {
 	cfg := e.site.cfg.Engine
 	cfg.Seed = e.site.cfg.Seed<<16 + uint64(len(e.Target.Name))<<8 + hashName(string(e.Target.Name)) + uint64(e.runs)
@@ -287,10 +290,10 @@
 	return h
 }
 
-// Kill ends the engine at once.
+// Kill stops the engine without draining it.
 func (e *Engine) Kill() { e.Engine.Close() }
 
-// Start runs the node, as a new incarnation after Kill or Stop.
+// Start starts the node. After Kill or Stop it starts a new incarnation.
 func (n *Node) Start() error {
 	if n.Node != nil {
 		n.SentBefore += n.Traffic().Sent.Load()
@@ -335,7 +338,7 @@
 	return opts
 }
 
-// Kill ends the node at once; what its disk had not synced is lost.
+// Kill stops the node without draining it and discards unsynced data of its disk.
 func (n *Node) Kill() {
 	n.Node.Close()
 	if n.Disk != nil {
@@ -343,7 +346,7 @@
 	}
 }
 
-// Close ends everything at once.
+// Close stops all nodes and targets without draining them.
 func (s *Site) Close() {
 	for _, n := range s.Nodes {
 		n.Node.Close()
@@ -356,7 +359,7 @@
 	}
 }
 
-// Transport returns how callers reach the site.
+// Transport returns an HTTP transport for clients of the site.
 func (s *Site) Transport() *http.Transport {
 	return &http.Transport{
 		DialContext:         s.cfg.Network.Dialer(ClientHost),
@@ -365,21 +368,21 @@
 	}
 }
 
-// AwaitMembers waits until every node sees every other.
+// AwaitMembers waits until each node sees all others as live and has a bundle.
 func (s *Site) AwaitMembers(ctx context.Context) error {
 	for {
-		if s.allSeen() {
+		if s.allReady() {
 			return nil
 		}
 		select {
 		case <-time.After(20 * time.Millisecond):
 		case <-ctx.Done():
-			return errors.Wrap(ctx.Err(), "nodes did not find each other")
+			return errors.Wrap(ctx.Err(), "waiting for nodes to see each other and have a bundle")
 		}
 	}
 }
 
-func (s *Site) allSeen() bool {
+func (s *Site) allReady() bool {
 	for _, n := range s.Nodes {
 		if len(n.Members().Live()) < len(s.Nodes)-1 || n.BundleVersion() == 0 {
 			return false
--- a/internal/slownet/link.go
+++ b/internal/slownet/link.go
@@ -5,42 +5,43 @@
 	"time"
 )
 
-// Bounds of a connection whose way has a limited rate: as with TCP and a small
-// window, connections share the link in turns.
+// Flow control of a rate-limited connection. As with a small TCP windowSegments,
+// connections that share a link take turns.
 const (
-	segment = 4 << 10 // bytes that pass a link in one piece
-	window  = 16      // segments of one direction on their way
+	segmentSize    = 4 << 10 // bytes
+	windowSegments = 16      // segments in flight in one direction
 )
 
-// Link is a host's way into the network in one direction. What the host's
-// connections carry passes it one after the other.
+// Link is one direction of a host's network link. All connections of the host
+// share its bandwidth.
 type Link struct {
-	rate float64 // bytes a second
+	rate float64 // bytes per second
 
-	mu   sync.Mutex
-	free time.Time // when all that was handed to it has passed
+	mu     sync.Mutex
+	idleAt time.Time // when all queued data has been transmitted
 }
 
-// NewLink returns a link that passes so many bytes a second.
+// NewLink returns a link with the given bandwidth.
 func NewLink(bytesPerSecond float64) *Link { return &Link{rate: bytesPerSecond} }
 
-// pass returns when n bytes that reach the link at a moment have passed it.
-func (l *Link) pass(n int, at time.Time) time.Time {
+// transmit queues n bytes that reach the link at the given time, and returns when
+// their transmission ends.
+func (l *Link) transmit(n int, at time.Time) time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.free.After(at) {
-		at = l.free
+	if l.idleAt.After(at) {
+		at = l.idleAt
 	}
-	l.free = at.Add(time.Duration(float64(n) / l.rate * float64(time.Second)))
-	return l.free
+	l.idleAt = at.Add(time.Duration(float64(n) / l.rate * float64(time.Second)))
+	return l.idleAt
 }
 
-// Links are the links that the bytes of one direction pass, in order.
+// Links is the path of one direction of a connection, in order.
 type Links []*Link
 
-func (ls Links) pass(n int, at time.Time) time.Time {
+func (ls Links) transmit(n int, at time.Time) time.Time {
 	for _, l := range ls {
-		at = l.pass(n, at)
+		at = l.transmit(n, at)
 	}
 	return at
 }
--- a/internal/slownet/slownet.go
+++ b/internal/slownet/slownet.go
@@ -1,5 +1,5 @@
-// Package slownet delays connections and limits their rate, to stand for the
-// way between hosts.
+// Package slownet simulates the latency and bandwidth of a network path on a
+// net.Conn.
 package slownet
 
 import (
@@ -8,95 +8,95 @@
 	"time"
 )
 
-// delayed is a connection on which each direction takes a fixed time.
+// delayed is a connection with a simulated path in each direction.
 type delayed struct {
 	net.Conn
-	out  *line
-	in   *line
-	rest []byte // read and not yet handed on
+	out    *channel
+	in     *channel
+	unread []byte // received and not yet read
 }
 
-// parcel is bytes on their way.
-type parcel struct {
+// packet is data in flight, or with err the end of the stream.
+type packet struct {
 	due  time.Time
 	data []byte
 	err  error
 }
 
-// line carries parcels in order.
-type line struct {
+// channel delivers packets in order after a delay.
+type channel struct {
 	delay   time.Duration
 	links   Links
-	parcels chan parcel
+	packets chan packet
 	done    chan struct{}
 	once    sync.Once
 
-	// Where links limit the rate, what was written waits here for its turn, so
-	// that a write never blocks: in a bubble of virtual time, one that blocks
-	// with a mutex held would stop the clock.
-	room   chan struct{} // held by each segment on its way; nil without links
-	more   chan struct{} // says that something waits
-	mu     sync.Mutex
-	waits  []byte
-	ending error // after what waits
+	// With rate-limited links, written data is buffered here so that a write never
+	// blocks: in a synctest bubble, a goroutine that blocks while holding a mutex
+	// would stop the virtual clock.
+	inFlight chan struct{} // semaphore over the segments in flight; nil without links
+	wake     chan struct{} // signals new pending data
+	mu       sync.Mutex
+	pending  []byte
+	endErr   error // delivered after the pending data
 }
 
 const (
-	lineDepth  = 1024 // parcels on their way
-	readBuffer = 64 << 10
+	channelDepth = 1024     // packets in flight
+	readBuffer   = 64 << 10 // bytes
 )
 
-func newLine(delay time.Duration, links Links) *line {
-	l := &line{delay: delay, links: links, parcels: make(chan parcel, lineDepth), done: make(chan struct{})}
+func newChannel(delay time.Duration, links Links) *channel {
+	l := &channel{delay: delay, links: links, packets: make(chan packet, channelDepth), done: make(chan struct{})}
 	if len(links) > 0 {
-		l.room = make(chan struct{}, window)
-		l.more = make(chan struct{}, 1)
+		l.inFlight = make(chan struct{}, windowSegments)
+		l.wake = make(chan struct{}, 1)
 		go l.pump()
 	}
 	return l
 }
 
-func (l *line) close() { l.once.Do(func() { close(l.done) }) }
+func (l *channel) close() { l.once.Do(func() { close(l.done) }) }
 
-// carry sends bytes on their way, and with err the end after them. It keeps data.
-func (l *line) carry(data []byte, err error) bool {
-	if l.room == nil {
-		return l.put(data, err)
+// send queues data and, if err is not nil, the end of the stream after it. It
+// retains data.
+func (l *channel) send(data []byte, err error) bool {
+	if l.inFlight == nil {
+		return l.enqueue(data, err)
 	}
 	l.mu.Lock()
-	l.waits = append(l.waits, data...)
-	l.ending = err
+	l.pending = append(l.pending, data...)
+	l.endErr = err
 	l.mu.Unlock()
 	select {
-	case l.more <- struct{}{}:
+	case l.wake <- struct{}{}:
 	default:
 	}
 	return true
 }
 
-// pump hands what waits to the links, a segment at a time, as far as there is
-// room.
-func (l *line) pump() {
+// pump transmits pending data in segments while the window allows it.
+func (l *channel) pump() {
 	for {
 		select {
-		case l.room <- struct{}{}:
+		case l.inFlight <- struct{}{}:
 		case <-l.done:
 			return
 		}
 		data, err, ok := l.next()
-		if !ok || !l.put(data, err) || err != nil {
+		if !ok || !l.enqueue(data, err) || err != nil {
 			return
 		}
 	}
 }
 
-// next returns the next segment, when there is one, or the end.
-func (l *line) next() (data []byte, err error, ok bool) {
+// next waits for the next segment or the end of the stream.
+func (l *channel) next() (data []byte, err error, ok bool) {
 	for {
 		l.mu.Lock()
-		n := min(segment, len(l.waits))
-		data, l.waits = l.waits[:n:n], l.waits[n:]
-		err = l.ending
+		n := min(segmentSize, len(l.pending))
+		data, l.pending = l.pending[:n:n], l.pending[n:]
+		err = l.endErr
 		l.mu.Unlock()
 		if n > 0 {
 			return data, nil, true
@@ -105,25 +105,25 @@
 			return nil, err, true
 		}
 		select {
-		case <-l.more:
+		case <-l.wake:
 		case <-l.done:
 			return nil, nil, false
 		}
 	}
 }
 
-func (l *line) put(data []byte, err error) bool {
-	due := l.links.pass(len(data), time.Now()).Add(l.delay)
+func (l *channel) enqueue(data []byte, err error) bool {
+	due := l.links.transmit(len(data), time.Now()).Add(l.delay)
 	select {
-	case l.parcels <- parcel{due: due, data: data, err: err}:
+	case l.packets <- packet{due: due, data: data, err: err}:
 		return true
 	case <-l.done:
 		return false
 	}
 }
 
-// until waits until due; false means the line closed first.
-func (l *line) until(due time.Time) bool {
+// sleepUntil waits sleepUntil due. It returns false if the channel was closed first.
+func (l *channel) sleepUntil(due time.Time) bool {
 	wait := time.Until(due)
 	if wait <= 0 {
 		return true
@@ -138,25 +138,24 @@
 	}
 }
 
-// take returns the next parcel when it is due.
-func (l *line) take() (parcel, bool) {
+// receive waits for the next packet and its arrival time.
+func (l *channel) receive() (packet, bool) {
 	select {
-	case p := <-l.parcels:
-		arrived := l.until(p.due)
-		if l.room != nil {
-			<-l.room
+	case p := <-l.packets:
+		arrived := l.sleepUntil(p.due)
+		if l.inFlight != nil {
+			<-l.inFlight
 		}
 		return p, arrived
 	case <-l.done:
-		return parcel{}, false
+		return packet{}, false
 	}
 }
 
-// New returns c with the delay on each direction, and the links that what is
-// written and what is read must pass. Closing it loses what is on its way. Its
-// deadlines do nothing.
+// New wraps c with a delay in each direction and with the links that written (out)
+// and read (in) data passes. Close discards data in flight. Deadlines are ignored.
 func New(c net.Conn, delay time.Duration, out, in Links) net.Conn {
-	d := &delayed{Conn: c, out: newLine(delay, out), in: newLine(delay, in)}
+	d := &delayed{Conn: c, out: newChannel(delay, out), in: newChannel(delay, in)}
 	go d.send()
 	go d.receive()
 	return &delayedConn{delayed: d}
@@ -164,7 +163,7 @@
 
 func (d *delayed) send() {
 	for {
-		p, ok := d.out.take()
+		p, ok := d.out.receive()
 		if !ok {
 			return
 		}
@@ -179,7 +178,7 @@
 	for {
 		buf := make([]byte, readBuffer)
 		n, err := d.Conn.Read(buf)
-		if !d.in.carry(buf[:n], err) || err != nil {
+		if !d.in.send(buf[:n], err) || err != nil {
 			return
 		}
 	}
@@ -197,7 +196,7 @@
 
 // Write implements net.Conn.
 func (c *delayedConn) Write(p []byte) (int, error) {
-	if !c.out.carry(append([]byte(nil), p...), nil) {
+	if !c.out.send(append([]byte(nil), p...), nil) {
 		return 0, net.ErrClosed
 	}
 	return len(p), nil
@@ -205,32 +204,32 @@
 
 // Read implements net.Conn.
 func (c *delayedConn) Read(p []byte) (int, error) {
-	for len(c.rest) == 0 {
-		next, ok := c.in.take()
+	for len(c.unread) == 0 {
+		next, ok := c.in.receive()
 		if !ok {
 			return 0, net.ErrClosed
 		}
 		if len(next.data) == 0 && next.err != nil {
 			return 0, next.err
 		}
-		c.rest = next.data
+		c.unread = next.data
 		if next.err != nil {
-			c.in.put(nil, next.err)
+			c.in.enqueue(nil, next.err)
 		}
 	}
-	n := copy(p, c.rest)
-	c.rest = c.rest[n:]
+	n := copy(p, c.unread)
+	c.unread = c.unread[n:]
 	return n, nil
 }
 
 // Close implements net.Conn.
 func (c *delayedConn) Close() error { return c.close() }
 
-// SetReadDeadline implements net.Conn; a delayed line has none.
+// SetReadDeadline implements net.Conn; it has no effect.
 func (c *delayedConn) SetReadDeadline(time.Time) error { return nil }
 
-// SetWriteDeadline implements net.Conn; a delayed line has none.
+// SetWriteDeadline implements net.Conn; it has no effect.
 func (c *delayedConn) SetWriteDeadline(time.Time) error { return nil }
 
-// SetDeadline implements net.Conn; a delayed line has none.
+// SetDeadline implements net.Conn; it has no effect.
 func (c *delayedConn) SetDeadline(time.Time) error { return nil }
--- a/internal/uptime/uptime.go
+++ b/internal/uptime/uptime.go
@@ -1,6 +1,6 @@
-// Package uptime tells a time that goes on while the machine is suspended. The
-// steady clock behind time.Now stands still meanwhile: measured by it, a lease
-// lasts, and news is fresh, for as much longer as the machine slept.
+// Package uptime provides a clock that includes the time the machine is suspended.
+// The monotonic clock of time.Now stops during suspension, so leases and timeouts
+// measured with it would last too long by the time suspended.
 package uptime
 
 import (
@@ -10,37 +10,38 @@
 	"golang.org/x/sys/unix"
 )
 
-// Now returns the time to measure leases, deadlines and ages by. Only the
-// difference of two such times means anything: the time of day in it is ahead
-// by what the machine was suspended since the process began.
+// Now returns the time for measuring leases, deadlines and ages. Only differences
+// between such times are meaningful: the wall clock reading is ahead by the time
+// suspended since the process started.
 func Now() time.Time { return time.Now().Add(Suspended()) }
 
-// Since returns how long ago a time of Now was.
+// Since returns the time elapsed since t, a result of Now.
 func Since(t time.Time) time.Duration { return Now().Sub(t) }
 
-// Until returns how long it is until a time of Now.
+// Until returns the duration until t, a time derived from Now.
 func Until(t time.Time) time.Duration { return t.Sub(Now()) }
 
-// noise is what readings are rounded to: they differ by microseconds anyway.
-const noise = time.Millisecond
+// resolution hides the jitter of reading two clocks one after the other.
+const resolution = time.Millisecond
 
-// Both in nanoseconds.
+// Durations in nanoseconds.
 var (
-	before    atomic.Int64 // what the machine had been suspended when the process began
-	suspended atomic.Int64 // the most that was read since
+	suspendedAtStart atomic.Int64 // time suspended between boot and process start
+	suspended        atomic.Int64 // largest value read since then
 )
 
 func init() {
 	if read, err := readSuspended(); err == nil {
-		before.Store(int64(read))
+		suspendedAtStart.Store(int64(read))
 	}
 }
 
-// Suspended returns for how long the machine has been suspended since the
-// process began, to a millisecond. Where the system can't tell, that is what it last could.
+// Suspended returns how long the machine has been suspended since the process
+// started, rounded to milliseconds. It never decreases. If the clocks cannot be
+// read, it returns the last known value.
 func Suspended() time.Duration {
 	read, err := readSuspended()
-	now := (read - time.Duration(before.Load())).Round(noise)
+	now := (read - time.Duration(suspendedAtStart.Load())).Round(resolution)
 	for {
 		known := suspended.Load()
 		if err != nil || int64(now) <= known {
@@ -52,37 +53,37 @@
 	}
 }
 
-// pretended is what tests add to the suspension.
-var pretended atomic.Int64
+// simulated is the suspension added by Pretend, in nanoseconds.
+var simulated atomic.Int64
 
-// Pretend has the machine seem to have been suspended for a while just now, until
-// the function that it returns undoes it. It is for tests only.
+// Pretend simulates a suspension of length d, until undo is called. It is for
+// tests only.
 func Pretend(d time.Duration) (undo func()) {
-	pretended.Add(int64(d))
+	simulated.Add(int64(d))
 	Suspended()
 	return func() {
-		pretended.Add(-int64(d))
+		simulated.Add(-int64(d))
 		suspended.Add(-int64(d))
 	}
 }
 
-// clock reads a clock of the system; tests put another one in its place.
-var clock = systemClock
+// readClock reads a system readClock; tests replace it.
+var readClock = readSystemClock
 
-func systemClock(id int32) (time.Duration, error) {
+func readSystemClock(id int32) (time.Duration, error) {
 	var t unix.Timespec
 	err := unix.ClockGettime(id, &t)
 	return time.Duration(t.Nano()), err
 }
 
-// readSuspended compares the clock that goes on with the one that does not. The
-// latter is read last: what passes between the two, while the system runs
-// something else, makes the difference too small, and never a suspension.
+// readSuspended returns the difference of the boot-time and monotonic clocks. The
+// monotonic clock is read last, so that a preemption between the readings makes
+// the result too small rather than too large.
 func readSuspended() (time.Duration, error) {
-	on, err := clock(unix.CLOCK_BOOTTIME)
+	boot, err := readClock(unix.CLOCK_BOOTTIME)
 	if err != nil {
 		return 0, err
 	}
-	steady, err := clock(unix.CLOCK_MONOTONIC)
-	return on - steady + time.Duration(pretended.Load()), err
+	monotonic, err := readClock(unix.CLOCK_MONOTONIC)
+	return boot - monotonic + time.Duration(simulated.Load()), err
 }
