--- a/load/capacity.go
+++ b/load/capacity.go
@@ -23,14 +23,13 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Point is one measurement of a slope.
+// Point is one measurement: cost Y at size X.
 type Point struct {
 	X float64 `json:"x"`
 	Y float64 `json:"y"`
 }
 
-// Slope is how a cost grows with a size, from measured points and their
-// straight-line fit.
+// Slope is the linear regression of a cost over a size.
 type Slope struct {
 	Name   string  `json:"name"`
 	X      string  `json:"x_unit"`
@@ -39,10 +38,10 @@
 	Base   float64 `json:"base"`
 	PerX   float64 `json:"per_x"`
 	R2     float64 `json:"r2"`
-	Spread float64 `json:"spread"` // largest distance of a point from the fit
+	Spread float64 `json:"spread"` // largest absolute residual
 }
 
-// At is the fit's value for a size.
+// At returns the cost at size x according to the fit.
 func (s *Slope) At(x float64) float64 { return s.Base + s.PerX*x }
 
 func (s *Slope) fit() {
@@ -57,11 +56,11 @@
 	}
 }
 
-// Capacity is everything a capacity run measured.
+// Capacity is the result of a capacity measurement.
 type Capacity struct {
 	Machine string  `json:"machine"`
-	Seconds float64 `json:"seconds"` // of each measurement
-	// ReportBytes is what one load report takes on the wire, both ways.
+	Seconds float64 `json:"seconds"` // duration of each measurement
+	// ReportBytes is the size of a load report request and response on the wire.
 	ReportBytes float64 `json:"report_bytes"`
 	Slopes      []Slope `json:"slopes"`
 }
@@ -80,27 +79,27 @@
 	SlopeBundleMemory  = "memory of a bundle, by its targets"
 )
 
-// Meter measures slopes.
+// Meter measures how the cost of a site without clients grows with its size.
 type Meter struct {
-	Duration time.Duration // of each measurement
+	Duration time.Duration // duration of each measurement
 	Members  []int
 	Targets  []int
-	Changes  []int // a second
+	Changes  []int // bundle changes per second
 	Progress io.Writer
 }
 
-// idle is what a site without callers spends, per node.
-type idle struct {
-	cpu     float64 // ms a second, of the parts control and guard
-	bytes   float64 // a second, sent and received
-	memory  float64 // MB of heap
+// idleCost is the cost per node of a site without clients.
+type idleCost struct {
+	cpu     float64 // CPU time of control plane and replication, in ms per second
+	bytes   float64 // bytes per second, sent and received
+	memory  float64 // heap and stack in MB
 	inForce time.Duration
 }
 
-// Run measures every slope.
+// Run measures all slopes.
 func (m *Meter) Run(ctx context.Context) (*Capacity, error) {
 	c := &Capacity{Machine: fmt.Sprintf("%d processors, %s", runtime.NumCPU(), runtime.Version()), Seconds: m.Duration.Seconds()}
-	for _, measure := range []func(context.Context) ([]Slope, error){m.byMembers, m.byTargets, m.byChanges, m.byBundle} {
+	for _, measure := range []func(context.Context) ([]Slope, error){m.measureByMembers, m.measureByTargets, m.measureByChanges, m.measureByBundle} {
 		slopes, err := measure(ctx)
 		if err != nil {
 			return nil, err
@@ -115,7 +114,7 @@
 	return c, err
 }
 
-// reportBytes counts what load reports take over a connection that is kept.
+// reportBytes returns the mean bytes of a load report over a persistent connection.
 func reportBytes(ctx context.Context) (float64, error) {
 	e := standin.NewEngine()
 	defer e.Close()
@@ -141,7 +140,7 @@
 	return float64(count.Load()) / rounds, nil
 }
 
-// countedConn counts bytes both ways.
+// countedConn counts the bytes read and written.
 type countedConn struct {
 	net.Conn
 	count *atomic.Int64
@@ -161,111 +160,111 @@
 	return n, err
 }
 
-// How long a new site takes until its nodes have no news of each other left.
+// Time after the start of a site until membership gossip has settled.
 const (
 	settleBase    = 2 * time.Second
 	settlePerNode = 150 * time.Millisecond
 )
 
 const (
-	capacityControl = 5 // members of the control group
+	capacityVoters  = 5 // members of the control group
 	capacityTargets = 4
 	capacityNodes   = 12
 )
 
-func (m *Meter) byMembers(ctx context.Context) ([]Slope, error) {
+func (m *Meter) measureByMembers(ctx context.Context) ([]Slope, error) {
 	cpu := Slope{Name: SlopeMembersCPU, X: "members", Y: "ms/s"}
 	bytes := Slope{Name: SlopeMembersBytes, X: "members", Y: "bytes/s"}
 	memory := Slope{Name: SlopeMembersMemory, X: "members", Y: "MB"}
 	inForce := Slope{Name: SlopeInForce, X: "members", Y: "ms"}
 	for _, n := range m.Members {
-		i, err := m.idle(ctx, n, capacityTargets, 0)
+		cost, err := m.measureIdle(ctx, n, capacityTargets, 0)
 		if err != nil {
 			return nil, err
 		}
 		x := float64(n)
-		cpu.Points = append(cpu.Points, Point{x, i.cpu})
-		bytes.Points = append(bytes.Points, Point{x, i.bytes})
-		memory.Points = append(memory.Points, Point{x, i.memory})
-		inForce.Points = append(inForce.Points, Point{x, float64(i.inForce.Microseconds()) / 1000})
+		cpu.Points = append(cpu.Points, Point{x, cost.cpu})
+		bytes.Points = append(bytes.Points, Point{x, cost.bytes})
+		memory.Points = append(memory.Points, Point{x, cost.memory})
+		inForce.Points = append(inForce.Points, Point{x, float64(cost.inForce.Microseconds()) / 1000})
 	}
 	return []Slope{cpu, bytes, memory, inForce}, nil
 }
 
-func (m *Meter) byTargets(ctx context.Context) ([]Slope, error) {
+func (m *Meter) measureByTargets(ctx context.Context) ([]Slope, error) {
 	cpu := Slope{Name: SlopeTargetsCPU, X: "targets", Y: "ms/s"}
 	for _, n := range m.Targets {
-		i, err := m.idle(ctx, capacityNodes, n, 0)
+		cost, err := m.measureIdle(ctx, capacityNodes, n, 0)
 		if err != nil {
 			return nil, err
 		}
-		cpu.Points = append(cpu.Points, Point{float64(n), i.cpu})
+		cpu.Points = append(cpu.Points, Point{float64(n), cost.cpu})
 	}
 	return []Slope{cpu}, nil
 }
 
-func (m *Meter) byChanges(ctx context.Context) ([]Slope, error) {
+func (m *Meter) measureByChanges(ctx context.Context) ([]Slope, error) {
 	cpu := Slope{Name: SlopeChangesCPU, X: "changes/s", Y: "ms/s"}
 	bytes := Slope{Name: SlopeChangesBytes, X: "changes/s", Y: "bytes/s"}
 	for _, n := range m.Changes {
-		i, err := m.idle(ctx, capacityNodes, capacityTargets, n)
+		cost, err := m.measureIdle(ctx, capacityNodes, capacityTargets, n)
 		if err != nil {
 			return nil, err
 		}
-		cpu.Points = append(cpu.Points, Point{float64(n), i.cpu})
-		bytes.Points = append(bytes.Points, Point{float64(n), i.bytes})
+		cpu.Points = append(cpu.Points, Point{float64(n), cost.cpu})
+		bytes.Points = append(bytes.Points, Point{float64(n), cost.bytes})
 	}
 	return []Slope{cpu, bytes}, nil
 }
 
-// idle runs a site without callers and measures what each node spends.
-func (m *Meter) idle(ctx context.Context, nodes, targets, changes int) (idle, error) {
+// measureIdle starts a site without clients and measures its cost per node.
+func (m *Meter) measureIdle(ctx context.Context, nodes, targets, changes int) (idleCost, error) {
 	if m.Progress != nil {
 		fmt.Fprintf(m.Progress, "%d nodes, %d targets, %d changes a second\n", nodes, targets, changes)
 	}
 	before := heapInUse()
 	cfg := site.Default()
-	cfg.Nodes, cfg.Engines, cfg.Control = nodes, targets, capacityControl
+	cfg.Nodes, cfg.Engines, cfg.Control = nodes, targets, capacityVoters
 	s, err := site.Start(cfg)
 	if err != nil {
-		return idle{}, err
+		return idleCost{}, err
 	}
 	defer s.Close()
 	ctx, cancel := context.WithTimeout(ctx, 2*time.Minute)
 	defer cancel()
 	if err := s.AwaitMembers(ctx); err != nil {
-		return idle{}, err
+		return idleCost{}, err
 	}
 	pause.For(ctx, settleBase+time.Duration(nodes)*settlePerNode)
-	took, err := m.changeAll(ctx, s)
+	inForce, err := m.applyChange(ctx, s)
 	if err != nil {
-		return idle{}, err
+		return idleCost{}, err
 	}
-	return m.measure(ctx, s, changes, before, took)
+	return m.measure(ctx, s, changes, before, inForce)
 }
 
-func (m *Meter) measure(ctx context.Context, s *site.Site, changes int, heapBefore uint64, took time.Duration) (idle, error) {
+func (m *Meter) measure(ctx context.Context, s *site.Site, changes int, heapBefore uint64, inForce time.Duration) (idleCost, error) {
 	sent, received := traffic(s)
 	p, err := startProfile("")
 	if err != nil {
-		return idle{}, err
+		return idleCost{}, err
 	}
 	began := time.Now()
-	if err := m.keepChanging(ctx, s, changes); err != nil {
-		return idle{}, err
+	if err := m.applyChanges(ctx, s, changes); err != nil {
+		return idleCost{}, err
 	}
 	seconds := time.Since(began).Seconds()
 	cpu, err := p.stop()
 	if err != nil {
-		return idle{}, err
+		return idleCost{}, err
 	}
 	sentNow, receivedNow := traffic(s)
 	n := float64(len(s.Nodes))
-	return idle{
+	return idleCost{
 		cpu:     float64((cpu[part.Control] + cpu[part.Guard]).Microseconds()) / 1000 / seconds / n,
 		bytes:   float64(sentNow-sent+receivedNow-received) / seconds / n,
 		memory:  float64(heapInUse()-min(heapBefore, heapInUse())) / (1 << 20) / n,
-		inForce: took,
+		inForce: inForce,
 	}, nil
 }
 
@@ -284,9 +283,9 @@
 	return stats.HeapInuse + stats.StackInuse
 }
 
-// changeAll submits one bundle and returns how long after its acceptance the
-// last node has it in force.
-func (m *Meter) changeAll(ctx context.Context, s *site.Site) (time.Duration, error) {
+// applyChange submits a new bundle version and returns the time from its acceptance
+// until the last node has it in force.
+func (m *Meter) applyChange(ctx context.Context, s *site.Site) (time.Duration, error) {
 	b := *s.Bundle
 	b.Version++
 	if err := s.Submit(ctx, 0, &b); err != nil {
@@ -297,15 +296,15 @@
 	for _, n := range s.Nodes {
 		for n.BundleVersion() < b.Version {
 			if !pause.For(ctx, 200*time.Microsecond) {
-				return 0, errors.New("a bundle did not come into force everywhere")
+				return 0, errors.Newf("bundle %d is not in force on all nodes", b.Version)
 			}
 		}
 	}
 	return time.Since(accepted), nil
 }
 
-// keepChanging submits bundles at a rate for the meter's duration.
-func (m *Meter) keepChanging(ctx context.Context, s *site.Site, perSecond int) error {
+// applyChanges submits bundles at a rate for the measurement duration.
+func (m *Meter) applyChanges(ctx context.Context, s *site.Site, perSecond int) error {
 	if perSecond == 0 {
 		pause.For(ctx, m.Duration)
 		return nil
@@ -313,7 +312,7 @@
 	end := time.Now().Add(m.Duration)
 	for time.Now().Before(end) {
 		next := time.Now().Add(time.Second / time.Duration(perSecond))
-		if _, err := m.changeAll(ctx, s); err != nil {
+		if _, err := m.applyChange(ctx, s); err != nil {
 			return err
 		}
 		pause.For(ctx, time.Until(next))
@@ -321,9 +320,9 @@
 	return nil
 }
 
-// byBundle measures what one changed target costs each node, by how many the
-// bundle has.
-func (m *Meter) byBundle(context.Context) ([]Slope, error) {
+// measureByBundle measures the cost per node of changing one target, over the number
+// of targets in the bundle.
+func (m *Meter) measureByBundle(context.Context) ([]Slope, error) {
 	parse := Slope{Name: SlopeParse, X: "targets", Y: "ms"}
 	delta := Slope{Name: SlopeDelta, X: "targets", Y: "bytes"}
 	memory := Slope{Name: SlopeBundleMemory, X: "targets", Y: "MB"}
@@ -339,7 +338,7 @@
 			return nil, err
 		}
 		d := bundle.NewDelta(1, doc, 2, next)
-		took, parsed, err := takeChange(d, doc)
+		took, parsed, err := measureApply(d, doc)
 		if err != nil {
 			return nil, err
 		}
@@ -353,9 +352,9 @@
 
 const parseRounds = 5
 
-// takeChange does what a node does for a change, and returns the processor
-// time and the memory of the parsed bundle in bytes.
-func takeChange(d bundle.Delta, doc []byte) (time.Duration, float64, error) {
+// measureApply applies a delta and decodes the new bundle as a node does. It returns
+// the mean time and the memory of the decoded bundle in bytes.
+func measureApply(d bundle.Delta, doc []byte) (time.Duration, float64, error) {
 	before := heapInUse()
 	began := time.Now()
 	var parsed *bundle.Bundle
@@ -369,9 +368,9 @@
 		}
 	}
 	took := time.Since(began) / parseRounds
-	grown := float64(heapInUse()) - float64(before)
+	heapGrowth := float64(heapInUse()) - float64(before)
 	runtime.KeepAlive(parsed)
-	return took, max(grown, 0), nil
+	return took, max(heapGrowth, 0), nil
 }
 
 func deltaBytes(d bundle.Delta) float64 {
@@ -382,7 +381,7 @@
 	return float64(len(encoded))
 }
 
-// largeBundle is a bundle with n engines.
+// largeBundle returns a bundle with n engines.
 func largeBundle(n int) *bundle.Bundle {
 	b := &bundle.Bundle{
 		Version: 1, Site: "capacity",
@@ -400,7 +399,7 @@
 	return b
 }
 
-// Slope returns the slope of that name.
+// Slope returns the slope with the given name, and false if there is none.
 func (c *Capacity) Slope(name string) (*Slope, bool) {
 	for i := range c.Slopes {
 		if c.Slopes[i].Name == name {
@@ -410,7 +409,7 @@
 	return nil, false
 }
 
-// WriteTable prints the slopes as a Markdown table.
+// WriteTable writes the slopes as a Markdown table.
 func (c *Capacity) WriteTable(w io.Writer) {
 	fmt.Fprintf(w, "Measured on %s, %.0f s each.\n\n", c.Machine, c.Seconds)
 	fmt.Fprintln(w, "| cost | measured | fit | R² | spread |")
--- a/load/client.go
+++ b/load/client.go
@@ -1,5 +1,6 @@
-// Package load drives a site with a described mix of requests, checks every
-// answer, and reports what callers saw.
+// Package load is a load generator. It sends a reproducible mix of requests to a
+// site, injects failures, checks every response, and reports latency, goodput and
+// cost.
 package load
 
 import (
@@ -19,16 +20,16 @@
 	"github.com/walnutramp/walnutramp/target"
 )
 
-// Client is a caller that reconnects with Last-Event-ID.
+// Client is an API client that resumes broken streams with Last-Event-ID.
 type Client struct {
 	HTTP      *http.Client
-	Addresses []string // of entry nodes, tried in turn as a balancer would
-	Reconnect time.Duration
-	Attempts  int  // connections tried for one draft
-	FromZero  bool // start a broken draft again from zero, as clients without resume do
+	Addresses []string      // of nodes, tried in round-robin order
+	Reconnect time.Duration // minimum delay before a reconnect
+	Attempts  int           // connection attempts per draft
+	FromZero  bool          // restart a broken draft instead of resuming it
 }
 
-// NewClient returns a client of the nodes at addresses.
+// NewClient returns a client for the nodes at addresses, with default settings.
 func NewClient(rt http.RoundTripper, addresses []string) *Client {
 	return &Client{
 		HTTP:      &http.Client{Transport: rt},
@@ -38,32 +39,32 @@
 	}
 }
 
-// Draft is a long generation to ask for.
+// Draft is a request for a streamed completion.
 type Draft struct {
 	APIKey    string
-	Key       string // Idempotency-Key, or empty
+	Key       string // Idempotency-Key; empty for none
 	Model     walnutramp.ModelName
 	Prompt    string
 	MaxTokens int
-	First     int // index of the address tried first
+	First     int // index of the first address to try
 }
 
-// Drafted is what came of a draft, as its caller saw it.
+// Drafted is the result of a draft as seen by the client.
 type Drafted struct {
 	ID         walnutramp.GenerationID
 	Text       string
 	Verdict    standin.Verdict
 	Complete   bool
 	FirstToken time.Duration
-	Arrivals   []time.Time // of new text
-	Moves      []time.Time // when the caller had to connect again
+	Arrivals   []time.Time // when new text arrived
+	Moves      []time.Time // when a connection was lost after the first token
 	Reconnects int
-	Restarts   int      // times the draft began again from zero
-	Discarded  int      // tokens received and thrown away
-	Refused    *Refusal // the last refusal, where the draft did not complete
+	Restarts   int      // restarts from the beginning
+	Discarded  int      // tokens discarded by restarts
+	Refused    *Refusal // the last error response, if any
 }
 
-// Refusal is an error answer.
+// Refusal is an error response.
 type Refusal struct {
 	Status     int
 	Code       walnutramp.Code
@@ -77,15 +78,16 @@
 	return strconv.Itoa(int(r.Code)) + " " + string(r.Outcome) + ": " + r.Message
 }
 
-// Draft asks for a draft and follows it to its end across reconnects.
+// Draft sends a draft and reads its stream. It reconnects until the draft is
+// complete or fails permanently, the attempts are used up, or ctx ends.
 func (c *Client) Draft(ctx context.Context, d Draft) Drafted {
-	f := &follower{client: c, draft: d, asked: time.Now()}
+	f := &draftReader{client: c, draft: d, start: time.Now()}
 	for try := range c.Attempts {
-		if f.once(ctx, c.Addresses[(d.First+try)%len(c.Addresses)]) || ctx.Err() != nil {
+		if f.attempt(ctx, c.Addresses[(d.First+try)%len(c.Addresses)]) || ctx.Err() != nil {
 			break
 		}
-		f.broke()
-		if !pause.For(ctx, f.wait()) {
+		f.disconnected()
+		if !pause.For(ctx, f.retryDelay()) {
 			break
 		}
 	}
@@ -94,17 +96,17 @@
 	return f.result
 }
 
-// follower is one draft on its way.
-type follower struct {
-	client   *Client
-	draft    Draft
-	result   Drafted
-	text     strings.Builder
-	position string // last event id
-	asked    time.Time
-	pause    time.Duration
-	furthest int  // length of the longest text seen
-	lost     bool // the site can't go on with the draft
+// draftReader is the state of a draft across connections.
+type draftReader struct {
+	client     *Client
+	draft      Draft
+	result     Drafted
+	text       strings.Builder
+	position   string // ID of the last event
+	start      time.Time
+	retryAfter time.Duration
+	maxLength  int  // bytes of the longest text received, over all restarts
+	unknown    bool // the site no longer knows the generation
 }
 
 type draftBody struct {
@@ -114,26 +116,27 @@
 	Stream    bool                 `json:"stream"`
 }
 
-// broke notes that the connection is gone before the draft is complete.
-func (f *follower) broke() {
+// disconnected records a connection that ended before the draft was complete, and
+// resets the text if the draft has to restart.
+func (f *draftReader) disconnected() {
 	if f.text.Len() > 0 {
 		f.result.Moves = append(f.result.Moves, time.Now())
 	}
-	if f.text.Len() > 0 && (f.client.FromZero || f.lost) {
+	if f.text.Len() > 0 && (f.client.FromZero || f.unknown) {
 		f.result.Discarded += standin.Tokens(f.text.String())
 		f.result.Restarts++
 		f.position = ""
 		f.text.Reset()
-		f.lost = false
+		f.unknown = false
 	}
 }
 
-// wait is how long to stay away before the next connection.
-func (f *follower) wait() time.Duration { return max(f.pause, f.client.Reconnect) }
+// retryDelay returns the delay before the next connection attempt.
+func (f *draftReader) retryDelay() time.Duration { return max(f.retryAfter, f.client.Reconnect) }
 
-// once makes one connection; true means there is nothing more to try.
-func (f *follower) once(ctx context.Context, address string) bool {
-	f.pause = 0
+// attempt makes one connection. It returns true if no retry is needed or allowed.
+func (f *draftReader) attempt(ctx context.Context, address string) bool {
+	f.retryAfter = 0
 	resp, err := f.connect(ctx, address)
 	if err != nil {
 		return false
@@ -142,14 +145,14 @@
 	if resp.StatusCode != http.StatusOK {
 		refusal := readRefusal(resp)
 		f.result.Refused = refusal
-		f.pause = refusal.RetryAfter
-		f.lost = f.position != "" && refusal.Code == walnutramp.CodeGenerationUnknown
-		return refusal.RetryAfter == 0 && refusal.Code != walnutramp.CodeMoved && !f.lost && !f.client.FromZero
+		f.retryAfter = refusal.RetryAfter
+		f.unknown = f.position != "" && refusal.Code == walnutramp.CodeGenerationUnknown
+		return refusal.RetryAfter == 0 && refusal.Code != walnutramp.CodeMoved && !f.unknown && !f.client.FromZero
 	}
 	return f.read(target.NewEventReader(resp.Body))
 }
 
-func (f *follower) connect(ctx context.Context, address string) (*http.Response, error) {
+func (f *draftReader) connect(ctx context.Context, address string) (*http.Response, error) {
 	body, err := json.Marshal(draftBody{Model: f.draft.Model, Prompt: f.draft.Prompt, MaxTokens: f.draft.MaxTokens, Stream: true})
 	if err != nil {
 		return nil, err
@@ -170,7 +173,7 @@
 	return f.client.HTTP.Do(req)
 }
 
-// chunk is what a follower reads of an event.
+// chunk is the payload of a completion event.
 type chunk struct {
 	Choices []struct {
 		Text         string  `json:"text"`
@@ -179,8 +182,8 @@
 	Error json.RawMessage `json:"error"`
 }
 
-// read takes events until the stream ends; true means the draft is complete.
-func (f *follower) read(events *target.EventReader) bool {
+// read reads events until the stream ends, and reports whether the draft is complete.
+func (f *draftReader) read(events *target.EventReader) bool {
 	for {
 		ev, err := events.Next()
 		if err != nil || ev.Data == "[DONE]" {
@@ -188,21 +191,21 @@
 		}
 		var c chunk
 		if json.Unmarshal([]byte(ev.Data), &c) != nil || c.Error != nil {
-			f.noteError(c.Error)
+			f.recordError(c.Error)
 			return false
 		}
-		f.take(ev.ID, c)
+		f.apply(ev.ID, c)
 	}
 }
 
-func (f *follower) noteError(raw json.RawMessage) {
+func (f *draftReader) recordError(raw json.RawMessage) {
 	r := &Refusal{}
 	r.fill(raw)
 	f.result.Refused = r
-	f.pause = r.RetryAfter
+	f.retryAfter = r.RetryAfter
 }
 
-func (f *follower) take(id string, c chunk) {
+func (f *draftReader) apply(id string, c chunk) {
 	if id != "" {
 		f.position = id
 		if p, err := walnutramp.ParsePosition(id); err == nil {
@@ -215,22 +218,23 @@
 	choice := c.Choices[0]
 	if choice.Text != "" {
 		f.text.WriteString(choice.Text)
-		f.arrived(time.Now())
+		f.recordArrival(time.Now())
 	}
 	if choice.FinishReason != nil {
 		f.result.Complete = true
 	}
 }
 
-// arrived notes text that the caller had not seen before.
-func (f *follower) arrived(now time.Time) {
-	if f.text.Len() <= f.furthest {
+// recordArrival records the arrival time of text not received before. Text repeated
+// after a restart does not count.
+func (f *draftReader) recordArrival(now time.Time) {
+	if f.text.Len() <= f.maxLength {
 		return
 	}
-	if f.furthest == 0 {
-		f.result.FirstToken = now.Sub(f.asked)
+	if f.maxLength == 0 {
+		f.result.FirstToken = now.Sub(f.start)
 	}
-	f.furthest = f.text.Len()
+	f.maxLength = f.text.Len()
 	f.result.Arrivals = append(f.result.Arrivals, now)
 }
 
@@ -243,7 +247,8 @@
 	return longest
 }
 
-// GapAt returns the pause in which t lies, if t lies between two arrivals.
+// GapAt returns the time between the two arrivals around t, and false if there are
+// none.
 func (d *Drafted) GapAt(t time.Time) (time.Duration, bool) {
 	for i := 1; i < len(d.Arrivals); i++ {
 		if !d.Arrivals[i].Before(t) && !d.Arrivals[i-1].After(t) {
@@ -253,16 +258,16 @@
 	return 0, false
 }
 
-const maxRefusal = 16 << 10 // bytes
+const maxErrorBody = 16 << 10 // bytes
 
 func readRefusal(resp *http.Response) *Refusal {
 	r := &Refusal{Status: resp.StatusCode}
-	body, _ := io.ReadAll(io.LimitReader(resp.Body, maxRefusal))
-	var outer struct {
+	body, _ := io.ReadAll(io.LimitReader(resp.Body, maxErrorBody))
+	var envelope struct {
 		Error json.RawMessage `json:"error"`
 	}
-	if json.Unmarshal(body, &outer) == nil {
-		r.fill(outer.Error)
+	if json.Unmarshal(body, &envelope) == nil {
+		r.fill(envelope.Error)
 	}
 	return r
 }
@@ -284,18 +289,18 @@
 	r.RetryAfter = time.Duration(info.RetryAfterMS) * time.Millisecond
 }
 
-// Call is a call of a plain service.
+// Call is a request to a plain service.
 type Call struct {
 	APIKey string
 	Key    string
 	Method string
-	Path   string // service and path below it
+	Path   string // service name and path
 	Body   string
 	First  int
 }
 
-// Call makes a service call once; the error is a *Refusal where the site
-// answered with one.
+// Call sends a service request once and returns the response body. An error response
+// is returned as a *Refusal.
 func (c *Client) Call(ctx context.Context, call Call) ([]byte, error) {
 	address := c.Addresses[call.First%len(c.Addresses)]
 	req, err := http.NewRequestWithContext(ctx, call.Method, "http://"+address+"/v1/services/"+call.Path, strings.NewReader(call.Body))
@@ -315,5 +320,5 @@
 		return nil, readRefusal(resp)
 	}
 	body, err := io.ReadAll(resp.Body)
-	return body, errors.Wrap(err, "answer cut off")
+	return body, errors.Wrap(err, "read response body")
 }
--- a/load/html.go
+++ b/load/html.go
@@ -9,10 +9,10 @@
 type bar struct {
 	Label string
 	Value float64
-	Width float64 // of the widest bar, in percent
+	Width float64 // percent of the longest bar
 }
 
-// plot is a group of bars with one title and unit.
+// plot is a bar chart.
 type plot struct {
 	Title string
 	Unit  string
@@ -52,7 +52,7 @@
 {{end}}{{end}}</body></html>
 `))
 
-// WriteHTML writes one self-contained page with plots of the results.
+// WriteHTML writes a self-contained HTML page with bar charts of the results.
 func WriteHTML(w io.Writer, r Report) error {
 	rs := r.Results
 	plots := []plot{
--- a/load/profile.go
+++ b/load/profile.go
@@ -10,10 +10,10 @@
 	"github.com/walnutramp/walnutramp/internal/part"
 )
 
-// cpuProfile splits the process's processor time by part of the system.
+// cpuProfile is a CPU profile of the process, split by subsystem.
 type cpuProfile struct {
 	buf  bytes.Buffer
-	file string // also written here, if given
+	file string // output file; empty for none
 }
 
 func startProfile(file string) (*cpuProfile, error) {
@@ -24,8 +24,8 @@
 	return p, nil
 }
 
-// stop ends the profile and returns processor time by part. Work without a
-// label, the stand-ins and the load itself, is under the empty name.
+// stop ends the profile and returns the CPU time by subsystem label. The empty label
+// is the time of the stand-ins and the load generator.
 func (p *cpuProfile) stop() (map[string]time.Duration, error) {
 	pprof.StopCPUProfile()
 	if p.file != "" {
--- a/load/report.go
+++ b/load/report.go
@@ -7,7 +7,7 @@
 	"text/tabwriter"
 )
 
-// WriteText prints results side by side.
+// WriteText writes results as a text table with one column per variant.
 func WriteText(w io.Writer, results []*Result) {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	row := func(name string, cell func(*Result) string) {
@@ -36,8 +36,8 @@
 	quantiles("first token", func(r *Result) Figures { return r.FirstToken })
 	quantiles("between tokens", func(r *Result) Figures { return r.BetweenTokens })
 	quantiles("lookup", func(r *Result) Figures { return r.Lookup })
-	row("drafts within objectives", func(r *Result) string { return fmt.Sprintf("%d/%d", r.Good, r.Drafts) })
-	row("tokens/s within objectives", func(r *Result) string { return fmt.Sprintf("%.0f", r.GoodTokens) })
+	row("drafts within objectives", func(r *Result) string { return fmt.Sprintf("%d/%d", r.WithinObjectives, r.Drafts) })
+	row("tokens/s within objectives", func(r *Result) string { return fmt.Sprintf("%.0f", r.Goodput) })
 	row("worst account within objectives", func(r *Result) string { return fmt.Sprintf("%.0f%%", 100*r.WorstAccount) })
 	row("prompt tokens found cached", func(r *Result) string { return fmt.Sprintf("%.0f%%", 100*r.CacheHits) })
 	row("lookups failed", func(r *Result) string { return fmt.Sprint(r.LookupsFailed) })
@@ -56,12 +56,12 @@
 	}
 }
 
-// Report is what the load tool writes as JSON.
+// Report is the JSON output of the load tool.
 type Report struct {
 	Shape   Shape     `json:"shape"`
 	Mix     Mix       `json:"mix"`
 	Results []*Result `json:"results"`
 }
 
-// WriteJSON prints the report as one JSON object on one line.
+// WriteJSON writes the report as a JSON object on one line.
 func WriteJSON(w io.Writer, r Report) error { return json.NewEncoder(w).Encode(r) }
--- a/load/result.go
+++ b/load/result.go
@@ -13,7 +13,7 @@
 	histogramDigits = 3
 )
 
-// Figures are the quantiles of a duration, in milliseconds.
+// Figures are quantiles of a duration, in milliseconds.
 type Figures struct {
 	Count int64   `json:"count"`
 	P50   float64 `json:"p50_ms"`
@@ -43,12 +43,12 @@
 	}
 }
 
-// Result is what one variant showed.
+// Result is the result of running one variant.
 type Result struct {
 	Variant    string          `json:"variant"`
 	Drafts     int             `json:"drafts"`
 	Complete   int             `json:"complete"`
-	Refused    map[string]int  `json:"refused,omitempty"` // by code and outcome
+	Refused    map[string]int  `json:"refused,omitempty"` // count by error code and outcome
 	Restarts   int             `json:"restarts_from_zero"`
 	Reconnects int             `json:"reconnects"`
 	Verdict    standin.Verdict `json:"verdict"`
@@ -61,21 +61,21 @@
 	Lookup        Figures `json:"lookup"`
 	LookupsFailed int     `json:"lookups_failed"`
 
-	Good         int     `json:"drafts_within_objectives"`
-	GoodTokens   float64 `json:"tokens_per_second_within_objectives"`
-	WorstAccount float64 `json:"worst_account_share_within_objectives"`
-	CacheHits    float64 `json:"prompt_tokens_found_cached_share"`
-	Decoded      int     `json:"decoded_tokens"`         // by engines
-	TwiceDecoded int     `json:"tokens_decoded_twice"`   // beyond what callers got
-	Recomputed   int     `json:"tokens_prefilled_again"` // for resumes
-	PeerBytes    int64   `json:"peer_bytes"`             // between nodes
-	BytesPer1k   float64 `json:"peer_bytes_per_1k_tokens"`
-	GuardCPU     float64 `json:"guard_cpu_ms_per_1k_tokens"`
-	CallersCPU   float64 `json:"callers_cpu_ms_per_1k_tokens"`
-	ControlCPU   float64 `json:"control_cpu_ms_per_second"` // of all nodes together
-	GuardShare   float64 `json:"guard_share_of_node_cpu"`
-	Seconds      float64 `json:"seconds"`
+	WithinObjectives int     `json:"drafts_within_objectives"`
+	Goodput          float64 `json:"tokens_per_second_within_objectives"`
+	WorstAccount     float64 `json:"worst_account_share_within_objectives"`
+	CacheHits        float64 `json:"prompt_tokens_found_cached_share"`
+	Decoded          int     `json:"decoded_tokens"`         // by engines
+	TwiceDecoded     int     `json:"tokens_decoded_twice"`   // decoded beyond the tokens that clients received
+	Recomputed       int     `json:"tokens_prefilled_again"` // prefilled for resumes
+	PeerBytes        int64   `json:"peer_bytes"`             // sent between nodes
+	BytesPer1k       float64 `json:"peer_bytes_per_1k_tokens"`
+	GuardCPU         float64 `json:"guard_cpu_ms_per_1k_tokens"`
+	CallersCPU       float64 `json:"callers_cpu_ms_per_1k_tokens"`
+	ControlCPU       float64 `json:"control_cpu_ms_per_second"` // sum over all nodes
+	GuardShare       float64 `json:"guard_share_of_node_cpu"`
+	Seconds          float64 `json:"seconds"`
 }
 
-// Broken reports whether a promise broke.
+// Broken reports whether a client received missing, repeated or mixed tokens.
 func (r *Result) Broken() bool { return !r.Verdict.OK() }
--- a/load/run.go
+++ b/load/run.go
@@ -21,16 +21,16 @@
 	"github.com/walnutramp/walnutramp/standin"
 )
 
-// Variant is one way to run the same mix.
+// Variant is a configuration to run a mix with.
 type Variant struct {
 	Name     string
-	Guard    *bundle.Guard // nil keeps the shape's
-	FromZero bool          // no resume: the caller starts again
+	Guard    *bundle.Guard // replaces the shape's; nil keeps it
+	FromZero bool          // the client restarts broken drafts instead of resuming them
 	NodeOpt  []node.Option
 }
 
-// Baselines are this system and the two it is measured against: generations
-// that no other node holds, and callers that start again from zero.
+// Baselines returns the default variant and two to compare it with: generations
+// without replicas, and clients that restart broken drafts from the beginning.
 func Baselines() []Variant {
 	return []Variant{
 		{Name: "guarded"},
@@ -40,16 +40,16 @@
 	}
 }
 
-// Runner drives variants of a shape.
+// Runner runs variants on a site of one shape.
 type Runner struct {
 	Shape    Shape
 	Mix      Mix
-	Attempts int       // connections tried for one draft; 0 for the client's default
-	Progress io.Writer // nil for none
-	Profile  string    // file for the processor profile of the last variant, or empty
+	Attempts int       // connection attempts per draft; 0 for the client's default
+	Progress io.Writer // progress output; nil for none
+	Profile  string    // file for the CPU profile of the last variant; empty for none
 }
 
-// run is one variant under way.
+// run is the state of a running variant.
 type run struct {
 	runner  *Runner
 	variant Variant
@@ -61,20 +61,20 @@
 	resumes  map[walnutramp.GenerationID][]node.Resume
 	result   Result
 	drafts   []Drafted
-	accounts []served // by account
+	accounts []accountResult // indexed by account
 
-	lookup  *histogram
-	started time.Time
-	open    atomic.Int64
-	done    atomic.Int64
+	lookup   *histogram
+	started  time.Time
+	inFlight atomic.Int64
+	finished atomic.Int64
 }
 
-// Run runs one variant and returns its figures.
+// Run runs one variant and returns its results.
 func (r *Runner) Run(ctx context.Context, v Variant) (*Result, error) {
 	u := &run{runner: r, variant: v, rng: rand.New(rand.NewPCG(r.Mix.Seed, 4)),
 		resumes: map[walnutramp.GenerationID][]node.Resume{}, lookup: newHistogram()}
 	u.result = Result{Variant: v.Name, Refused: map[string]int{}}
-	u.accounts = make([]served, r.Shape.Accounts)
+	u.accounts = make([]accountResult, r.Shape.Accounts)
 	if err := u.start(ctx); err != nil {
 		return nil, err
 	}
@@ -85,7 +85,7 @@
 	}
 	traffic := u.peerBytes()
 	u.started = time.Now()
-	u.drive(ctx)
+	u.sendAll(ctx)
 	u.result.Seconds = time.Since(u.started).Seconds()
 	cpu, err := profile.stop()
 	if err != nil {
@@ -102,7 +102,7 @@
 		cfg.Guard = *u.variant.Guard
 	}
 	cfg.NodeOpt = append(cfg.NodeOpt, u.variant.NodeOpt...)
-	cfg.NodeOpt = append(cfg.NodeOpt, node.WithOnResume(u.noteResume))
+	cfg.NodeOpt = append(cfg.NodeOpt, node.WithOnResume(u.recordResume))
 	var err error
 	if u.site, err = site.Start(cfg); err != nil {
 		return err
@@ -126,7 +126,7 @@
 	return nil
 }
 
-func (u *run) noteResume(r node.Resume) {
+func (u *run) recordResume(r node.Resume) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.resumes[r.Generation] = append(u.resumes[r.Generation], r)
@@ -140,29 +140,29 @@
 	return sum
 }
 
-// drive sends the whole plan and waits for every answer.
-func (u *run) drive(ctx context.Context) {
+// sendAll sends the planned requests and waits until all have ended.
+func (u *run) sendAll(ctx context.Context) {
 	progress, stop := context.WithCancel(ctx)
-	go u.show(progress)
+	go u.showProgress(progress)
 	defer stop()
 	var wg sync.WaitGroup
-	wg.Go(func() { u.breakThings(ctx) })
+	wg.Go(func() { u.injectFailures(ctx) })
 	for i, a := range u.runner.Mix.arrivals(u.runner.Shape) {
 		if !pause.For(ctx, time.Until(u.started.Add(a.at))) {
 			break
 		}
-		wg.Go(func() { u.serve(ctx, i, a) })
+		wg.Go(func() { u.send(ctx, i, a) })
 	}
 	wg.Wait()
 }
 
-func (u *run) serve(ctx context.Context, n int, a arrival) {
-	u.open.Add(1)
-	defer u.open.Add(-1)
-	defer u.done.Add(1)
-	key := site.KeyOf(u.runner.Shape.account(a.account))
+func (u *run) send(ctx context.Context, n int, a arrival) {
+	u.inFlight.Add(1)
+	defer u.inFlight.Add(-1)
+	defer u.finished.Add(1)
+	key := site.KeyOf(u.runner.Shape.accountName(a.account))
 	if a.lookup {
-		u.serveLookup(ctx, key, n, a)
+		u.sendLookup(ctx, key, n, a)
 		return
 	}
 	d := u.client.Draft(ctx, Draft{
@@ -174,10 +174,9 @@
 	u.accounts[a.account].add(&d)
 }
 
-// serveLookup calls the plain service, once more at another node where the
-// first refuses or is gone.
-func (u *run) serveLookup(ctx context.Context, key string, n int, a arrival) {
-	began := time.Now()
+// sendLookup calls the plain service. It tries up to three nodes.
+func (u *run) sendLookup(ctx context.Context, key string, n int, a arrival) {
+	start := time.Now()
 	var err error
 	for try := range 3 {
 		path := fmt.Sprintf("%s/lookup/%d", site.ServiceName, n)
@@ -191,30 +190,30 @@
 		u.result.LookupsFailed++
 		return
 	}
-	u.lookup.add(time.Since(began))
+	u.lookup.add(time.Since(start))
 }
 
-// show prints a line of progress a second.
-func (u *run) show(ctx context.Context) {
+// showProgress prints a progress line every second.
+func (u *run) showProgress(ctx context.Context) {
 	for u.runner.Progress != nil && pause.For(ctx, time.Second) {
-		fmt.Fprintf(u.runner.Progress, "\r%-10s %4.0fs  open %4d  done %6d ", u.variant.Name, time.Since(u.started).Seconds(), u.open.Load(), u.done.Load())
+		fmt.Fprintf(u.runner.Progress, "\r%-10s %4.0fs  open %4d  done %6d ", u.variant.Name, time.Since(u.started).Seconds(), u.inFlight.Load(), u.finished.Load())
 	}
 }
 
-// breakThings carries out the failure plan.
-func (u *run) breakThings(ctx context.Context) {
+// injectFailures executes the failure plan.
+func (u *run) injectFailures(ctx context.Context) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	for _, f := range u.runner.Mix.Failures {
 		if !pause.For(ctx, time.Until(u.started.Add(f.At))) {
 			return
 		}
-		strike := u.rng.Uint64()
-		wg.Go(func() { u.strike(ctx, f, strike) })
+		draw := u.rng.Uint64()
+		wg.Go(func() { u.injectFailure(ctx, f, draw) })
 	}
 }
 
-func (u *run) strike(ctx context.Context, f Failure, draw uint64) {
+func (u *run) injectFailure(ctx context.Context, f Failure, draw uint64) {
 	engine := u.site.Engines[draw%uint64(len(u.site.Engines))]
 	n := u.site.Nodes[draw%uint64(len(u.site.Nodes))]
 	switch f.Kind {
@@ -229,11 +228,11 @@
 	case StopNode:
 		u.outage(ctx, f.For, func() { n.Stop(ctx) }, n.Start)
 	case KillHall:
-		u.strikeHall(ctx, f, u.site.Engines[draw%uint64(len(u.site.Engines))].Target.DataHall)
+		u.injectHallFailure(ctx, f, u.site.Engines[draw%uint64(len(u.site.Engines))].Target.DataHall)
 	}
 }
 
-func (u *run) strikeHall(ctx context.Context, f Failure, hall walnutramp.DataHall) {
+func (u *run) injectHallFailure(ctx context.Context, f Failure, hall walnutramp.DataHall) {
 	var wg sync.WaitGroup
 	for _, e := range u.site.Engines {
 		if e.Target.DataHall == hall {
@@ -243,12 +242,12 @@
 	wg.Wait()
 }
 
-// outage ends something and starts it again after a while.
-func (u *run) outage(ctx context.Context, d time.Duration, end func(), start func() error) {
-	end()
+// outage stops a component and restarts it after d.
+func (u *run) outage(ctx context.Context, d time.Duration, stop func(), restart func() error) {
+	stop()
 	pause.For(ctx, d)
-	if err := start(); err != nil {
-		fmt.Fprintln(u.progress(), "could not start again:", err)
+	if err := restart(); err != nil {
+		fmt.Fprintln(u.progress(), "restart after injected failure:", err)
 	}
 }
 
@@ -259,7 +258,7 @@
 	return u.runner.Progress
 }
 
-// summarise turns drafts into figures.
+// summarise computes the result from the drafts and the CPU time by subsystem.
 func (u *run) summarise(cpu map[string]time.Duration) {
 	res := &u.result
 	all, engine, nodes := newHistogram(), newHistogram(), newHistogram()
@@ -290,29 +289,29 @@
 	res.addCosts(cpu)
 }
 
-// served is what one account got.
-type served struct {
+// accountResult is the goodput of one client account.
+type accountResult struct {
 	drafts int
 	good   int // within objectives
 	tokens int // of good drafts
 }
 
-// The users' objectives for a draft.
+// Service level objectives of a draft.
 const (
-	goodFirstToken = 410 * time.Millisecond
-	goodBetween    = 78 * time.Millisecond
+	maxFirstToken  = 410 * time.Millisecond
+	maxTokenGapP95 = 78 * time.Millisecond
 )
 
-func (s *served) add(d *Drafted) {
+func (s *accountResult) add(d *Drafted) {
 	s.drafts++
-	if d.Complete && d.FirstToken <= goodFirstToken && d.between95() <= goodBetween {
+	if d.Complete && d.FirstToken <= maxFirstToken && d.tokenGapP95() <= maxTokenGapP95 {
 		s.good++
 		s.tokens += d.Verdict.Tokens
 	}
 }
 
-// between95 is the time between arrivals that 95 in 100 keep.
-func (d *Drafted) between95() time.Duration {
+// tokenGapP95 returns the 95th percentile of the time between arrivals of new text.
+func (d *Drafted) tokenGapP95() time.Duration {
 	var gaps []time.Duration
 	for i := 1; i < len(d.Arrivals); i++ {
 		gaps = append(gaps, d.Arrivals[i].Sub(d.Arrivals[i-1]))
@@ -329,13 +328,13 @@
 	res.WorstAccount = 1
 	tokens := 0
 	for _, a := range u.accounts {
-		res.Good += a.good
+		res.WithinObjectives += a.good
 		tokens += a.tokens
 		if a.drafts > 0 {
 			res.WorstAccount = min(res.WorstAccount, float64(a.good)/float64(a.drafts))
 		}
 	}
-	res.GoodTokens = float64(tokens) / u.runner.Mix.Duration.Seconds()
+	res.Goodput = float64(tokens) / u.runner.Mix.Duration.Seconds()
 	hits, computed := 0, 0
 	for _, e := range u.site.Engines {
 		hits += e.Counts().CacheHits
@@ -360,8 +359,8 @@
 	}
 }
 
-// addGaps notes each pause in which the draft was moved: seen by the node as
-// a resume, or by the caller as a lost connection.
+// addGaps records the gaps between arrivals during which the draft was resumed, by a
+// node or by a reconnect of the client. Each gap counts once.
 func (u *run) addGaps(d *Drafted, all, engine, nodes *histogram) {
 	seen := map[time.Duration]bool{}
 	for _, t := range d.Moves {
@@ -395,7 +394,8 @@
 	}
 }
 
-// RunAll runs every variant in turn.
+// RunAll runs variants one after the other. On an error it also returns the results
+// so far.
 func (r *Runner) RunAll(ctx context.Context, variants []Variant) ([]*Result, error) {
 	var results []*Result
 	for _, v := range variants {
--- a/load/shape.go
+++ b/load/shape.go
@@ -11,46 +11,47 @@
 	"github.com/walnutramp/walnutramp/standin"
 )
 
-// Shape is a site as one of the deployments has it.
+// Shape is the size and network latency of a site under load.
 type Shape struct {
 	Name     string
 	Halls    int
 	Nodes    int
 	Engines  int
 	Services int
-	Between  time.Duration // one way, between data halls
-	Client   time.Duration // one way, from callers
+	Between  time.Duration // one-way latency between data halls
+	Client   time.Duration // one-way latency between clients and the site
 	Accounts int
 	Leaning  bundle.Leaning
 	Coalesce time.Duration
-	Slots    int           // of each engine; 0 for the stand-in's default
-	Patience time.Duration // for a place at a target; 0 for the node's own
+	Slots    int           // per engine; 0 for the default of the stand-in engine
+	Patience time.Duration // admission timeout; 0 for the node's default
 }
 
-// Shapes are the deployments that can be driven embedded.
+// Shapes are the predefined shapes.
 var Shapes = []Shape{
 	{Name: "small", Halls: 3, Nodes: 3, Engines: 4, Services: 1, Accounts: 2, Leaning: bundle.LeanLatency, Coalesce: 10 * time.Millisecond},
 	{Name: "tortuguero", Halls: 4, Nodes: 11, Engines: 24, Services: 4, Between: time.Millisecond, Client: time.Millisecond, Accounts: 10, Leaning: bundle.LeanLatency, Coalesce: 10 * time.Millisecond},
 	{Name: "po-valley", Halls: 3, Nodes: 12, Engines: 36, Services: 4, Between: 1500 * time.Microsecond, Client: 3 * time.Millisecond, Accounts: 10, Leaning: bundle.LeanCost, Coalesce: 25 * time.Millisecond},
 }
 
-// ShapeNamed returns the shape of that name.
+// ShapeNamed returns the predefined shape with the given name.
 func ShapeNamed(name string) (Shape, error) {
 	for _, s := range Shapes {
 		if s.Name == name {
 			return s, nil
 		}
 	}
-	return Shape{}, errors.Newf("no shape %q", name)
+	return Shape{}, errors.Newf("unknown shape %q", name)
 }
 
-// largeAccounts of a site's accounts carry most of its load.
+// The first largeAccountCount client accounts of a site have largeAccountWeight, all
+// others weight 1.
 const (
-	largeAccounts = 3
-	largeShare    = 6
+	largeAccountCount  = 3
+	largeAccountWeight = 6
 )
 
-// siteConfig turns the shape into a site to run.
+// siteConfig returns the configuration of a site of this shape.
 func (s Shape) siteConfig(seed uint64) site.Config {
 	cfg := site.Default()
 	cfg.Name = s.Name
@@ -69,20 +70,21 @@
 	cfg.Network = &site.Loopback{Between: s.Between, Client: s.Client}
 	cfg.Accounts = nil
 	for i := range s.Accounts {
-		cfg.Accounts = append(cfg.Accounts, bundle.Account{Name: s.account(i), Weight: s.share(i)})
+		cfg.Accounts = append(cfg.Accounts, bundle.Account{Name: s.accountName(i), Weight: s.weight(i)})
 	}
 	cfg.Seed = seed
 	return cfg
 }
 
-func (s Shape) account(i int) walnutramp.ClientAccount {
+func (s Shape) accountName(i int) walnutramp.ClientAccount {
 	return walnutramp.ClientAccount(fmt.Sprintf("account-%02d", i+1))
 }
 
-// share is an account's part of the load, and its weight.
-func (s Shape) share(i int) int {
-	if i < largeAccounts {
-		return largeShare
+// weight returns the scheduling weight of an account, which is also its relative
+// weight of the load.
+func (s Shape) weight(i int) int {
+	if i < largeAccountCount {
+		return largeAccountWeight
 	}
 	return 1
 }
