--- a/standin/cache.go
+++ b/standin/cache.go
@@ -6,41 +6,42 @@
 	"github.com/walnutramp/walnutramp"
 )
 
-// cacheBlock is how many tokens the prefix cache keeps together.
+// cacheBlock is the size of a prefix cache block in tokens.
 const cacheBlock = 32
 
-// prefixCache is a least-recently-used cache of prompt prefixes in blocks.
+// prefixCache is an LRU cache of prompt prefixes in blocks.
 type prefixCache struct {
 	limit  int // blocks
 	blocks map[uint64]*list.Element
-	order  *list.List // most recent first, of block keys
+	order  *list.List // block keys, most recently used first
 }
 
 func newPrefixCache(tokens int) *prefixCache {
 	return &prefixCache{limit: tokens / cacheBlock, blocks: map[uint64]*list.Element{}, order: list.New()}
 }
 
-// use returns how many leading tokens were cached, and caches them all.
-func (p *prefixCache) use(tokens []walnutramp.TokenID) int {
+// lookupAndInsert returns the length of the longest cached prefix in tokens, and
+// caches all full blocks.
+func (p *prefixCache) lookupAndInsert(tokens []walnutramp.TokenID) int {
 	var c chain
-	hit := 0
+	cached := 0
 	missed := false
 	for i, id := range tokens {
-		c = c.then(id)
+		c = c.extend(id)
 		if (i+1)%cacheBlock != 0 {
 			continue
 		}
-		if el, ok := p.blocks[c.sum]; ok {
+		if el, ok := p.blocks[c.hash]; ok {
 			p.order.MoveToFront(el)
 			if !missed {
-				hit = i + 1
+				cached = i + 1
 			}
 			continue
 		}
 		missed = true
-		p.add(c.sum)
+		p.add(c.hash)
 	}
-	return hit
+	return cached
 }
 
 func (p *prefixCache) add(key uint64) {
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -13,31 +13,31 @@
 	"github.com/walnutramp/walnutramp/target"
 )
 
-// EngineConfig sets how the stand-in engine behaves.
+// EngineConfig configures the stand-in engine.
 type EngineConfig struct {
 	Model          walnutramp.ModelName
-	Slots          int           // requests decoded at once
-	TokenInterval  time.Duration // between tokens of one stream when alone
-	BatchSlowdown  float64       // growth of the interval from empty to full
-	PrefillRate    float64       // prompt tokens a second
+	Slots          int           // maximum batch size
+	TokenInterval  time.Duration // time between tokens of a single stream
+	BatchSlowdown  float64       // relative growth of TokenInterval when all slots are in use
+	PrefillRate    float64       // prompt tokens per second
 	CacheTokens    int           // prefix cache size in tokens
-	KeepStream     time.Duration // how long a stream runs on with no reader
-	HoldEvery      int           // hold back the text of every n-th token until the next; 0 never
-	ReportLag      time.Duration // how old a load report is when it is given
+	KeepStream     time.Duration // how long a stream is kept without a reader or after its end
+	HoldEvery      int           // send the text of every n-th token with the next token; 0 for never
+	ReportLag      time.Duration // age of load reports
 	Seed           uint64
-	WithoutTokenID bool   // speak the plain dialect, without token IDs
-	FatalPrompt    string // ends the engine that begins to run it; empty for none
+	WithoutTokenID bool   // omit token IDs from events
+	FatalPrompt    string // prompt that crashes the engine after prefill; empty for none
 }
 
-// EngineOption sets a field of EngineConfig.
+// EngineOption changes an EngineConfig.
 type EngineOption func(*EngineConfig)
 
-// WithEngineConfig replaces the whole configuration.
+// WithEngineConfig sets the whole configuration.
 func WithEngineConfig(c EngineConfig) EngineOption {
 	return func(dst *EngineConfig) { *dst = c }
 }
 
-// DefaultEngineConfig is a quick small engine.
+// DefaultEngineConfig returns the configuration of a small, fast engine.
 func DefaultEngineConfig() EngineConfig {
 	return EngineConfig{
 		Model:         "draft-large",
@@ -51,9 +51,9 @@
 	}
 }
 
-// Engine is a fake model engine: continuous batching with a number of slots,
-// a prefix cache, priorities, streams that can be taken up again, and KV
-// export. Its tokens let Check find any that is missing, repeated or mixed.
+// Engine is a fake model engine with continuous batching, a prefix cache,
+// priorities, resumable streams and KV cache export. Check detects missing, repeated
+// and mixed tokens in its output.
 type Engine struct {
 	overload
 
@@ -62,14 +62,14 @@
 	mu       sync.Mutex
 	rng      *rand.Rand
 	streams  map[string]*stream
-	kv       map[string][]walnutramp.TokenID // exported caches by handle
-	queue    []*stream                       // waiting for a slot
+	kv       map[string][]walnutramp.TokenID // exported KV caches by handle
+	queue    []*stream                       // streams waiting for a slot
 	running  int
 	draining bool
 	cache    *prefixCache
-	prefill  chan struct{} // one prefill at a time
+	prefill  chan struct{} // semaphore: one prefill at a time
 	faults   faults
-	Book     *OrderBook // what the engine has loaded
+	Book     *OrderBook // loaded artifacts
 	reports  []timedReport
 	counts   EngineCounts
 
@@ -79,11 +79,11 @@
 	server *http.Server
 }
 
-// EngineCounts is what an engine has done so far.
+// EngineCounts are the counters of an engine.
 type EngineCounts struct {
 	Streams       int `json:"streams"`
 	Decoded       int `json:"decoded_tokens"`
-	Prefilled     int `json:"prefilled_tokens"` // computed, not found in the cache
+	Prefilled     int `json:"prefilled_tokens"` // prompt tokens computed rather than found in the cache
 	CacheHits     int `json:"cache_hit_tokens"`
 	Cancelled     int `json:"cancelled_streams"`
 	ImportedCache int `json:"imported_caches"`
@@ -94,7 +94,7 @@
 	report target.LoadReport
 }
 
-// NewEngine returns an engine that is not serving yet.
+// NewEngine returns an engine. Call Serve to start it.
 func NewEngine(opts ...EngineOption) *Engine {
 	cfg := DefaultEngineConfig()
 	for _, opt := range opts {
@@ -114,10 +114,10 @@
 	return e
 }
 
-// Serve answers on l until Close.
+// Serve accepts requests on l until Close.
 func (e *Engine) Serve(l net.Listener) error { return e.server.Serve(l) }
 
-// Close kills the engine: connections break and every stream is gone.
+// Close stops the engine without draining it: connections and streams are aborted.
 func (e *Engine) Close() {
 	e.cancel()
 	e.server.Close()
@@ -125,14 +125,14 @@
 	e.tasks.Wait()
 }
 
-// Counts returns what the engine has done so far.
+// Counts returns the counters of the engine.
 func (e *Engine) Counts() EngineCounts {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.counts
 }
 
-// Drain sets whether the engine reports that it is draining.
+// Drain sets whether load reports say that the engine is draining.
 func (e *Engine) Drain(on bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -150,7 +150,7 @@
 	mux.HandleFunc("GET /load", e.serveLoad)
 	mux.HandleFunc("GET /counts", e.serveCounts)
 	mux.HandleFunc("POST /fault", e.serveFault)
-	return e.faults.gate(e.turnAway(mux))
+	return e.faults.pauseHandler(e.overloadHandler(mux))
 }
 
 type engineRequest struct {
@@ -163,7 +163,7 @@
 	KVTransfer *target.KVHandle     `json:"kv_transfer_params"`
 }
 
-// isFatal reports whether a request's prompt is one that ends its engine.
+// isFatal reports whether the request has the prompt that crashes the engine.
 func (r *engineRequest) isFatal(prompt string) bool {
 	var text string
 	return prompt != "" && json.Unmarshal(r.Prompt, &text) == nil && text == prompt
@@ -201,8 +201,8 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	s := e.open(r.Header.Get("X-Request-Id"), prompt, req, chat)
-	e.follow(w, r, s, 0)
+	s := e.startStream(r.Header.Get("X-Request-Id"), prompt, req, chat)
+	e.serveStream(w, r, s, 0)
 }
 
 func (e *Engine) serveAttach(w http.ResponseWriter, r *http.Request) {
@@ -218,7 +218,7 @@
 		http.Error(w, "bad Last-Event-ID", http.StatusBadRequest)
 		return
 	}
-	e.follow(w, r, s, from)
+	e.serveStream(w, r, s, from)
 }
 
 func (e *Engine) serveCancel(w http.ResponseWriter, r *http.Request) {
@@ -244,13 +244,13 @@
 		http.Error(w, "no such stream", http.StatusNotFound)
 		return
 	}
-	held := s.sequence()
-	e.kv[s.id] = held
+	tokens := s.sequence()
+	e.kv[s.id] = tokens
 	host := ""
 	if a, ok := r.Context().Value(http.LocalAddrContextKey).(net.Addr); ok {
 		host = a.String()
 	}
-	json.NewEncoder(w).Encode(target.KVHandle{Address: host, Handle: s.id, Tokens: len(held)})
+	json.NewEncoder(w).Encode(target.KVHandle{Address: host, Handle: s.id, Tokens: len(tokens)})
 }
 
 func (e *Engine) serveLoad(w http.ResponseWriter, _ *http.Request) {
@@ -276,8 +276,8 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// noteLoad records the load as it is now; the caller holds mu.
-func (e *Engine) noteLoad(now time.Time) {
+// recordLoad records a report of the current load. The caller must hold e.mu.
+func (e *Engine) recordLoad(now time.Time) {
 	waitingTokens := 0
 	for _, s := range e.queue {
 		waitingTokens += len(s.prompt)
@@ -290,7 +290,8 @@
 	e.dropOldReports(now)
 }
 
-// dropOldReports keeps the newest report that is at least ReportLag old.
+// dropOldReports drops the reports older than the newest one that is at least
+// ReportLag old.
 func (e *Engine) dropOldReports(now time.Time) {
 	for len(e.reports) > 1 && now.Sub(e.reports[1].at) >= e.cfg.ReportLag {
 		e.reports = e.reports[1:]
@@ -299,7 +300,7 @@
 
 func (e *Engine) laggedReport(now time.Time) target.LoadReport {
 	if len(e.reports) == 0 {
-		e.noteLoad(now)
+		e.recordLoad(now)
 	}
 	e.dropOldReports(now)
 	r := e.reports[0].report
--- a/standin/fault.go
+++ b/standin/fault.go
@@ -8,30 +8,30 @@
 	"time"
 )
 
-// FaultKind names a way to fail.
+// FaultKind is the kind of an injected fault.
 type FaultKind string
 
-// The faults of a stand-in.
+// Kinds of faults.
 const (
 	FaultNone   FaultKind = ""
-	FaultDie    FaultKind = "die"    // every connection breaks, the process is gone
-	FaultPause  FaultKind = "pause"  // nothing moves until the fault is lifted
-	FaultStall  FaultKind = "stall"  // answers are taken, but no token comes out
-	FaultReset  FaultKind = "reset"  // one connection breaks, the stream runs on
-	FaultDouble FaultKind = "double" // every token is sent twice
-	FaultSlow   FaultKind = "slow"   // Factor times as slow
+	FaultDie    FaultKind = "die"    // the engine closes, all connections break
+	FaultPause  FaultKind = "pause"  // requests and streams block until the fault is cleared
+	FaultStall  FaultKind = "stall"  // requests are accepted, but streams block until the fault is cleared
+	FaultReset  FaultKind = "reset"  // one connection breaks, its stream continues
+	FaultDouble FaultKind = "double" // each token is sent twice
+	FaultSlow   FaultKind = "slow"   // the time between tokens is multiplied by Factor
 )
 
-// Fault is a way to fail and when.
+// Fault is an injected fault.
 type Fault struct {
 	Kind    FaultKind     `json:"kind"`
-	AtToken int           `json:"at_token"` // die and reset: at the first stream that reaches this token
-	For     time.Duration `json:"for"`      // pause, stall: lifted after this; 0 stays
-	Factor  float64       `json:"factor"`   // slow
+	AtToken int           `json:"at_token"` // die, reset: triggered by the first stream that sends this token
+	For     time.Duration `json:"for"`      // the fault is cleared after this time; 0 for never
+	Factor  float64       `json:"factor"`   // for slow
 }
 
-// SetFault makes the engine fail so from now on; the zero Fault lifts it.
-// FaultDie without a token acts at once.
+// SetFault injects a fault; the zero Fault clears it. FaultDie without AtToken takes
+// effect at once.
 func (e *Engine) SetFault(f Fault) {
 	if f.Kind == FaultDie && f.AtToken == 0 {
 		go e.Close()
@@ -53,43 +53,44 @@
 }
 
 type faults struct {
-	mu     sync.Mutex
-	fault  Fault
-	lifted chan struct{} // closed when a pause or stall ends
+	mu      sync.Mutex
+	fault   Fault
+	cleared chan struct{} // closed when a pause or stall ends; nil if there is none
 }
 
 func (f *faults) set(fault Fault) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.fault = fault
-	if f.lifted != nil {
-		close(f.lifted)
-		f.lifted = nil
+	if f.cleared != nil {
+		close(f.cleared)
+		f.cleared = nil
 	}
 	if fault.Kind == FaultPause || fault.Kind == FaultStall {
-		f.lifted = make(chan struct{})
+		f.cleared = make(chan struct{})
 	}
 }
 
-// passable waits while the engine is paused or stalled; false means ctx ended.
-func (f *faults) passable(ctx context.Context) bool {
+// waitCleared blocks while the engine is paused or stalled. It returns false if ctx
+// ended.
+func (f *faults) waitCleared(ctx context.Context) bool {
 	for {
 		f.mu.Lock()
-		lifted := f.lifted
+		cleared := f.cleared
 		f.mu.Unlock()
-		if lifted == nil {
+		if cleared == nil {
 			return ctx.Err() == nil
 		}
 		select {
-		case <-lifted:
+		case <-cleared:
 		case <-ctx.Done():
 			return false
 		}
 	}
 }
 
-// onToken says which fault strikes as token n is sent.
-func (f *faults) onToken(n int) FaultKind {
+// atToken returns the fault to apply when token n is sent. Reset and die occur once.
+func (f *faults) atToken(n int) FaultKind {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	switch f.fault.Kind {
@@ -115,14 +116,13 @@
 	return 1
 }
 
-// gate holds every request back while the engine is paused, except the one
-// that changes the fault.
-func (f *faults) gate(next http.Handler) http.Handler {
+// pauseHandler blocks requests while the engine is paused, except those to /fault.
+func (f *faults) pauseHandler(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		f.mu.Lock()
 		paused := f.fault.Kind == FaultPause
 		f.mu.Unlock()
-		if paused && !strings.HasPrefix(r.URL.Path, "/fault") && !f.passable(r.Context()) {
+		if paused && !strings.HasPrefix(r.URL.Path, "/fault") && !f.waitCleared(r.Context()) {
 			panic(http.ErrAbortHandler)
 		}
 		next.ServeHTTP(w, r)
--- a/standin/orders.go
+++ b/standin/orders.go
@@ -10,10 +10,11 @@
 	"github.com/walnutramp/walnutramp/target"
 )
 
-// OrderBook is the part of a stand-in engine that takes orders, and logs each.
+// OrderBook holds the artifacts loaded on a stand-in engine. It executes load and
+// unload orders and logs them.
 type OrderBook struct {
-	Checks   bool          // refuses orders with an older fence
-	LoadTime time.Duration // of one artifact
+	Checks   bool          // rejects orders with a stale fencing token
+	LoadTime time.Duration // time to load one artifact
 
 	mu     sync.Mutex
 	copies map[string]target.CopyState
@@ -21,14 +22,14 @@
 	log    []LoggedOrder
 }
 
-// LoggedOrder is one order that arrived.
+// LoggedOrder is a received order.
 type LoggedOrder struct {
 	Order target.Order
 	Taken bool
 	At    time.Time
 }
 
-// NewOrderBook returns a book that holds these artifacts, ready.
+// NewOrderBook returns an OrderBook on which the given artifacts are ready.
 func NewOrderBook(checks bool, load time.Duration, ready ...string) *OrderBook {
 	b := &OrderBook{Checks: checks, LoadTime: load, copies: map[string]target.CopyState{}}
 	for _, a := range ready {
@@ -37,7 +38,8 @@
 	return b
 }
 
-// Placed returns what the book holds.
+// Placed returns the state of all artifacts and the fencing token of the last
+// executed order.
 func (b *OrderBook) Placed() target.Placed {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -48,7 +50,7 @@
 	return p
 }
 
-// Has reports whether a copy of a model is ready, in any version.
+// Has reports whether any version of a model is ready.
 func (b *OrderBook) Has(model string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -61,14 +63,15 @@
 	return false
 }
 
-// Log returns every order that arrived.
+// Log returns all received orders, including rejected ones.
 func (b *OrderBook) Log() []LoggedOrder {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return append([]LoggedOrder(nil), b.log...)
 }
 
-// Take carries an order out, or refuses it; repeating one changes nothing.
+// Take executes an order. It returns false if the order is stale. Orders are
+// idempotent.
 func (b *OrderBook) Take(o target.Order) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -87,9 +90,9 @@
 	return true
 }
 
-// load starts a copy; the caller holds the mutex.
+// load starts to load an artifact. The caller must hold b.mu.
 func (b *OrderBook) load(artifact string) {
-	if _, there := b.copies[artifact]; there {
+	if _, exists := b.copies[artifact]; exists {
 		return
 	}
 	b.copies[artifact] = target.CopyLoading
--- a/standin/platform.go
+++ b/standin/platform.go
@@ -10,22 +10,22 @@
 	"github.com/walnutramp/walnutramp/discovery"
 )
 
-// Platform is a fake of the platform's list of instances; its answers lag.
+// Platform is a fake platform that serves the list of instances with a delay.
 type Platform struct {
 	lag    time.Duration
 	server *http.Server
 
-	mu    sync.Mutex
-	lists []datedList // oldest first
+	mu       sync.Mutex
+	versions []listVersion // oldest first
 }
 
-type datedList struct {
+type listVersion struct {
 	at   time.Time
 	list discovery.List
 }
 
-// NewPlatform returns a platform that is not serving yet and whose answers
-// are as old as lag.
+// NewPlatform returns a platform that serves changes of the list after lag. Call
+// Serve to start it.
 func NewPlatform(lag time.Duration) *Platform {
 	p := &Platform{lag: lag}
 	mux := http.NewServeMux()
@@ -35,30 +35,30 @@
 	return p
 }
 
-// Serve answers on l until Close.
+// Serve accepts requests on l until Close.
 func (p *Platform) Serve(l net.Listener) error { return p.server.Serve(l) }
 
-// Close ends the platform at once.
+// Close stops the platform and closes its connections.
 func (p *Platform) Close() { p.server.Close() }
 
-// Set replaces the list; it shows once the lag has passed.
+// Set replaces the list. The new list is served after the lag.
 func (p *Platform) Set(list discovery.List) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.lists = append(p.lists, datedList{time.Now(), list})
+	p.versions = append(p.versions, listVersion{time.Now(), list})
 }
 
-// current returns the newest list that is old enough.
+// current returns the newest list that is older than the lag.
 func (p *Platform) current() discovery.List {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for len(p.lists) > 1 && time.Since(p.lists[1].at) >= p.lag {
-		p.lists = p.lists[1:]
+	for len(p.versions) > 1 && time.Since(p.versions[1].at) >= p.lag {
+		p.versions = p.versions[1:]
 	}
-	if len(p.lists) == 0 || time.Since(p.lists[0].at) < p.lag {
+	if len(p.versions) == 0 || time.Since(p.versions[0].at) < p.lag {
 		return discovery.List{}
 	}
-	return p.lists[0].list
+	return p.versions[0].list
 }
 
 func (p *Platform) serveList(w http.ResponseWriter, _ *http.Request) {
--- a/standin/rest.go
+++ b/standin/rest.go
@@ -8,61 +8,61 @@
 	"time"
 )
 
-// restGrace is how long after a refusal requests may still come that were under
-// way.
-const restGrace = 500 * time.Millisecond
+// inFlightGrace is the time after a rejection during which requests that were already
+// in flight may arrive.
+const inFlightGrace = 500 * time.Millisecond
 
-// overload turns requests away while a stand-in has too much to do, and asks for
-// rest: whoever sent one had better send nothing for that long. Stand-ins embed it.
+// overload simulates overload: requests are rejected with status 503 and a
+// Retry-After header. Stand-ins embed it.
 type overload struct {
-	mu       sync.Mutex
-	until    time.Time // it has too much to do until then
-	rest     time.Duration
-	refused  time.Time // when it last turned a request away
-	disturbs int
+	mu              sync.Mutex
+	overloadedUntil time.Time // end of the overload
+	retryAfter      time.Duration
+	lastRejected    time.Time // time of the last rejection
+	earlyRequests   int
 }
 
-// Overload has the stand-in turn all requests away for a while, each with a word on
-// the rest that it wants.
+// Overload makes the stand-in reject requests for the time busy, with rest as the
+// Retry-After delay.
 func (o *overload) Overload(busy, rest time.Duration) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.until, o.rest = time.Now().Add(busy), rest
+	o.overloadedUntil, o.retryAfter = time.Now().Add(busy), rest
 }
 
-// Disturbances counts the requests that came within a rest that was asked for. The
-// stand-in can't tell nodes apart, so it counts right where there is one.
+// Disturbances returns the number of requests received within the Retry-After delay
+// of a rejection. Nodes are not told apart, so the count is exact for one node only.
 func (o *overload) Disturbances() int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.disturbs
+	return o.earlyRequests
 }
 
-// refuses notes a request, and reports whether it is turned away.
-func (o *overload) refuses() (rest time.Duration, refused bool) {
+// reject counts a request and reports whether to reject it, and with which
+// Retry-After delay.
+func (o *overload) reject() (retryAfter time.Duration, rejected bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	now := time.Now()
-	if since := now.Sub(o.refused); !o.refused.IsZero() && since > restGrace && since < o.rest {
-		o.disturbs++
+	if since := now.Sub(o.lastRejected); !o.lastRejected.IsZero() && since > inFlightGrace && since < o.retryAfter {
+		o.earlyRequests++
 	}
-	if !now.Before(o.until) {
+	if !now.Before(o.overloadedUntil) {
 		return 0, false
 	}
-	o.refused = now
-	return o.rest, true
+	o.lastRejected = now
+	return o.retryAfter, true
 }
 
-// turnAway turns requests away while the stand-in has too much to do, except those by
-// which a test sets faults or reads counts, and those that end work.
-func (o *overload) turnAway(next http.Handler) http.Handler {
+// overloadHandler rejects requests during an overload, except exempt ones.
+func (o *overload) overloadHandler(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if spared(r) {
+		if exempt(r) {
 			next.ServeHTTP(w, r)
 			return
 		}
-		if rest, refused := o.refuses(); refused {
-			w.Header().Set("Retry-After", strconv.FormatFloat(rest.Seconds(), 'f', -1, 64))
+		if retryAfter, rejected := o.reject(); rejected {
+			w.Header().Set("Retry-After", strconv.FormatFloat(retryAfter.Seconds(), 'f', -1, 64))
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
@@ -70,7 +70,8 @@
 	})
 }
 
-// spared reports whether a request is none that an overload concerns.
-func spared(r *http.Request) bool {
+// exempt reports whether a request is served during an overload: those that set
+// faults, read counts or cancel streams.
+func exempt(r *http.Request) bool {
 	return strings.HasPrefix(r.URL.Path, "/fault") || r.URL.Path == "/runs" || r.Method == http.MethodDelete
 }
--- a/standin/service.go
+++ b/standin/service.go
@@ -9,56 +9,57 @@
 	"time"
 )
 
-// ServiceConfig sets how the stand-in service behaves.
+// ServiceConfig configures the stand-in service.
 type ServiceConfig struct {
-	Delay     time.Duration // before each answer
-	FatalBody string        // ends the service that runs it; empty for none
+	Delay     time.Duration // delay before each response
+	FatalBody string        // request body that crashes the service; empty for none
 }
 
-// Service is a fake plain service that counts how often each key ran.
+// Service is a fake plain service that counts executions by idempotency key.
 type Service struct {
 	overload
 
 	cfg    ServiceConfig
 	server *http.Server
 
-	mu      sync.Mutex
-	runs    map[string]int
-	cutNext int // answers still to be cut off after the run
+	mu        sync.Mutex
+	runs      map[string]int
+	abortNext int // number of coming requests whose connection is closed after execution
 }
 
-// ServiceAnswer is what the stand-in service answers.
+// ServiceAnswer is the response body of the stand-in service.
 type ServiceAnswer struct {
 	Path string `json:"path"`
 	Key  string `json:"key"`
-	Run  int    `json:"run"` // how often this key has run, this time included
+	Run  int    `json:"run"` // executions of this key so far, including this one
 	Echo string `json:"echo"`
 }
 
-// NewService returns a service that is not serving yet.
+// NewService returns a service. Call Serve to start it.
 func NewService(cfg ServiceConfig) *Service {
 	s := &Service{cfg: cfg, runs: map[string]int{}}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /runs", s.serveRuns)
 	mux.HandleFunc("/", s.serveCall)
-	s.server = &http.Server{Handler: s.turnAway(mux), ReadHeaderTimeout: 5 * time.Second}
+	s.server = &http.Server{Handler: s.overloadHandler(mux), ReadHeaderTimeout: 5 * time.Second}
 	return s
 }
 
-// Serve answers on l until Close.
+// Serve accepts requests on l until Close.
 func (s *Service) Serve(l net.Listener) error { return s.server.Serve(l) }
 
-// Close ends the service at once.
+// Close stops the service and closes its connections.
 func (s *Service) Close() { s.server.Close() }
 
-// CutAnswers makes the next n calls run and then lose their connection.
+// CutAnswers makes the service execute the next n requests and close their
+// connections without a response.
 func (s *Service) CutAnswers(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.cutNext = n
+	s.abortNext = n
 }
 
-// Runs returns how often each key ran.
+// Runs returns the number of executions by idempotency key.
 func (s *Service) Runs() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -82,16 +83,16 @@
 	s.mu.Lock()
 	s.runs[key]++
 	run := s.runs[key]
-	cut := s.cutNext > 0
-	if cut {
-		s.cutNext--
+	abort := s.abortNext > 0
+	if abort {
+		s.abortNext--
 	}
 	s.mu.Unlock()
 	select {
 	case <-time.After(s.cfg.Delay):
 	case <-r.Context().Done():
 	}
-	if cut {
+	if abort {
 		panic(http.ErrAbortHandler)
 	}
 	if s.cfg.FatalBody != "" && string(body) == s.cfg.FatalBody {
--- a/standin/stream.go
+++ b/standin/stream.go
@@ -13,43 +13,43 @@
 	"github.com/walnutramp/walnutramp"
 )
 
-// stream is one generation inside the stand-in engine. It runs on its own;
-// readers come and go.
+// stream is a generation on the stand-in engine. It runs independently of its
+// readers, which may disconnect and reattach.
 type stream struct {
-	id       string
-	engine   *Engine
-	prompt   []walnutramp.TokenID
-	max      int
-	priority int
-	chat     bool
-	nonce    int
-	imported bool
-	fatal    bool // its run ends the engine
-	stop     []string
+	id        string
+	engine    *Engine
+	prompt    []walnutramp.TokenID
+	maxTokens int
+	priority  int
+	chat      bool
+	nonce     int
+	imported  bool
+	fatal     bool // executing it crashes the engine
+	stop      []string
 
 	ctx    context.Context
 	cancel context.CancelFunc
-	slot   chan struct{} // closed when a slot is given
+	slot   chan struct{} // closed when a slot is assigned
 
-	mu      sync.Mutex
-	tokens  []walnutramp.Token
-	finish  string
-	changed chan struct{}
-	readers int
-	left    time.Time // when the last reader went
+	mu               sync.Mutex
+	tokens           []walnutramp.Token
+	finish           string
+	changed          chan struct{}
+	readers          int
+	lastReaderChange time.Time // when a reader last attached or detached
 }
 
-func (e *Engine) open(id string, prompt []walnutramp.TokenID, req engineRequest, chat bool) *stream {
+func (e *Engine) startStream(id string, prompt []walnutramp.TokenID, req engineRequest, chat bool) *stream {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if id == "" {
 		id = fmt.Sprintf("anonymous-%d", e.counts.Streams)
 	}
 	s := &stream{
-		id: id, engine: e, prompt: prompt, max: req.MaxTokens, priority: req.Priority, chat: chat,
+		id: id, engine: e, prompt: prompt, maxTokens: req.MaxTokens, priority: req.Priority, chat: chat,
 		nonce: e.rng.IntN(1 << nonceBits), stop: stopStrings(req.Stop),
 		slot: make(chan struct{}), changed: make(chan struct{}),
-		left: time.Now(),
+		lastReaderChange: time.Now(),
 	}
 	s.ctx, s.cancel = context.WithCancel(e.ctx)
 	s.imported = req.KVTransfer != nil
@@ -58,13 +58,13 @@
 	e.streams[id] = s
 	e.queue = append(e.queue, s)
 	slices.SortStableFunc(e.queue, func(a, b *stream) int { return b.priority - a.priority })
-	e.fillSlots()
+	e.assignSlots()
 	e.tasks.Add(1)
 	go s.run()
 	return s
 }
 
-// Running returns the names of the streams that hold a slot or wait for one.
+// Running returns the sorted IDs of the streams that are queued or decoding.
 func (e *Engine) Running() []string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -96,15 +96,15 @@
 	return many
 }
 
-// fillSlots gives free slots to the queue; the caller holds mu.
-func (e *Engine) fillSlots() {
+// assignSlots assigns free slots to queued streams. The caller must hold e.mu.
+func (e *Engine) assignSlots() {
 	for e.running < e.cfg.Slots && len(e.queue) > 0 {
 		s := e.queue[0]
 		e.queue = e.queue[1:]
 		e.running++
 		close(s.slot)
 	}
-	e.noteLoad(time.Now())
+	e.recordLoad(time.Now())
 }
 
 func (s *stream) run() {
@@ -116,7 +116,7 @@
 	case <-s.ctx.Done():
 		return
 	}
-	defer s.giveBack()
+	defer s.releaseSlot()
 	if !s.prefill() {
 		return
 	}
@@ -127,14 +127,14 @@
 	s.decode()
 }
 
-func (s *stream) giveBack() {
+func (s *stream) releaseSlot() {
 	s.engine.mu.Lock()
 	defer s.engine.mu.Unlock()
 	s.engine.running--
-	s.engine.fillSlots()
+	s.engine.assignSlots()
 }
 
-// retire forgets the stream; a finished one can be read for a while yet.
+// retire removes a cancelled stream. A finished one stays readable for KeepStream.
 func (s *stream) retire() {
 	e := s.engine
 	e.mu.Lock()
@@ -142,22 +142,22 @@
 	e.mu.Unlock()
 	if s.ctx.Err() == nil {
 		e.tasks.Add(1)
-		go s.forgetLater()
+		go s.removeLater()
 		return
 	}
-	s.forget()
+	s.remove()
 }
 
-func (s *stream) forgetLater() {
+func (s *stream) removeLater() {
 	defer s.engine.tasks.Done()
 	select {
 	case <-time.After(s.engine.cfg.KeepStream):
 	case <-s.ctx.Done():
 	}
-	s.forget()
+	s.remove()
 }
 
-func (s *stream) forget() {
+func (s *stream) remove() {
 	s.cancel()
 	s.engine.mu.Lock()
 	defer s.engine.mu.Unlock()
@@ -166,7 +166,8 @@
 	}
 }
 
-// prefill waits as long as the uncached part of the prompt takes.
+// prefill simulates the time to prefill the uncached part of the prompt. It returns
+// false if the stream was cancelled.
 func (s *stream) prefill() bool {
 	e := s.engine
 	select {
@@ -176,7 +177,7 @@
 	}
 	defer func() { <-e.prefill }()
 	e.mu.Lock()
-	cached := e.cache.use(s.prompt)
+	cached := e.cache.lookupAndInsert(s.prompt)
 	if s.imported {
 		cached = len(s.prompt)
 		e.counts.ImportedCache++
@@ -185,39 +186,39 @@
 	e.counts.Prefilled += work
 	e.counts.CacheHits += cached
 	e.mu.Unlock()
-	return s.wait(time.Duration(float64(work) / e.cfg.PrefillRate * float64(time.Second)))
+	return s.sleep(time.Duration(float64(work) / e.cfg.PrefillRate * float64(time.Second)))
 }
 
 func (s *stream) decode() {
 	c := newChain(s.prompt)
 	base := c.outputs
-	held := ""
+	heldText := ""
 	text := ""
-	for n := 0; n < s.max; n++ {
-		if !s.wait(s.engine.interval()) || s.abandoned() {
+	for n := 0; n < s.maxTokens; n++ {
+		if !s.sleep(s.engine.interval()) || s.abandoned() {
 			s.cancel()
 			return
 		}
-		id := c.next(s.nonce)
-		c = c.then(id)
-		held += outputText(id)
+		id := c.nextToken(s.nonce)
+		c = c.extend(id)
+		heldText += outputText(id)
 		text += outputText(id)
-		last := n == s.max-1
-		stopped := s.stops(text)
+		last := n == s.maxTokens-1
+		stopped := s.endsWithStop(text)
 		t := walnutramp.Token{ID: id}
 		every := s.engine.cfg.HoldEvery
 		if every == 0 || (base+n+1)%every != 0 || last || stopped {
-			t.Text = held
-			held = ""
+			t.Text = heldText
+			heldText = ""
 		}
-		s.push(t, finishReason(last, stopped))
+		s.appendToken(t, finishReason(last, stopped))
 		if stopped {
 			return
 		}
 	}
 }
 
-func (s *stream) stops(text string) bool {
+func (s *stream) endsWithStop(text string) bool {
 	for _, stop := range s.stop {
 		if stop != "" && strings.HasSuffix(text, stop) {
 			return true
@@ -236,7 +237,8 @@
 	return ""
 }
 
-// interval is the time between tokens at the load of now.
+// interval counts a decoded token and returns the time between tokens at the current
+// load.
 func (e *Engine) interval() time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -246,9 +248,9 @@
 	return time.Duration(float64(e.cfg.TokenInterval) * (1 + e.cfg.BatchSlowdown*load) * slow)
 }
 
-// wait passes d, and longer while the engine is paused; false means the
-// stream is over.
-func (s *stream) wait(d time.Duration) bool {
+// sleep waits for d, and longer while the engine is paused or stalled. It returns
+// false if the stream was cancelled.
+func (s *stream) sleep(d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
@@ -256,16 +258,16 @@
 	case <-s.ctx.Done():
 		return false
 	}
-	return s.engine.faults.passable(s.ctx)
+	return s.engine.faults.waitCleared(s.ctx)
 }
 
 func (s *stream) abandoned() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.readers == 0 && time.Since(s.left) > s.engine.cfg.KeepStream
+	return s.readers == 0 && time.Since(s.lastReaderChange) > s.engine.cfg.KeepStream
 }
 
-func (s *stream) push(t walnutramp.Token, finish string) {
+func (s *stream) appendToken(t walnutramp.Token, finish string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.tokens = append(s.tokens, t)
@@ -274,7 +276,7 @@
 	s.changed = make(chan struct{})
 }
 
-// sequence is the prompt and every token made so far.
+// sequence returns the IDs of the prompt tokens and all generated tokens.
 func (s *stream) sequence() []walnutramp.TokenID {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -298,16 +300,16 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.readers += n
-	s.left = time.Now()
+	s.lastReaderChange = time.Now()
 }
 
-// follow sends a stream's tokens from an offset as server-sent events.
-func (e *Engine) follow(w http.ResponseWriter, r *http.Request, s *stream, from int) {
+// serveStream sends the tokens of a stream from an offset as server-sent events.
+func (e *Engine) serveStream(w http.ResponseWriter, r *http.Request, s *stream, from int) {
 	s.addReader(1)
 	defer s.addReader(-1)
 	w.Header().Set("Content-Type", "text/event-stream")
 	out := &eventWriter{w: w, flush: http.NewResponseController(w), stream: s}
-	out.open(from)
+	out.writeStart(from)
 	for {
 		tokens, finish, changed := s.read(from)
 		for i, t := range tokens {
@@ -315,13 +317,13 @@
 			if i == len(tokens)-1 {
 				reason = finish
 			}
-			if !e.faults.passable(r.Context()) || !e.emit(out, from, t, reason) {
+			if !e.faults.waitCleared(r.Context()) || !e.sendToken(out, from, t, reason) {
 				panic(http.ErrAbortHandler)
 			}
 			from++
 		}
 		if finish != "" {
-			out.done()
+			out.writeDone()
 			return
 		}
 		select {
@@ -334,22 +336,23 @@
 	}
 }
 
-// emit sends token n, or fails as the faults say.
-func (e *Engine) emit(out *eventWriter, n int, t walnutramp.Token, finish string) bool {
-	switch e.faults.onToken(n) {
+// sendToken sends token n, subject to injected faults. It returns false if the
+// connection must break.
+func (e *Engine) sendToken(out *eventWriter, n int, t walnutramp.Token, finish string) bool {
+	switch e.faults.atToken(n) {
 	case FaultReset:
 		return false
 	case FaultDouble:
-		out.token(n, t, finish)
+		out.writeToken(n, t, finish)
 	case FaultDie:
 		go e.Close()
 		return false
 	}
-	out.token(n, t, finish)
+	out.writeToken(n, t, finish)
 	return true
 }
 
-// eventWriter writes a stream's events in the OpenAI dialect.
+// eventWriter writes the events of a stream in the format of the OpenAI API.
 type eventWriter struct {
 	w      http.ResponseWriter
 	flush  *http.ResponseController
@@ -376,20 +379,20 @@
 	Content string `json:"content"`
 }
 
-func (o *eventWriter) event() wireEvent {
+func (o *eventWriter) newEvent() wireEvent {
 	return wireEvent{ID: o.stream.id, Object: "text_completion", Model: o.stream.engine.cfg.Model}
 }
 
-func (o *eventWriter) open(from int) {
-	ev := o.event()
+func (o *eventWriter) writeStart(from int) {
+	ev := o.newEvent()
 	ev.Choices = []wireChoice{{}}
 	if !o.stream.engine.cfg.WithoutTokenID {
 		ev.PromptTokenIDs = o.stream.prompt
 	}
-	o.send(from, ev)
+	o.writeEvent(from, ev)
 }
 
-func (o *eventWriter) token(n int, t walnutramp.Token, finish string) {
+func (o *eventWriter) writeToken(n int, t walnutramp.Token, finish string) {
 	choice := wireChoice{}
 	if !o.stream.engine.cfg.WithoutTokenID {
 		choice.TokenIDs = []walnutramp.TokenID{t.ID}
@@ -402,18 +405,18 @@
 	if finish != "" {
 		choice.FinishReason = &finish
 	}
-	ev := o.event()
+	ev := o.newEvent()
 	ev.Choices = []wireChoice{choice}
-	o.send(n+1, ev)
+	o.writeEvent(n+1, ev)
 }
 
-func (o *eventWriter) send(id int, ev wireEvent) {
+func (o *eventWriter) writeEvent(id int, ev wireEvent) {
 	data, _ := json.Marshal(ev)
 	fmt.Fprintf(o.w, "id: %d\ndata: %s\n\n", id, data)
 	o.flush.Flush()
 }
 
-func (o *eventWriter) done() {
+func (o *eventWriter) writeDone() {
 	fmt.Fprint(o.w, "data: [DONE]\n\n")
 	o.flush.Flush()
 }
--- a/standin/token.go
+++ b/standin/token.go
@@ -1,6 +1,6 @@
-// Package standin holds small fakes of the systems this project serves: a
-// model engine, a plain service, a platform and a weight store. They speak
-// the published protocols and can be told to fail.
+// Package standin provides fake model engines, plain services and a fake platform
+// for tests and demos. They implement the real protocols and support fault
+// injection.
 package standin
 
 import (
@@ -12,10 +12,10 @@
 	"github.com/walnutramp/walnutramp"
 )
 
-// An output token's number holds, from the top: a marker, its offset in the
-// output, the nonce of the attempt that made it, and a check over the chain
-// of every token before it. A prompt token's number holds up to four bytes
-// of text and has no marker.
+// Bit layout of an output token ID, from the highest bit: a marker, the offset in
+// the output, the nonce of the stream that generated it, and a checksum over all
+// preceding tokens. A prompt token ID holds up to four bytes of text and has no
+// marker.
 const (
 	checkBits  = 26
 	nonceBits  = 11
@@ -25,52 +25,52 @@
 	nonceMask  = 1<<nonceBits - 1
 	offsetMask = 1<<offsetBits - 1
 
-	promptPiece    = 4  // bytes of prompt text in one token
-	outputTextSize = 12 // a space and eleven digits of five bits
-	textShift      = 4  // left-aligns a number in seven bytes
+	promptTokenBytes = 4  // bytes of prompt text per token
+	outputTokenBytes = 12 // bytes: a space and eleven base32 digits
+	textShift        = 4  // left-aligns an ID in seven bytes
 )
 
 var outputDigits = base32.NewEncoding("abcdefghijkmnpqrstuvwxyz23456789").WithPadding(base32.NoPadding)
 
-// chain is the running hash over a sequence of tokens, and how many output
-// tokens stand at its end.
+// chain is a running hash over a token sequence and the number of output tokens at
+// its end.
 type chain struct {
-	sum     uint64
+	hash    uint64
 	outputs int
 }
 
 func newChain(tokens []walnutramp.TokenID) chain {
 	var c chain
 	for _, id := range tokens {
-		c = c.then(id)
+		c = c.extend(id)
 	}
 	return c
 }
 
-// then returns the chain with id behind it.
-func (c chain) then(id walnutramp.TokenID) chain {
+// extend returns the chain with id appended.
+func (c chain) extend(id walnutramp.TokenID) chain {
 	var b [16]byte
-	binary.LittleEndian.PutUint64(b[:8], c.sum)
+	binary.LittleEndian.PutUint64(b[:8], c.hash)
 	binary.LittleEndian.PutUint64(b[8:], uint64(id))
-	next := chain{sum: xxhash.Sum64(b[:])}
+	next := chain{hash: xxhash.Sum64(b[:])}
 	if id&markerBit != 0 {
 		next.outputs = c.outputs + 1
 	}
 	return next
 }
 
-// next returns the token an attempt with this nonce makes after c.
-func (c chain) next(nonce int) walnutramp.TokenID {
+// nextToken returns the token that a stream with the given nonce generates after c.
+func (c chain) nextToken(nonce int) walnutramp.TokenID {
 	id := uint64(markerBit)
 	id |= uint64(c.outputs&offsetMask) << (nonceBits + checkBits)
 	id |= uint64(nonce&nonceMask) << checkBits
-	id |= c.check(nonce)
+	id |= c.checksum(nonce)
 	return walnutramp.TokenID(id)
 }
 
-func (c chain) check(nonce int) uint64 {
+func (c chain) checksum(nonce int) uint64 {
 	var b [16]byte
-	binary.LittleEndian.PutUint64(b[:8], c.sum)
+	binary.LittleEndian.PutUint64(b[:8], c.hash)
 	binary.LittleEndian.PutUint64(b[8:], uint64(nonce&nonceMask))
 	return xxhash.Sum64(b[:]) & checkMask
 }
@@ -81,16 +81,16 @@
 
 func tokenNonce(id walnutramp.TokenID) int { return int(id>>checkBits) & nonceMask }
 
-// outputText is the text of an output token.
+// outputText returns the text of an output token.
 func outputText(id walnutramp.TokenID) string {
 	var b [8]byte
 	binary.BigEndian.PutUint64(b[:], uint64(id)<<textShift)
-	return " " + outputDigits.EncodeToString(b[1:])[:outputTextSize-1]
+	return " " + outputDigits.EncodeToString(b[1:])[:outputTokenBytes-1]
 }
 
-// parseOutput reads one token's text.
+// parseOutput parses the text of an output token.
 func parseOutput(text string) (walnutramp.TokenID, bool) {
-	if len(text) != outputTextSize || text[0] != ' ' {
+	if len(text) != outputTokenBytes || text[0] != ' ' {
 		return 0, false
 	}
 	b, err := outputDigits.DecodeString(text[1:] + "a")
@@ -102,12 +102,12 @@
 	return walnutramp.TokenID(binary.BigEndian.Uint64(full[:]) >> textShift), true
 }
 
-// Tokenize splits prompt text as the stand-in engine does. Output text that
-// is tokenized again does not give the tokens it was made of.
+// Tokenize returns the prompt tokens of a text. Tokenizing output text does not give
+// the original output tokens.
 func Tokenize(text string) []walnutramp.TokenID {
 	var ids []walnutramp.TokenID
 	for len(text) > 0 {
-		n := min(promptPiece, len(text))
+		n := min(promptTokenBytes, len(text))
 		id := walnutramp.TokenID(n) << 32
 		for i := range n {
 			id |= walnutramp.TokenID(text[i]) << (8 * i)
@@ -118,18 +118,18 @@
 	return ids
 }
 
-// Verdict is what a check of an output found.
+// Verdict is the result of checking an output.
 type Verdict struct {
-	Tokens   int // tokens read
-	Missing  int // places that were skipped
-	Repeated int // tokens that stand again
-	Mixed    int // tokens that do not continue what stands before them
+	Tokens   int // tokens checked
+	Missing  int // tokens skipped
+	Repeated int // tokens repeated
+	Mixed    int // tokens that do not continue the preceding output, or are malformed
 }
 
-// OK reports whether every token stands once, in order, of one generation.
+// OK reports whether the output has each token once, in order, from one generation.
 func (v Verdict) OK() bool { return v.Missing == 0 && v.Repeated == 0 && v.Mixed == 0 }
 
-// Add adds w's counts to v's.
+// Add adds the counts of w to v.
 func (v *Verdict) Add(w Verdict) {
 	v.Tokens += w.Tokens
 	v.Missing += w.Missing
@@ -137,16 +137,16 @@
 	v.Mixed += w.Mixed
 }
 
-// Tokens returns how many tokens an output of the stand-in engine has.
-func Tokens(output string) int { return len(output) / outputTextSize }
+// Tokens returns the number of tokens in an output of the stand-in engine.
+func Tokens(output string) int { return len(output) / outputTokenBytes }
 
-// Check reads an output of the stand-in engine for a prompt from its text
-// alone.
+// Check checks the output text of the stand-in engine for a prompt. It stops at a
+// malformed token.
 func Check(prompt, output string) Verdict {
 	var v Verdict
 	c := newChain(Tokenize(prompt))
 	for len(output) > 0 {
-		n := min(outputTextSize, len(output))
+		n := min(outputTokenBytes, len(output))
 		id, ok := parseOutput(output[:n])
 		output = output[n:]
 		v.Tokens++
@@ -154,13 +154,13 @@
 			v.Mixed++
 			return v
 		}
-		v.count(c, id)
-		c = c.then(id)
+		v.classify(c, id)
+		c = c.extend(id)
 	}
 	return v
 }
 
-func (v *Verdict) count(c chain, id walnutramp.TokenID) {
+func (v *Verdict) classify(c chain, id walnutramp.TokenID) {
 	got := tokenOffset(id)
 	want := c.outputs & offsetMask
 	switch {
@@ -168,12 +168,12 @@
 		v.Missing += got - want
 	case got < want:
 		v.Repeated++
-	case c.next(tokenNonce(id)) != id:
+	case c.nextToken(tokenNonce(id)) != id:
 		v.Mixed++
 	}
 }
 
-// RenderChat is the prompt text the stand-in makes of chat messages.
+// RenderChat returns the prompt text for chat messages.
 func RenderChat(messages []ChatMessage) string {
 	var b strings.Builder
 	for _, m := range messages {
--- a/standin/token_test.go
+++ b/standin/token_test.go
@@ -10,19 +10,19 @@
 
 const testPrompt = "Harbour log, page 7."
 
-// generate returns n tokens' texts behind prompt and the tokens before them.
-func generate(before []walnutramp.TokenID, nonce, n int) (texts []string, ids []walnutramp.TokenID) {
-	c := newChain(before)
+// generate returns the texts and IDs of n output tokens after the given tokens.
+func generate(preceding []walnutramp.TokenID, nonce, n int) (texts []string, ids []walnutramp.TokenID) {
+	c := newChain(preceding)
 	for range n {
-		id := c.next(nonce)
-		c = c.then(id)
+		id := c.nextToken(nonce)
+		c = c.extend(id)
 		texts = append(texts, outputText(id))
 		ids = append(ids, id)
 	}
 	return texts, ids
 }
 
-func TestCheckAcceptsSeamByTokenIDs(t *testing.T) {
+func TestCheckAcceptsResumeByTokenIDs(t *testing.T) {
 	prompt := Tokenize(testPrompt)
 	first, ids := generate(prompt, 11, 20)
 	second, _ := generate(append(prompt, ids...), 12, 20)
@@ -30,7 +30,7 @@
 	require.Equal(t, Verdict{Tokens: 40}, v)
 }
 
-func TestCheckFindsEveryFault(t *testing.T) {
+func TestCheckDetectsEachFault(t *testing.T) {
 	prompt := Tokenize(testPrompt)
 	a, _ := generate(prompt, 11, 20)
 	b, _ := generate(prompt, 12, 20)
@@ -48,10 +48,10 @@
 	require.NotZero(t, Check(testPrompt, join(a)+" half").Mixed, "half a token")
 }
 
-func TestCheckFindsRetokenizedSeam(t *testing.T) {
+func TestCheckDetectsResumeByText(t *testing.T) {
 	prompt := Tokenize(testPrompt)
 	first, _ := generate(prompt, 11, 20)
-	again := Tokenize(testPrompt + strings.Join(first, ""))
-	second, _ := generate(again, 12, 20)
+	retokenized := Tokenize(testPrompt + strings.Join(first, ""))
+	second, _ := generate(retokenized, 12, 20)
 	require.False(t, Check(testPrompt, strings.Join(first, "")+strings.Join(second, "")).OK())
 }
