--- a/internal/retryafter/retryafter.go
+++ b/internal/retryafter/retryafter.go
@@ -11,7 +11,8 @@
 // Header is the name of the HTTP header.
 const Header = "Retry-After"
 
-// Longest is the upper bound for the returned delay.
+// Longest is the upper bound of the returned delay. A target unavailable for that
+// long has already been taken out of service.
 const Longest = 24 * time.Hour
 
 // Of returns the delay that a response with status 503 requests, in seconds with an
--- a/internal/schema/schema.go
+++ b/internal/schema/schema.go
@@ -9,7 +9,7 @@
 	"strings"
 )
 
-// modulePath is this modulePath's path. Types of other modules are not described.
+// modulePath is the path of this module. Types of other modules are not described.
 const modulePath = "github.com/walnutramp/walnutramp"
 
 // Of describes the types of values and, recursively, the struct types of this
--- a/internal/slownet/link.go
+++ b/internal/slownet/link.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Flow control of a rate-limited connection. As with a small TCP windowSegments,
+// Flow control of a rate-limited connection. As with a small TCP window,
 // connections that share a link take turns.
 const (
 	segmentSize    = 4 << 10 // bytes
--- a/internal/slownet/slownet.go
+++ b/internal/slownet/slownet.go
@@ -122,7 +122,7 @@
 	}
 }
 
-// sleepUntil waits sleepUntil due. It returns false if the channel was closed first.
+// sleepUntil waits until due. It returns false if the channel was closed first.
 func (l *channel) sleepUntil(due time.Time) bool {
 	wait := time.Until(due)
 	if wait <= 0 {
--- a/internal/uptime/uptime.go
+++ b/internal/uptime/uptime.go
@@ -67,7 +67,7 @@
 	}
 }
 
-// readClock reads a system readClock; tests replace it.
+// readClock reads a system clock; tests replace it.
 var readClock = readSystemClock
 
 func readSystemClock(id int32) (time.Duration, error) {
--- a/load/shape.go
+++ b/load/shape.go
@@ -81,7 +81,7 @@
 }
 
 // weight returns the scheduling weight of an account, which is also its relative
-// weight of the load.
+// share of the load.
 func (s Shape) weight(i int) int {
 	if i < largeAccountCount {
 		return largeAccountWeight
