--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -8,7 +8,8 @@
 	"github.com/walnutramp/walnutramp/fleet"
 )
 
-// fixedCost returns the cost of keeping the initial on-demand targets.
+// fixedCost returns the cost of keeping the initial on-demand targets from the
+// start until the given time.
 func fixedCost(s *simulation, until time.Duration) float64 {
 	counts := fleet.Counts{}
 	for _, hall := range s.halls {
@@ -17,14 +18,14 @@
 	return s.scaling.Cost(counts) * until.Seconds()
 }
 
-// check fails the test if too few requests were served or the cost relative to
-// a fixed fleet is too high.
+// check fails the test if the share of served requests is below minServed, or the
+// cost relative to a fixed fleet is above maxCost. It then logs all orders.
 func (s *simulation) check(until time.Duration, served, cost float64) {
 	s.t.Helper()
 	part := s.cost / fixedCost(s, until)
 	s.t.Logf("served %.4f of the requests, cost %.3f of a fixed fleet, %d calls, at least %d serving targets", s.served(), part, s.calls, s.minServing)
 	if s.served() < served {
-		s.t.Errorf("served %.4f of the requests, want %.4f", s.served(), served)
+		s.t.Errorf("served %.4f of the requests, want at least %.4f", s.served(), served)
 	}
 	if part > cost {
 		s.t.Errorf("cost %.3f of a fixed fleet, want at most %.3f", part, cost)
@@ -48,10 +49,10 @@
 				continue
 			}
 			if b.at-a.at < s.scaling.Boot {
-				t.Errorf("two changes of %v within a boot time, at %v and %v", a.step.Order.Place(), a.at, b.at)
+				t.Errorf("two changes of %v, at %v and %v, want at least a boot time between them", a.step.Order.Place(), a.at, b.at)
 			}
 			if a.step.Order.Count < a.step.Before && b.step.Order.Count > b.step.Before && a.step.Order.Kind == fleet.Spot {
-				t.Errorf("oscillation of %v, at %v and %v", a.step.Order.Place(), a.at, b.at)
+				t.Errorf("targets of %v removed at %v and more ordered at %v, want them kept", a.step.Order.Place(), a.at, b.at)
 			}
 		}
 	}
@@ -113,8 +114,8 @@
 	s.check(simTime, 1, 0.65)
 }
 
-// reclaim reclaims all spot targets of a data hall; for the shortage period
-// there is no capacity for others.
+// reclaim reclaims all spot targets of a data hall. The platform rejects orders for
+// new ones there until the shortage period ends.
 func (s *simulation) reclaim(at time.Duration, hall string, shortage time.Duration) {
 	p := fleet.Place{DataHall: hall, Kind: fleet.Spot}
 	s.at(at, func() { s.drain(p, s.count(p), simNotice) })
@@ -155,7 +156,7 @@
 	s.run(simTime)
 	s.check(simTime, 1, 0.65)
 	if s.calls > 40 {
-		t.Errorf("%d calls", s.calls)
+		t.Errorf("%d calls to the platform, want at most 40", s.calls)
 	}
 }
 
@@ -178,7 +179,7 @@
 	s.run(simTime)
 	s.check(simTime, 1, 0.65)
 	if s.calls > 40 {
-		t.Errorf("%d calls", s.calls)
+		t.Errorf("%d calls to the platform, want at most 40", s.calls)
 	}
 }
 
@@ -210,7 +211,8 @@
 }
 
 // FuzzPlan checks that for any input the counts stay within their limits and
-// cover the least need of the load, as far as capacity is available.
+// suffice to serve the load, as far as capacity is available. Bit 2*hall+kind of
+// stuck is set if the platform has no capacity for that place.
 func FuzzPlan(f *testing.F) {
 	f.Add(1, 120, 0.15, 1.0, 0.8, 1.25, 41.0, 200.0, 2e6, uint8(0))
 	f.Add(0, 5, 0.0, 1.0, 1.0, 1.0, 4e3, 1e5, 1e9, uint8(3))
@@ -250,6 +252,8 @@
 
 func inRange(x, lo, hi float64) bool { return !math.IsNaN(x) && x >= lo && x <= hi }
 
+// checkPlan checks wanted counts. Room is the number of targets that fit in the
+// places with capacity.
 func checkPlan(t *testing.T, s *fleet.Situation, wanted fleet.Counts, room int) {
 	t.Helper()
 	for p, n := range wanted {
@@ -261,6 +265,6 @@
 		}
 	}
 	if s.Load != nil && wanted.Total() < min(s.Least(), room) {
-		t.Errorf("%d targets, want at least %d for the load", wanted.Total(), s.Least())
+		t.Errorf("%d targets, want at least %d for the load, or as many as fit", wanted.Total(), s.Least())
 	}
 }
--- a/fleet/plan.go
+++ b/fleet/plan.go
@@ -24,7 +24,7 @@
 type Plan struct {
 	Wanted Counts
 	Method Method
-	Cost   float64 // expected per second, in target prices; 0 for KeepCapacity
+	Cost   float64 // expected cost per second, in the unit of Scaling.Prices; 0 for KeepCapacity
 	Other  Method  // the alternative method; empty if there was none
 	// OtherWanted and OtherCost are the result of the alternative method.
 	OtherWanted Counts
@@ -56,8 +56,8 @@
 	return halls
 }
 
-// Plan returns the wanted counts. They stay within Min and Max in each data
-// hall.
+// Plan returns the wanted counts. In each data hall they are at most Max, and at
+// least Min as far as capacity is available.
 func (s *Situation) Plan() Plan {
 	if s.Load == nil {
 		return Plan{Wanted: s.keepCapacity(), Method: KeepCapacity}
@@ -71,7 +71,8 @@
 	return plan
 }
 
-// cheapKind returns the cheaper kind.
+// cheapKind returns the kind with the lower price: Spot if it is offered below the
+// on-demand price, else OnDemand.
 func (s *Situation) cheapKind() Kind {
 	if s.Scaling.SpotPrice > 0 && s.Scaling.SpotPrice < 1 {
 		return Spot
@@ -115,7 +116,7 @@
 
 // bearableLoad returns the load that the initial targets can bear in a burst
 // after the loss of a data hall, assuming that the operator sized them for
-// that.
+// that. Only Reading is set, since nothing is known of the other dimensions.
 func (s *Situation) bearableLoad() *Load {
 	initial := Counts{}
 	for hall, n := range s.Base {
@@ -150,7 +151,7 @@
 	return max(0, n)
 }
 
-// ensureMin raises every data hall to Scaling.Min.
+// ensureMin raises every data hall to Scaling.Min, as far as capacity is available.
 func (s *Situation) ensureMin(wanted Counts) {
 	for _, hall := range s.halls() {
 		for _, kind := range []Kind{s.cheapKind(), OnDemand} {
@@ -176,9 +177,9 @@
 }
 
 // onDemandBase returns the minimum of on-demand targets by data hall if spot
-// targets are used. They can just serve the load after all spot targets are
-// reclaimed and one data hall is lost, since successive reclaims may occur
-// while the control group cannot scale.
+// targets are used. With every target busy, they can just do the prefill of the load
+// after all spot targets are reclaimed and one data hall is lost, since successive
+// reclaims may occur while the control group cannot scale.
 func (s *Situation) onDemandBase() Counts {
 	base := Counts{}
 	if s.cheapKind() == OnDemand {
@@ -193,7 +194,7 @@
 	return base
 }
 
-// ensureLeast adds targets until the load can be served.
+// ensureLeast adds targets until the load can be served or no capacity is left.
 func (s *Situation) ensureLeast(wanted Counts) {
 	missing := s.Engine.Least(*s.Load) - wanted.Total()
 	for _, kind := range []Kind{s.cheapKind(), 1 - s.cheapKind()} {
--- a/fleet/simulation_test.go
+++ b/fleet/simulation_test.go
@@ -9,17 +9,18 @@
 	"github.com/walnutramp/walnutramp/fleet"
 )
 
-// The simulation runs the controller against a model of a platform and a load,
-// and tracks cost and refused requests.
+// The simulation runs the tally, the forecast, the plan and the mover, as the leader
+// does, against a model of a platform and a load. It adds up the cost and the refused
+// requests.
 
 const (
 	simStep        = 200 * time.Millisecond
-	simListDelay   = time.Second // delay of the target list
-	simDrain       = 4 * time.Second
-	simNotice      = 2 * time.Second
-	simPrefillTime = 1.0    // prefill time of a prompt, in seconds
-	simRunTime     = 5.0    // duration of a run, in seconds
-	simRunMemory   = 8800.0 // KV memory of a run, in tokens
+	simListDelay   = time.Second     // delay of the target list
+	simDrain       = 4 * time.Second // from the removal of a target until it has gone
+	simNotice      = 2 * time.Second // from the notice of a reclaim until the target has gone
+	simPrefillTime = 1.0             // prefill time of a prompt, in seconds
+	simRunTime     = 5.0             // duration of a run, in seconds
+	simRunMemory   = 8800.0          // KV memory of a run, in tokens
 )
 
 var simHalls = []string{"a", "b", "c"}
@@ -59,7 +60,7 @@
 	tally    *fleet.Tally
 	forecast *fleet.Forecast
 	demand   fleet.Demand
-	life     uint64
+	life     uint64 // of the only reporting process; never changes
 
 	cost       float64
 	requests   float64
@@ -69,16 +70,19 @@
 	minServing int // lowest number of serving targets since the first request
 }
 
+// simList is the platform's target list at one time.
 type simList struct {
 	at               time.Duration
 	serving, leaving fleet.Counts
 }
 
+// simDelayed is an order that the platform executes later.
 type simDelayed struct {
 	at    time.Duration
 	order fleet.Order
 }
 
+// simOrder is an order with the time at which it was sent.
 type simOrder struct {
 	at   time.Duration
 	step fleet.Step
@@ -149,8 +153,8 @@
 	s.serve(serving)
 }
 
-// serve adds the requests of one step; each target serves one prompt per
-// simReading.
+// serve adds the requests of one step. Each serving target takes simPrefillTime for
+// a prompt; prompts beyond that are refused.
 func (s *simulation) serve(serving int) {
 	arriving := s.load(s.now) * simStep.Seconds()
 	capacity := float64(serving) / simPrefillTime * simStep.Seconds()
@@ -166,7 +170,7 @@
 	s.demand.HoldMS += uint64(arriving * simRunTime * simRunMemory * 1000)
 }
 
-// decide runs one step of the leader.
+// decide runs one step of the leader: it plans, sends orders and takes the answers.
 func (s *simulation) decide() {
 	listed, ok := s.listed()
 	if !ok {
@@ -204,7 +208,8 @@
 	}
 }
 
-// listed returns the target list as the leader sees it.
+// listed returns the target list as the leader sees it, simListDelay late; false if
+// there is none yet.
 func (s *simulation) listed() (simList, bool) {
 	for i := len(s.history) - 1; i >= 0; i-- {
 		if s.now-s.history[i].at >= simListDelay {
@@ -214,7 +219,7 @@
 	return simList{}, false
 }
 
-// call sends an order to the platform.
+// call sends an order to the platform and returns the outcome that the leader sees.
 func (s *simulation) call(o fleet.Order) duty.Outcome {
 	s.calls++
 	if s.down != nil && s.down(s.now) {
@@ -233,6 +238,8 @@
 	return duty.Done
 }
 
+// count returns the number of targets of a place that don't drain, whether or not
+// they serve yet.
 func (s *simulation) count(p fleet.Place) int {
 	n := 0
 	for _, t := range s.targets {
@@ -243,6 +250,8 @@
 	return n
 }
 
+// execute applies an order on the platform, and fails the test if the data hall's
+// count would leave the limits.
 func (s *simulation) execute(o fleet.Order) {
 	p := o.Place()
 	other := s.count(fleet.Place{DataHall: p.DataHall, Kind: 1 - p.Kind})
@@ -255,7 +264,7 @@
 	s.drain(p, max(0, s.count(p)-o.Count), simDrain)
 }
 
-// drain starts to drain n targets of a place.
+// drain starts to drain n targets of a place; they have gone after the given time.
 func (s *simulation) drain(p fleet.Place, n int, drain time.Duration) {
 	for _, t := range s.targets {
 		if n > 0 && t.place == p && t.drainsAt == 0 {
@@ -265,7 +274,7 @@
 	}
 }
 
-// at schedules a function.
+// at makes the first step at or after the given time call a function.
 func (s *simulation) at(when time.Duration, do func()) {
 	load, done := s.load, false
 	s.load = func(now time.Duration) float64 {
--- a/internal/dutycheck/dutycheck_test.go
+++ b/internal/dutycheck/dutycheck_test.go
@@ -10,6 +10,8 @@
 
 const lease = 3 * time.Second
 
+// newCall returns a call that was written the given number of milliseconds after the
+// epoch.
 func newCall(ms int, node string, token duty.Token, content string) *Call {
 	return &Call{Node: node, Subject: "s", Token: token, Content: content, Written: time.UnixMilli(int64(ms))}
 }
--- a/internal/part/part.go
+++ b/internal/part/part.go
@@ -18,7 +18,7 @@
 	Control = "control" // membership, bundles, consensus, load reports
 )
 
-// Do runs f with the label set to name.
+// Do runs f with the label set to name, one of the constants.
 func Do(name string, f func()) {
 	pprof.Do(context.Background(), pprof.Labels(Label, name), func(context.Context) { f() })
 }
--- a/internal/schema/schema.go
+++ b/internal/schema/schema.go
@@ -12,8 +12,9 @@
 // modulePath is the path of this module. Types of other modules are not described.
 const modulePath = "github.com/walnutramp/walnutramp"
 
-// Of describes the types of values and, recursively, the struct types of this
-// module that they refer to: one line per field with its type and msgpack tag.
+// Of describes the struct types of this module that the values are made of,
+// recursively through pointers, slices, arrays and maps but not interfaces: one line
+// per type, and one per field with its type and msgpack tag.
 func Of(values ...any) string {
 	seen := map[reflect.Type]string{}
 	for _, v := range values {
@@ -27,7 +28,8 @@
 	return strings.Join(all, "\n")
 }
 
-// describe adds the struct types reachable from t to seen.
+// describe adds the struct types reachable from t to seen, which holds the
+// descriptions by type.
 func describe(t reflect.Type, seen map[reflect.Type]string) {
 	switch t.Kind() {
 	case reflect.Pointer, reflect.Slice, reflect.Array:
@@ -50,7 +52,7 @@
 	for i := range t.NumField() {
 		f := t.Field(i)
 		if !f.IsExported() && f.Name != "_msgpack" {
-			continue // unexported fields are not encoded
+			continue // not encoded; the tag of _msgpack tells how the struct is
 		}
 		fmt.Fprintf(&b, "\t%s %s %s\n", f.Name, f.Type, f.Tag.Get("msgpack"))
 		describe(f.Type, seen)
--- a/internal/schema/schema_test.go
+++ b/internal/schema/schema_test.go
@@ -19,7 +19,7 @@
 }
 
 func TestFieldsOfAllTypesAreDescribed(t *testing.T) {
-	_ = inner{hidden: 1}
+	_ = inner{hidden: 1} // a use of the field, which must not be described
 	require.Equal(t, "schema_test.inner\n\tWeight float64 \n\nschema_test.outer\n\tName string n,omitempty\n"+
 		"\tNext *schema_test.outer x\n\tParts map[string]schema_test.inner p\n", schema.Of([]outer{}))
 }
--- a/internal/uptime/uptime_test.go
+++ b/internal/uptime/uptime_test.go
@@ -11,6 +11,7 @@
 
 // fakeClocks replaces the system clocks. Each reading takes readLatency.
 type fakeClocks struct {
+	// The boot-time clock is ahead of the monotonic one by suspended.
 	monotonic, suspended, readLatency time.Duration
 	err                               error
 }
@@ -23,6 +24,8 @@
 	return f.monotonic, f.err
 }
 
+// replaceClocks makes the package read f, as if the process had just started, until
+// the test ends.
 func replaceClocks(t *testing.T, f *fakeClocks) {
 	t.Helper()
 	oldClock, oldSuspended, oldAtStart := readClock, suspended.Load(), suspendedAtStart.Load()
--- a/load/result.go
+++ b/load/result.go
@@ -7,13 +7,15 @@
 	"github.com/walnutramp/walnutramp/standin"
 )
 
-// Histogram bounds.
+// Range, in microseconds, and precision of histograms. Longer durations count as
+// histogramMax.
 const (
 	histogramMax    = int64(10 * time.Minute / time.Microsecond)
 	histogramDigits = 3
 )
 
-// Figures are quantiles of a duration, in milliseconds.
+// Figures are the number, the quantiles and the maximum of a set of durations, in
+// milliseconds.
 type Figures struct {
 	Count int64   `json:"count"`
 	P50   float64 `json:"p50_ms"`
@@ -48,11 +50,13 @@
 	Variant    string          `json:"variant"`
 	Drafts     int             `json:"drafts"`
 	Complete   int             `json:"complete"`
-	Refused    map[string]int  `json:"refused,omitempty"` // count by error code and outcome
+	Refused    map[string]int  `json:"refused,omitempty"` // incomplete drafts by error code and outcome, or "no answer"
 	Restarts   int             `json:"restarts_from_zero"`
 	Reconnects int             `json:"reconnects"`
 	Verdict    standin.Verdict `json:"verdict"`
 
+	// Gaps between arrivals of new text during which a draft was resumed: all, those
+	// after the loss of an engine, and those after a client lost its connection.
 	ResumeGap     Figures `json:"resume_gap"`
 	EngineGap     Figures `json:"resume_gap_engine"`
 	NodeGap       Figures `json:"resume_gap_node"`
@@ -61,6 +65,9 @@
 	Lookup        Figures `json:"lookup"`
 	LookupsFailed int     `json:"lookups_failed"`
 
+	// The objectives are maxFirstToken and maxTokenGapP95. Goodput counts the tokens of
+	// drafts within them, and WorstAccount is the lowest share of such drafts that any
+	// account has. CPU times are by the subsystems of package part.
 	WithinObjectives int     `json:"drafts_within_objectives"`
 	Goodput          float64 `json:"tokens_per_second_within_objectives"`
 	WorstAccount     float64 `json:"worst_account_share_within_objectives"`
@@ -77,5 +84,6 @@
 	Seconds          float64 `json:"seconds"`
 }
 
-// Broken reports whether a client received missing, repeated or mixed tokens.
+// Broken reports whether tokens were missing, repeated or mixed in any text that a
+// client received.
 func (r *Result) Broken() bool { return !r.Verdict.OK() }
--- a/rollout/experiment/table.go
+++ b/rollout/experiment/table.go
@@ -20,13 +20,13 @@
 	Runs       int
 	Completed  int
 	RolledBack int
-	Open       int // still running at the deadline
-	Over       int // exceeded the bound on requests
-	TooLate    int // exceeded Bounds.StopWithin
-	Exposed    float64
-	BadAnswers float64
-	Ended      time.Duration // mean time to the end
-	Reasons    map[string]int
+	Open       int            // still running at the deadline
+	Over       int            // exceeded the bound of Bounds.Share and Bounds.Slack
+	TooLate    int            // exceeded Bounds.StopWithin
+	Exposed    float64        // mean Outcome.Exposed
+	BadAnswers float64        // mean Outcome.BadAnswers
+	Ended      time.Duration  // mean Outcome.EndedAt; open runs count as 0
+	Reasons    map[string]int // number of runs by Outcome.Reason; "" for open runs
 }
 
 // Measure simulates rollouts of a version with consecutive seeds, on all
--- a/rollout/judge_test.go
+++ b/rollout/judge_test.go
@@ -21,8 +21,8 @@
 	return &generator{rng: rand.New(rand.NewPCG(3, 1)), judge: NewJudge(policy, testDuration)}
 }
 
-// answers adds n answers of a version, spread over targets of four data halls,
-// with the given error rate and latency.
+// answers adds n answers of a version, spread over twelve targets in four data
+// halls, with the given error rate and mean latency.
 func (g *generator) answers(at time.Duration, version string, n int, errorRate float64, latency time.Duration) {
 	for i := range n {
 		key := Key{Service: "s", Route: "r", Version: version, DataHall: fmt.Sprint("hall-", i%4), Target: fmt.Sprint("t-", i%12)}
@@ -37,7 +37,8 @@
 	}
 }
 
-// both adds answers of both versions once per second of the given period.
+// both adds 200 answers of the old version and 12 of the new one for each second of
+// the given period.
 func (g *generator) both(from, to time.Duration, oldErrorRate, newErrorRate float64, newLatency time.Duration) {
 	for at := from; at < to; at += time.Second {
 		g.answers(at, "v1", 200, oldErrorRate, 30*time.Millisecond)
--- a/standin/cache.go
+++ b/standin/cache.go
@@ -11,17 +11,19 @@
 
 // prefixCache is an LRU cache of prompt prefixes in blocks.
 type prefixCache struct {
-	limit  int // blocks
-	blocks map[uint64]*list.Element
-	order  *list.List // block keys, most recently used first
+	limit  int                      // blocks
+	blocks map[uint64]*list.Element // by the hash of all tokens up to the end of the block
+	order  *list.List               // block keys, most recently used first
 }
 
+// newPrefixCache returns an empty cache for the given number of tokens. With room for
+// less than one block, it caches nothing.
 func newPrefixCache(tokens int) *prefixCache {
 	return &prefixCache{limit: tokens / cacheBlock, blocks: map[uint64]*list.Element{}, order: list.New()}
 }
 
-// lookupAndInsert returns the length of the longest cached prefix in tokens, and
-// caches all full blocks.
+// lookupAndInsert returns the length of the longest prefix of the tokens that was
+// cached before, and caches all their full blocks.
 func (p *prefixCache) lookupAndInsert(tokens []walnutramp.TokenID) int {
 	var c chain
 	cached := 0
@@ -44,6 +46,8 @@
 	return cached
 }
 
+// add caches a block that is not cached, and evicts the least recently used ones
+// beyond the limit.
 func (p *prefixCache) add(key uint64) {
 	if p.limit == 0 {
 		return
