--- a/balance/health.go
+++ b/balance/health.go
@@ -31,8 +31,8 @@
 }
 
 // Broke records that the target did not answer or that its response was cut off. Its
-// backoff doubles with each consecutive failure, and it is suspect until it answers
-// again.
+// backoff doubles with each consecutive failure, up to a maximum. The target is suspect
+// for suspectTTL, or until Succeeded.
 func (t *Target) Broke() {
 	t.tracker.mu.Lock()
 	cfg := &t.tracker.cfg
@@ -47,23 +47,27 @@
 	t.tracker.onChange()
 }
 
-// suspectTTL is how long a failed target stays suspect without an answer: longer than
-// a crashed target remains listed.
+// suspectTTL is how long a failed target stays suspect without a complete response:
+// longer than a crashed target remains listed.
 const suspectTTL = 10 * time.Second
 
-// suspect reports whether the target may have ended. The caller holds the mutex.
+// suspect reports whether the target failed for this node, or a peer reported that it
+// failed, less than suspectTTL ago. The caller holds the mutex.
 func (t *Target) suspect(now time.Time) bool {
 	return now.Sub(t.failedAt) < suspectTTL || now.Sub(t.peerFailedAt) < suspectTTL
 }
 
-// unconfirmed reports whether the target's data hall was suspect and the target has not
-// answered this node since. The caller holds the mutex.
+// unconfirmed reports whether the target was a candidate while its data hall was suspect,
+// less than suspectTTL ago, and has not answered this node since. The caller holds the
+// mutex.
 func (t *Target) unconfirmed(now time.Time) bool {
 	return now.Sub(t.hallSuspectAt) < suspectTTL && t.answeredAt.Before(t.hallSuspectAt)
 }
 
-// Lost reports whether the target's state is probably lost: it has ended, is draining
-// or failed, or its data hall is suspect and it has not answered this node since.
+// Lost reports whether the target's state is probably lost. It is if the target has
+// ended, is draining, recently refused a connection or is suspect; if its data hall was
+// suspect and the target has not answered this node since; or if its data hall is suspect
+// and the target has not answered this node within hallSuspectWindow.
 func (t *Target) Lost() bool {
 	t.tracker.mu.Lock()
 	defer t.tracker.mu.Unlock()
@@ -92,7 +96,9 @@
 	return t.hall.suspect
 }
 
-// Suspects returns the incarnations of targets that recently failed for this node.
+// Suspects returns the incarnations of targets that failed for this node less than
+// suspectTTL/2 ago. Peers suspect a target for suspectTTL from the report on; older
+// failures are not reported, as that would extend it further.
 func (t *Tracker) Suspects() []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -106,7 +112,8 @@
 	return ids
 }
 
-// SetSuspects records a peer's report of failed targets.
+// SetSuspects records a peer's report of failed targets. Reports of a target within
+// suspectTTL after the first one do not extend its suspicion.
 func (t *Tracker) SetSuspects(ids []string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -119,16 +126,16 @@
 	}
 }
 
-// A data hall is suspect when at least this share and number of a service's targets
-// there failed within hallSuspectWindow.
+// Thresholds from which a data hall is suspect for a service.
 const (
-	hallSuspectWindow = 1500 * time.Millisecond
-	hallSuspectShare  = 0.25
-	hallSuspectMin    = 2
+	hallSuspectWindow = 1500 * time.Millisecond // period in which failures are counted
+	hallSuspectShare  = 0.25                    // minimum share of the service's targets there that failed
+	hallSuspectMin    = 2                       // minimum number of them
 )
 
-// Erred records an error response. A target whose error rate exceeds its peers' by more
-// than the configured margin is ejected for a while.
+// Erred records an error response. A target whose error rate exceeds the mean of its
+// peers by more than ErrorMargin is put in backoff for ErrorBackoff, and its error rate
+// is halved.
 func (t *Target) Erred() {
 	t.tracker.mu.Lock()
 	defer t.tracker.mu.Unlock()
@@ -139,8 +146,8 @@
 	}
 }
 
-// peerErrorRate returns the mean error rate of a target's peers. The caller holds the
-// mutex.
+// peerErrorRate returns the mean error rate of the other targets of its service; 1 if
+// there are none, so that the target is not ejected. The caller holds the mutex.
 func (t *Tracker) peerErrorRate(of *Target) float64 {
 	if of.pool == nil || of.pool.size < 2 {
 		return 1
@@ -148,7 +155,7 @@
 	return max(0, of.pool.errorRateSum-of.errorRate) / float64(of.pool.size-1)
 }
 
-// Gone records that the target has ended: another target has its address.
+// Gone records that the target has ended, as another target has its address.
 func (t *Target) Gone() {
 	t.tracker.mu.Lock()
 	t.markEnded()
@@ -157,8 +164,8 @@
 }
 
 // Refused records that the target's address refused a connection. Most likely the
-// target has ended and is still listed; after a while it is tried again, as it may only
-// have reached its connection limit.
+// target has ended and is still listed; after refusedTTL it is tried again, as it may
+// only have reached its connection limit.
 func (t *Target) Refused() {
 	t.tracker.mu.Lock()
 	t.refusedAt = uptime.Now()
@@ -167,8 +174,9 @@
 	t.tracker.onChange()
 }
 
-// eachRecentlyFailed calls f for each listed target that recently failed for this node and
-// forgets the others. The caller holds the mutex.
+// eachRecentlyFailed calls f for each listed target that failed for this node within
+// suspectTTL or has ended, and forgets targets whose last failure is older, except listed
+// ones that have ended. The caller holds the mutex.
 func (t *Tracker) eachRecentlyFailed(now time.Time, f func(*Target)) {
 	for target := range t.recentlyFailed {
 		lastFailure := slices.MaxFunc([]time.Time{target.failedAt, target.refusedAt, target.ownUnresponsiveAt}, time.Time.Compare)
@@ -181,7 +189,9 @@
 	}
 }
 
-// Ended returns the incarnations that this node recently found to have ended.
+// Ended returns the listed incarnations that this node found to have ended, or whose
+// address refused it a connection less than refusedTTL/2 ago. Refusals reported by peers
+// are not passed on.
 func (t *Tracker) Ended() []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -195,31 +205,33 @@
 	return ended
 }
 
-// SetEnded records a peer's report of ended targets. It expires sooner than this node's
-// own observation.
+// SetEnded records a peer's report of ended targets. It counts as a refused connection
+// refusedTTL/2 ago, so that it expires sooner than this node's own observation and Ended
+// does not pass it on.
 func (t *Tracker) SetEnded(ids []string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	reportedAt := uptime.Now().Add(-refusedTTL / 2)
+	refusedAt := uptime.Now().Add(-refusedTTL / 2)
 	for _, id := range ids {
-		if target := t.byIncarnation[id]; target != nil && target.refusedAt.Before(reportedAt) {
-			target.refusedAt = reportedAt
+		if target := t.byIncarnation[id]; target != nil && target.refusedAt.Before(refusedAt) {
+			target.refusedAt = refusedAt
 		}
 	}
 }
 
 // refusedTTL is how long a target counts as ended after its address refused a
-// connection: longer than the list lags behind.
+// connection: longer than an ended target stays in the target list.
 const refusedTTL = 5 * time.Second
 
-// Full records that the target rejected a request for lack of capacity.
+// Full records that the target rejected a request for lack of capacity. The target is in
+// backoff for half of MinBackoff.
 func (t *Target) Full() {
 	t.tracker.mu.Lock()
 	defer t.tracker.mu.Unlock()
 	t.backoffUntil = uptime.Now().Add(t.tracker.cfg.MinBackoff / 2)
 }
 
-// Leaves reports whether the target is draining, according to the list or to itself.
+// Leaves reports whether the target is draining, as the list or the target itself said.
 func (t *Target) Leaves() bool {
 	t.tracker.mu.Lock()
 	defer t.tracker.mu.Unlock()
--- a/balance/lives.go
+++ b/balance/lives.go
@@ -1,7 +1,7 @@
 package balance
 
-// Lives returns the incarnations with the given short names; empty for one that is not
-// listed.
+// Lives returns the incarnations whose short names (shortname.Of) are given, in the same
+// order; an empty string for one that is not listed.
 func (t *Tracker) Lives(short []uint32) []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/balance/ownership.go
+++ b/balance/ownership.go
@@ -34,13 +34,13 @@
 // replaceNodes stores the nodes and returns their version and the targets of the local
 // data hall, for which ownership is to be computed; no targets if the nodes are
 // unchanged.
-func (t *Tracker) replaceNodes(own string, all []string) (version uint64, local []*Target) {
+func (t *Tracker) replaceNodes(self string, all []string) (version uint64, local []*Target) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.self == own && slices.Equal(all, t.nodes) {
+	if t.self == self && slices.Equal(all, t.nodes) {
 		return 0, nil
 	}
-	t.self, t.nodes = own, all
+	t.self, t.nodes = self, all
 	t.nodesVersion++
 	for _, p := range t.pools {
 		if h := p.halls[t.cfg.DataHall]; h != nil {
@@ -54,10 +54,10 @@
 
 // ownershipBonuses computes the ownership bonuses of targets without the mutex, as
 // there may be thousands of targets and of nodes.
-func ownershipBonuses(own string, nodes []string, targets []*Target) []float64 {
+func ownershipBonuses(self string, nodes []string, targets []*Target) []float64 {
 	bonuses := make([]float64, len(targets))
 	for i, target := range targets {
-		bonuses[i] = ownershipBonus(own, nodes, target.ID)
+		bonuses[i] = ownershipBonus(self, nodes, target.ID)
 	}
 	return bonuses
 }
@@ -88,7 +88,8 @@
 	}
 }
 
-// SetFarLag sets the additional delay of reports from nodes in other data halls.
+// SetFarLag sets how much later reports arrive from nodes in other data halls than from
+// nodes in this one.
 func (t *Tracker) SetFarLag(lag time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -104,15 +105,16 @@
 	return t.ownerBonus
 }
 
-// ownershipBonus computes the bonus of a target for the node own.
-func ownershipBonus(own string, nodes []string, id string) float64 {
-	if own == "" {
+// ownershipBonus computes the bonus of a target for the node self; 0 before the nodes
+// are set.
+func ownershipBonus(self string, nodes []string, id string) float64 {
+	if self == "" {
 		return 0
 	}
-	mine := ownershipWeight(own, id)
+	mine := ownershipWeight(self, id)
 	ahead := 0
 	for _, node := range nodes {
-		if node != own && ownershipWeight(node, id) > mine {
+		if node != self && ownershipWeight(node, id) > mine {
 			ahead++
 		}
 		if ahead > 1 {
--- a/balance/pool_test.go
+++ b/balance/pool_test.go
@@ -57,12 +57,12 @@
 			}
 			tracker := newTracker(list...)
 			var own []*Run
-			any := func() string { return fmt.Sprint(rng.IntN(14)) }
+			anyTarget := func() string { return fmt.Sprint(rng.IntN(14)) } // 12 and 13 are unknown
 			for step := range 300 {
 				switch rng.IntN(8) {
 				case 0, 1:
-					if target := tracker.byID[any()]; target != nil {
-						own = append(own, target.Begin(Work{Read: 100, Hold: 1 + rng.IntN(500)}, Trace{Copy: any()}))
+					if target := tracker.byID[anyTarget()]; target != nil {
+						own = append(own, target.Begin(Work{Read: 100, Hold: 1 + rng.IntN(500)}, Trace{Copy: anyTarget()}))
 					}
 				case 2, 3:
 					if len(own) > 0 {
@@ -74,12 +74,12 @@
 					if len(own) > 0 {
 						r := own[rng.IntN(len(own))]
 						r.FirstEvent()
-						r.SetCopy(any(), "name")
+						r.SetCopy(anyTarget(), "name")
 					}
 				case 5:
 					var runs []Shared
 					for n := range rng.IntN(4) {
-						runs = append(runs, Shared{Number: uint64(n), Target: any(), Read: rng.IntN(2), Hold: rng.IntN(500), Trace: Trace{Copy: any()}})
+						runs = append(runs, Shared{Number: uint64(n), Target: anyTarget(), Read: rng.IntN(2), Hold: rng.IntN(500), Trace: Trace{Copy: anyTarget()}})
 					}
 					tracker.SetOthers(fmt.Sprint("node-", rng.IntN(3)), runs)
 				case 6:
@@ -102,8 +102,8 @@
 	}
 }
 
-// busyTracker returns a tracker of engines in six data halls, with busy the probability of
-// each of up to three runs per engine.
+// busyTracker returns a tracker of engines in six data halls. Each engine has up to three
+// runs, each with probability busy.
 func busyTracker(engines int, busy float64, seed uint64) *Tracker {
 	rng := rand.New(rand.NewPCG(seed, 2))
 	var list []discovery.Target
@@ -135,6 +135,8 @@
 			for range choices {
 				sc := tracker.newScan(&c)
 				found := sc.candidates()
+				// Besides the scanned targets: samples of the owned and of the connected ones,
+				// the affinity target and the cache holder.
 				require.LessOrEqual(t, len(found), localScan+remoteScan+2*preferredScan+2)
 				sampled += slices.MinFunc(found, byScore).score
 				tracker.scans++
@@ -144,7 +146,7 @@
 				}
 				all += slices.MinFunc(tracker.candidates, byScore).score
 			}
-			require.Less(t, (sampled-all)/choices, interferenceWeight*tracker.prefillMS("s", 8000)/2, "%d engines, %v busy: worse by half the cost of one more run", engines, busy)
+			require.Less(t, (sampled-all)/choices, interferenceWeight*tracker.prefillMS("s", 8000)/2, "%d engines, %v busy: worse by half the prefill interference of one more run", engines, busy)
 			require.LessOrEqual(t, testing.AllocsPerRun(20, func() { tracker.Pick(c) }), 20.0)
 		}
 	}
@@ -171,11 +173,11 @@
 	for _, n := range keysByTarget {
 		most = max(most, n)
 	}
-	require.Less(t, most, 4*20000/200, "at most four times the mean")
+	require.Less(t, most, 4*20000/200, "at most four times the mean of the 200 targets in hall-0")
 }
 
-// A node with few requests must reuse its idle connections, unless their targets are
-// considerably busier than others.
+// A node with few requests must reuse its idle connections, unless their targets have
+// more runs than slots.
 func TestIdleConnectionsAreReused(t *testing.T) {
 	var ids []string
 	for i := range 100 {
@@ -198,10 +200,10 @@
 		serve()
 	}
 	require.Greater(t, len(used), 1, "others are tried now and then")
-	require.Less(t, len(used), 2*80/exploreInterval)
+	require.Less(t, len(used), 2*80/exploreInterval, "less than twice the selections that ignore idle connections")
 	for id := range used {
 		target := tracker.byID[id]
-		for range 12 {
+		for range 12 { // twice the slots
 			target.Begin(Work{}, Trace{})
 		}
 	}
--- a/balance/rest_bench_test.go
+++ b/balance/rest_bench_test.go
@@ -3,8 +3,8 @@
 import "testing"
 
 // BenchmarkTargetWithoutCooldown measures what cooldowns cost a request at a
-// target that never requested one: it is checked before sending and again once
-// connected, and the response is recorded.
+// target that never requested one: Admit just before sending, Rests once
+// connected, and Answered at the response.
 func BenchmarkTargetWithoutCooldown(b *testing.B) {
 	tracker := newTracker(targetList("s", "north", "i-1")...)
 	target := tracker.byID["i-1"]
--- a/consensus/cluster_test.go
+++ b/consensus/cluster_test.go
@@ -49,9 +49,9 @@
 func (c *countingMachine) Restore([]byte) error { return nil }
 
 // inCluster runs f on a group of n members in a synctest bubble.
-func inCluster(t *testing.T, n int, seed uint64, oneWay time.Duration, f func(*testing.T, *cluster)) {
+func inCluster(t *testing.T, n int, seed uint64, oneWayDelay time.Duration, f func(*testing.T, *cluster)) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newCluster(t, n, seed, oneWay, func(walnutramp.NodeName) wal.FS { return memfs.New() })
+		c := newCluster(t, n, seed, oneWayDelay, func(walnutramp.NodeName) wal.FS { return memfs.New() })
 		defer c.close()
 		f(t, c)
 	})
@@ -69,9 +69,9 @@
 	return c, disks
 }
 
-func newCluster(t *testing.T, n int, seed uint64, oneWay time.Duration, disk func(walnutramp.NodeName) wal.FS) *cluster {
+func newCluster(t *testing.T, n int, seed uint64, oneWayDelay time.Duration, disk func(walnutramp.NodeName) wal.FS) *cluster {
 	c := &cluster{t: t, members: map[walnutramp.NodeName]*Member{}}
-	c.delay = func(walnutramp.NodeName, walnutramp.NodeName) time.Duration { return oneWay }
+	c.delay = func(walnutramp.NodeName, walnutramp.NodeName) time.Duration { return oneWayDelay }
 	c.drop = func(walnutramp.NodeName, walnutramp.NodeName, string) bool { return false }
 	var founding Group
 	for i := range n {
@@ -97,7 +97,8 @@
 	}
 }
 
-// clusterPeers delivers a member's calls.
+// clusterPeers sends a member's calls through the simulated network. A call whose request
+// or reply is lost blocks until its context ends.
 type clusterPeers struct {
 	c    *cluster
 	from walnutramp.NodeName
@@ -136,7 +137,8 @@
 	return errors.Newf("unknown method %s", method)
 }
 
-// transmit simulates one-way delivery; false if the message is lost.
+// transmit waits for the one-way delay of a message; false if the message is lost or ctx
+// ends.
 func (c *cluster) transmit(ctx context.Context, from, to walnutramp.NodeName, method string) bool {
 	c.mu.Lock()
 	delay, lost := c.delay(from, to), c.drop(from, to, method)
@@ -158,7 +160,7 @@
 	return c.members[name]
 }
 
-// kill stops a member as a crash would.
+// kill makes a member unreachable and closes it, without handing over leadership.
 func (c *cluster) kill(name walnutramp.NodeName) {
 	c.mu.Lock()
 	m := c.members[name]
--- a/consensus/disk_test.go
+++ b/consensus/disk_test.go
@@ -18,6 +18,7 @@
 	resumed chan struct{} // closed when syncs may proceed; nil if not stalled
 }
 
+// stall blocks syncs until end is called.
 func (d *stallingDisk) stall() (end func()) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -26,6 +27,7 @@
 	return func() { close(until) }
 }
 
+// wait blocks while the disk is stalled.
 func (d *stallingDisk) wait() {
 	d.mu.Lock()
 	until := d.resumed
@@ -67,7 +69,8 @@
 	c, disks := newRealCluster(t, 5)
 	old := c.awaitLeader()
 	term := old.Status().Term
-	time.AfterFunc(stallTime, disks[old.node].stall())
+	endStall := disks[old.node].stall()
+	time.AfterFunc(stallTime, endStall)
 	for began := time.Now(); time.Since(began) < stallTime; time.Sleep(10 * time.Millisecond) {
 		asked := time.Now()
 		require.Equal(t, walnutramp.CodeOK, old.Propose(t.Context(), []byte("command")).Code)
--- a/consensus/election_test.go
+++ b/consensus/election_test.go
@@ -14,13 +14,13 @@
 // leader which has just won.
 func TestLeaderLossCausesOneElection(t *testing.T) {
 	const (
-		oneWay   = 12 * time.Millisecond
-		trials   = 60
-		maxDelay = time.Second // maximum time to the next acknowledged proposal
+		oneWayDelay = 12 * time.Millisecond
+		trials      = 60
+		maxDelay    = time.Second // maximum time to the next acknowledged proposal
 	)
 	terms, longest := 0, time.Duration(0)
 	for seed := range uint64(trials) {
-		inCluster(t, 6, seed, oneWay, func(t *testing.T, c *cluster) {
+		inCluster(t, 6, seed, oneWayDelay, func(t *testing.T, c *cluster) {
 			old := c.awaitLeader()
 			before := old.Status().Term
 			c.kill(old.node)
--- a/consensus/handover_test.go
+++ b/consensus/handover_test.go
@@ -15,10 +15,10 @@
 // with CodeNoLeader, so that it can be retried; none has an unknown outcome.
 func TestHandOverLosesNoAcknowledgement(t *testing.T) {
 	const (
-		oneWay     = 12 * time.Millisecond
-		maxLatency = 250 * time.Millisecond // maximum latency of a proposal
+		oneWayDelay = 12 * time.Millisecond
+		maxLatency  = 250 * time.Millisecond // maximum latency of a proposal
 	)
-	inCluster(t, 6, 1, oneWay, func(t *testing.T, c *cluster) {
+	inCluster(t, 6, 1, oneWayDelay, func(t *testing.T, c *cluster) {
 		c.awaitLeader()
 		var longest atomic.Int64
 		ctx, stop := context.WithCancel(t.Context())
--- a/consensus/stats.go
+++ b/consensus/stats.go
@@ -3,9 +3,9 @@
 // Stats counts leadership events since the member's start.
 type Stats struct {
 	Elected       uint64 // elections won
-	Deposed       uint64 // leaderships lost without a transfer
-	HandedOver    uint64 // transfers requested through HandOver
-	HandedNearer  uint64 // transfers to a better placed member
+	Deposed       uint64 // leaderships lost while no transfer was in progress, also by Close or a disk failure
+	HandedOver    uint64 // completed transfers requested through HandOver
+	HandedNearer  uint64 // completed transfers to a better placed member
 	HandOverFails uint64 // transfers that failed
 }
 
@@ -16,8 +16,8 @@
 	return m.stats
 }
 
-// countHandOver counts a leadership transfer. The caller holds the member's
-// mutex.
+// countHandOver counts a leadership transfer that was completed (done) or failed.
+// The caller holds the member's mutex.
 func (s *Stats) countHandOver(done, toBetterPlaced bool) {
 	switch {
 	case !done:
--- a/consensus/storage.go
+++ b/consensus/storage.go
@@ -30,23 +30,24 @@
 	Voted walnutramp.NodeName
 }
 
-// storage is a member's persistent state, guarded by the member's mutex.
-// Writers of the log also hold disk, acquired after that mutex, so that a
-// leader's own entries can be written without holding it.
+// storage is a member's persistent state. disk guards the log, and the member's
+// mutex the other fields. A writer acquires disk while it holds the member's
+// mutex; a leader writing its own entries then releases the mutex.
 type storage struct {
 	fs       wal.FS
 	ballot   ballot
 	snapshot Snapshot
 	entries  []Entry // after the snapshot
-	staged   []Entry // tail of entries not yet being written
+	staged   []Entry // tail of entries that no write has taken yet
 	synced   uint64  // last index that is synced to disk
 
 	disk sync.Mutex
 	log  *wal.Log
 }
 
-// openStorage loads the persisted state. A new log starts with the founding
-// group; an empty group creates a member that waits to be added.
+// openStorage loads the persisted state. An existing log keeps its group. A new
+// one starts with the founding group; if that is empty, the member waits to be
+// added.
 func openStorage(fs wal.FS, founding Group) (*storage, error) {
 	log, records, err := wal.Open(fs, logFileName)
 	if err != nil {
@@ -65,8 +66,8 @@
 	return s, nil
 }
 
-// saveFounding persists the founding group, since the seeds in the settings may
-// have changed by the next start.
+// saveFounding persists the founding group, since another one may be passed at
+// the next start.
 func (s *storage) saveFounding() error {
 	record, err := encodeRecord(stored{Snapshot: &s.snapshot})
 	if err != nil {
@@ -105,7 +106,7 @@
 func (s *storage) replay(record []byte) error {
 	var r stored
 	if err := msgpack.Unmarshal(record, &r); err != nil {
-		return errors.Wrap(err, "log record")
+		return errors.Wrap(err, "decode record of consensus.log")
 	}
 	switch {
 	case r.Vote != nil:
@@ -119,11 +120,12 @@
 	return nil
 }
 
-// place puts an entry at its index and drops any entries from there on.
+// place puts an entry at its index and drops any entries from there on. It fails
+// if the index is compacted or leaves a gap.
 func (s *storage) place(e Entry) error {
 	at := int(e.Index) - int(s.snapshot.Index) - 1
 	if at < 0 || at > len(s.entries) {
-		return errors.Newf("entry %d does not follow %d", e.Index, s.lastIndex())
+		return errors.Newf("entry %d is out of place: expected %d to %d", e.Index, s.snapshot.Index+1, s.lastIndex()+1)
 	}
 	s.entries = append(s.entries[:at:at], e)
 	return nil
@@ -153,7 +155,8 @@
 	return s.entries[index-s.snapshot.Index-1], true
 }
 
-// from returns up to limit entries from index on.
+// from returns up to limit entries from index on. It panics if the entry at
+// index is compacted.
 func (s *storage) from(index uint64, limit int) []Entry {
 	if index > s.lastIndex() {
 		return nil
@@ -275,7 +278,8 @@
 	return nil
 }
 
-// saveSnapshot replaces the log up to the snapshot's index.
+// saveSnapshot replaces the log up to the snapshot's index; the whole log if it
+// does not hold an entry of the snapshot's term at that index.
 func (s *storage) saveSnapshot(snap Snapshot) error {
 	var kept []Entry
 	if t, ok := s.term(snap.Index); ok && t == snap.Term {
--- a/consensus/trip_test.go
+++ b/consensus/trip_test.go
@@ -36,15 +36,15 @@
 
 // Members up to 12 ms apart keep the configured election timeout.
 func TestNearbyMembersKeepConfiguredTimeout(t *testing.T) {
-	for _, oneWay := range []time.Duration{time.Millisecond, 12 * time.Millisecond} {
-		inCluster(t, 6, 1, oneWay, func(t *testing.T, c *cluster) {
+	for _, oneWayDelay := range []time.Duration{time.Millisecond, 12 * time.Millisecond} {
+		inCluster(t, 6, 1, oneWayDelay, func(t *testing.T, c *cluster) {
 			leader := c.awaitLeader()
 			time.Sleep(5 * time.Second)
 			for _, m := range c.members {
 				require.Equal(t, testElection, m.electionTimeout())
 			}
 			for _, trip := range leader.Trips() {
-				require.InDelta(t, 2*oneWay, trip, float64(time.Millisecond))
+				require.InDelta(t, 2*oneWayDelay, trip, float64(time.Millisecond))
 			}
 		})
 	}
--- a/quarantine/ledger_test.go
+++ b/quarantine/ledger_test.go
@@ -302,7 +302,7 @@
 	require.LessOrEqual(t, len(l.records), maxContents)
 	require.LessOrEqual(t, len(l.atTarget), maxContents+3)
 	require.True(t, isHeld(l, culprit), "quarantined contents are not evicted")
-	require.LessOrEqual(t, len(l.Everything()), maxRepeated)
+	require.LessOrEqual(t, len(l.Everything()), maxSevere)
 	for n := range 100 {
 		clock.recordCrash(l, culprit, target(100000+n), Begun)
 	}
--- a/quarantine/news.go
+++ b/quarantine/news.go
@@ -5,19 +5,20 @@
 	"time"
 )
 
-// repeatTime is how long a local note is included in full updates, in case an
-// incremental update was lost.
+// repeatTime is the age of a crash or successful run up to which its local note
+// is included in full updates, in case an incremental update was lost.
 const repeatTime = 5 * time.Second
 
-// repeatWeight is the weight from which the crashes of a content are included
-// in full updates, so that a restarted node learns them: one more crash
-// quarantines the content.
-const repeatWeight = heldWeight - begunWeight
+// severeWeight is the weight from which the crashes of a content are included
+// in full updates, so that a restarted node learns them: with one more crash of
+// a Begun run the content reaches the quarantine threshold.
+const severeWeight = heldWeight - begunWeight
 
-// maxRepeated bounds the repeated notes in a full update.
-const maxRepeated = 100
+// maxSevere bounds the notes that severeNotes returns.
+const maxSevere = 100
 
-// enqueue stores a local note for distribution. The caller holds l.mu.
+// enqueue stores a local note for distribution and drops the oldest notes
+// beyond maxOutbox. The caller holds l.mu.
 func (l *Ledger) enqueue(n Note, now time.Time) {
 	l.lastNumber++
 	l.outbox = append(l.outbox, numberedNote{number: l.lastNumber, note: n, at: now.Add(-n.Age)})
@@ -25,7 +26,8 @@
 }
 
 // News returns the local notes after a sequence number, with their current
-// ages, and the newest sequence number.
+// ages, and the newest sequence number. Notes beyond the newest maxOutbox are
+// lost; Everything makes up for them.
 func (l *Ledger) News(after uint64) ([]Note, uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -44,8 +46,8 @@
 	return n.note
 }
 
-// Everything returns a full update for a node that missed notes: recent local
-// notes, and all crashes of contents that are quarantined or close to it.
+// Everything returns a full update for a node that missed notes: local notes up
+// to repeatTime old, and the notes of Grave. A note may be among both.
 func (l *Ledger) Everything() []Note {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -59,19 +61,20 @@
 	return append(notes, l.severeNotes(now)...)
 }
 
-// Grave returns the crashes of contents that are quarantined or close to it.
+// Grave returns the newest crashes, local or not, of contents that are
+// quarantined or close to it (see severeWeight), at most maxSevere.
 func (l *Ledger) Grave() []Note {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.severeNotes(l.cfg.Now())
 }
 
-// severeNotes returns the crashes of contents that are quarantined or close to
-// it, at most maxRepeated of the newest. The caller holds l.mu.
+// severeNotes returns the newest crashes of contents whose crashes weigh at
+// least severeWeight, at most maxSevere. The caller holds l.mu.
 func (l *Ledger) severeNotes(now time.Time) []Note {
 	var notes []Note
 	for content, r := range l.records {
-		if weightOf(r.countedCrashes(now)) < repeatWeight {
+		if weightOf(r.countedCrashes(now)) < severeWeight {
 			continue
 		}
 		for _, e := range r.crashes {
@@ -79,5 +82,5 @@
 		}
 	}
 	slices.SortFunc(notes, func(a, b Note) int { return int(a.Age - b.Age) })
-	return notes[:min(maxRepeated, len(notes))]
+	return notes[:min(maxSevere, len(notes))]
 }
--- a/quarantine/witness_test.go
+++ b/quarantine/witness_test.go
@@ -27,7 +27,8 @@
 	return Break{Request: "r", Content: culprit, Target: l.Addr().String(), Address: l.Addr().String(), Standing: Begun, Sent: time.Now()}
 }
 
-// A broken connection to a target that still listens is not a crash.
+// A broken connection to a target that still listens is not a crash; one to a target that
+// has exited is.
 func TestBrokenConnectionIsNoCrash(t *testing.T) {
 	w := NewWitness(New(), dial)
 	defer w.Close()
@@ -67,10 +68,10 @@
 		exited := listener(t)
 		exited.Close()
 		require.Nil(t, w.Refuse(culprit))
-		time.Sleep(2 * time.Millisecond)
-		look := w.Broke(breakAt(exited))
-		w.Stop(look, culprit)
-		<-look.done
+		time.Sleep(2 * time.Millisecond) // the next run must be sent after the previous crash
+		probe := w.Broke(breakAt(exited))
+		w.Stop(probe, culprit) // must return, whether or not the content is a suspect yet
+		<-probe.done
 	}
 	refused := w.Refuse(culprit)
 	require.Equal(t, walnutramp.CodeHeldBack, refused.Code)
--- a/quota/quota.go
+++ b/quota/quota.go
@@ -1,13 +1,14 @@
 // Package quota divides a quota per span of time among all nodes of a site so that the
-// nodes together never exceed it, whatever nodes crash, start, are partitioned or hear
-// late.
+// nodes together never exceed it, even if nodes crash, start, are partitioned or receive
+// assignments late.
 //
 // The control group keeps the set of nodes that may hold a share in its log. Its leader
 // tells each of them the size of the set, n, and for a limited time the node may use
 // 1/n of the quota. A node that joins waits until all assignments of a smaller n have
 // expired, and one span more. A node that falls silent stays in the set until its share
-// has certainly expired. So of the nodes that use a share within one span, each was
-// told an n no lower than their number; docs/design/repeats.md has the proof.
+// has certainly expired. So if k nodes use a share within one span, each of them was told
+// an n of at least k, and their shares add up to at most the quota;
+// docs/design/repeats.md has the proof.
 package quota
 
 import "time"
@@ -18,15 +19,17 @@
 	ShareTTL = 4 * time.Second
 	// AskLimit is how long after the request an answer is accepted.
 	AskLimit = 2500 * time.Millisecond
-	// MaxAbsence is how long a node may go without an assignment and resume its share at
-	// once with the next one.
+	// MaxAbsence is the longest time between the requests of two successive assignments
+	// after which a node uses its share again without waiting for joinDelay.
 	MaxAbsence = 30 * time.Second
 )
 
 // joinDelay is how long a node that joins waits before it uses its share.
 func joinDelay(span time.Duration) time.Duration { return ShareTTL + span }
 
-// evictDelay is how long a silent node stays in the set.
+// evictDelay is how long a silent node stays in the set: until an assignment can neither
+// continue its absence (MaxAbsence), nor still be accepted (AskLimit) or valid (ShareTTL),
+// and one span more.
 func evictDelay(span time.Duration) time.Duration { return MaxAbsence + AskLimit + ShareTTL + span }
 
 // Word is the assignment of a share that the control group's leader sends to a node in
@@ -34,7 +37,8 @@
 type Word struct {
 	Nodes int    // in the set; 0 for no assignment
 	Epoch uint64 // identifies the set; assignments of different sets are unrelated
-	// First says that the node's process joined the set before it was opened.
+	// First says that the node's process joined the set before the set was opened, when no
+	// node had a share. The process need not wait for joinDelay before its first share.
 	First bool
 	Age   time.Duration // since the leader was asked, if relayed by another node
 }
--- a/route/limit.go
+++ b/route/limit.go
@@ -9,14 +9,15 @@
 	"golang.org/x/time/rate"
 )
 
-// usage is what an account uses on this node.
+// usage counts an account's requests on this node and limits their rate.
 type usage struct {
-	running       int
-	rate          *rate.Limiter
-	ratePerSecond int
+	running       int           // requests queued or running
+	rate          *rate.Limiter // nil before the first request with a rate limit
+	ratePerSecond int           // limit that rate was made for
 }
 
-// admit checks the account's limits and counts the request.
+// admit checks the account's limits and counts the request. A resumed request is counted
+// but not checked.
 func (r *Router) admit(req Request) error {
 	u := r.usage[req.Account]
 	if u == nil {
@@ -30,7 +31,7 @@
 	limits := r.limits(req.Account)
 	if limits.Concurrent > 0 && u.running >= limits.Concurrent {
 		return walnutramp.NewError(walnutramp.CodeAccountLimit, walnutramp.NotRun,
-			"account %s has %d concurrent requests, its limit", req.Account, u.running).WithRetryAfter(retryAfterLimit)
+			"account %s has %d concurrent requests; its limit is %d", req.Account, u.running, limits.Concurrent).WithRetryAfter(retryAfterLimit)
 	}
 	if !u.allow(limits.RequestsPerSecond) {
 		return walnutramp.NewError(walnutramp.CodeAccountLimit, walnutramp.NotRun,
@@ -58,6 +59,7 @@
 	}
 }
 
+// limits returns an account's limits; none for an account that the bundle lacks.
 func (r *Router) limits(name walnutramp.ClientAccount) bundle.Limits {
 	for _, a := range r.bundle.Accounts {
 		if a.Name == name {
@@ -78,16 +80,19 @@
 
 const maxEarnedRetries = 100 // retries that may accumulate
 
-func newRetryBudget(ratio, floor float64) *retryBudget {
-	return &retryBudget{ratio: ratio, constantRate: rate.NewLimiter(rate.Limit(floor), int(max(floor, 1))), maxEarned: maxEarnedRetries}
+func newRetryBudget(ratio, constantRate float64) *retryBudget {
+	return &retryBudget{ratio: ratio, constantRate: rate.NewLimiter(rate.Limit(constantRate), int(max(constantRate, 1))), maxEarned: maxEarnedRetries}
 }
 
+// earn adds the budget of one first attempt.
 func (b *retryBudget) earn() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.earned = min(b.earned+b.ratio, b.maxEarned)
 }
 
+// spend takes one retry from the budget, first what was earned, then from the constant
+// rate; false if none is left.
 func (b *retryBudget) spend(now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/route/subset.go
+++ b/route/subset.go
@@ -9,10 +9,10 @@
 	"github.com/walnutramp/walnutramp/bundle"
 )
 
-// Subset returns the targets that a node uses: all of a model's if there are at most
-// perModel, else perModel of them by rendezvous hashing of the node's name, of which
-// half are from its own data hall where possible. It bounds a node's tracking cost on
-// large sites.
+// Subset returns the targets that a node uses, sorted by name: all targets without
+// models, and for each model all its targets if there are at most perModel, else perModel
+// of them by rendezvous hashing of the node's name, at least half of them, where possible,
+// from the node's own data hall. It bounds a node's tracking cost on large sites.
 func Subset(node walnutramp.NodeName, hall walnutramp.DataHall, targets []bundle.Target, perModel int) []bundle.Target {
 	byModel := map[walnutramp.ModelName][]bundle.Target{}
 	var subset []bundle.Target
@@ -37,6 +37,7 @@
 	return subset
 }
 
+// rendezvousSubset returns all targets if there are at most n, else n of them.
 func rendezvousSubset(node walnutramp.NodeName, hall walnutramp.DataHall, targets []bundle.Target, n int) []bundle.Target {
 	if len(targets) <= n {
 		return targets
@@ -47,16 +48,16 @@
 		order[i] = ranked{rankHash(key, string(targets[i].Name)), i}
 	}
 	slices.SortFunc(order, func(a, b ranked) int { return cmp.Compare(b.rank, a.rank) })
-	var local, remote []bundle.Target
+	var reserved, rest []bundle.Target // the first n/2 of the node's own data hall, and others
 	for _, r := range order {
 		t := targets[r.index]
-		if t.DataHall == hall && len(local) < n/2 {
-			local = append(local, t)
-		} else if len(remote) < n {
-			remote = append(remote, t)
+		if t.DataHall == hall && len(reserved) < n/2 {
+			reserved = append(reserved, t)
+		} else if len(rest) < n {
+			rest = append(rest, t)
 		}
 	}
-	return append(local, remote[:n-len(local)]...)
+	return append(reserved, rest[:n-len(reserved)]...)
 }
 
 type ranked struct {
--- a/wal/wal_test.go
+++ b/wal/wal_test.go
@@ -10,7 +10,10 @@
 	"github.com/walnutramp/walnutramp/wal"
 )
 
-const logName = "test.log"
+const (
+	logName    = "test.log"
+	headerSize = 8 // of a record: length and checksum
+)
 
 func record(i int) []byte { return []byte(fmt.Sprintf("record %d", i)) }
 
@@ -34,8 +37,8 @@
 // as durable, and a prefix of the records written.
 func TestCrashAtEveryPoint(t *testing.T) {
 	const n = 8
-	for fail := range 2*n + 2 {
-		for keep := range 25 {
+	for fail := range 2*n + 2 { // open, a write and a sync per record, and no failure
+		for keep := range 25 { // more than one record
 			fs := memfs.New()
 			fs.FailAfter(fail)
 			durable := write(fs, n)
@@ -67,7 +70,7 @@
 		}
 		// Only damage to the last record may be taken for a torn tail.
 		require.Len(t, records, n-1, "byte %d", at)
-		require.GreaterOrEqual(t, at, size-8-len(record(n-1)))
+		require.GreaterOrEqual(t, at, size-headerSize-len(record(n-1)))
 	}
 }
 
@@ -77,19 +80,19 @@
 	require.NoError(t, err)
 	fs.FailAfter(1) // the write succeeds, its sync fails
 	require.ErrorIs(t, l.Append(record(0)), memfs.ErrFault)
-	fs.FailAfter(-1)
+	fs.FailAfter(-1) // the disk works again
 	require.Error(t, l.Append(record(1)))
 }
 
 func TestReplaceIsAtomic(t *testing.T) {
-	for fail := range 6 {
+	for fail := range 6 { // create, write, sync, rename, open, and no failure
 		fs := memfs.New()
 		require.Equal(t, 3, write(fs, 3))
 		l, _, err := wal.Open(fs, logName)
 		require.NoError(t, err)
 		fs.FailAfter(fail)
 		replaced := l.Replace([]byte("snapshot")) == nil
-		fs.Crash(100)
+		fs.Crash(100) // keeps unsynced data
 		_, records, err := wal.Open(fs, logName)
 		require.NoError(t, err)
 		if len(records) == 1 {
