--- a/balance/balance.go
+++ b/balance/balance.go
@@ -108,7 +108,7 @@
 	delisted         map[string]*Target // not in the latest list, by ID
 	delistedSweptAt  time.Time
 	byAddress        map[string]*Target   // by address; of two targets at one address, the later
-	recentlyFailed   map[*Target]struct{} // that failed for this node
+	recentlyFailed   map[*Target]struct{} // that failed for this node or have ended
 	listGeneration   uint64               // of the latest list
 	lastListOrder    uint64               // of the last target indexed
 	hasList          bool
@@ -164,12 +164,12 @@
 	roundRobinSeq       uint64    // the Tracker's when last selected
 	ended               bool      // known to have ended
 	refusedAt           time.Time // when a connection was refused
-	failedAt            time.Time // when it failed, unless it has answered since
-	peerFailedAt        time.Time // when a peer reported that it failed
+	failedAt            time.Time // when it failed for this node; zero after a complete response
+	peerFailedAt        time.Time // when a peer reported that it failed; zero after a complete response
 	unresponsiveAt      time.Time // when this node or a peer found it unresponsive
 	ownUnresponsiveAt   time.Time // when this node found it unresponsive
 	unreachableAt       time.Time // when this node found that it answers nothing at all
-	hallSuspectAt       time.Time // when its data hall was suspect
+	hallSuspectAt       time.Time // when it was last a candidate while its data hall was suspect
 	answeredAt          time.Time // when it last answered this node
 	runs                map[*Run]struct{}
 	peerRuns            map[string]peerRuns // by node
--- a/balance/pool.go
+++ b/balance/pool.go
@@ -242,8 +242,8 @@
 	return sum
 }
 
-// markSuspectHalls marks data halls as suspect in which so many targets failed just now
-// that the others may have, too.
+// markSuspectHalls marks data halls as suspect in which so many targets failed within
+// hallSuspectWindow that the others may have, too.
 func (p *pool) markSuspectHalls(now time.Time) {
 	for _, h := range p.ordered {
 		h.suspect, h.recentFailures = false, 0
@@ -277,7 +277,8 @@
 	}
 }
 
-// SetKept sets until when an idle connection to an incarnation is kept; zero for none.
+// SetKept sets until when an idle connection to an incarnation is kept; zero for none. It
+// ignores an incarnation that is not listed.
 func (t *Tracker) SetKept(incarnation string, until time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/balance/pool_test.go
+++ b/balance/pool_test.go
@@ -200,7 +200,7 @@
 		serve()
 	}
 	require.Greater(t, len(used), 1, "others are tried now and then")
-	require.Less(t, len(used), 2*80/exploreInterval, "less than twice the selections that ignore idle connections")
+	require.Less(t, len(used), 2*80/exploreInterval) // twice the expected selections that ignore idle connections
 	for id := range used {
 		target := tracker.byID[id]
 		for range 12 { // twice the slots
--- a/balance/rest.go
+++ b/balance/rest.go
@@ -40,7 +40,8 @@
 	return r.remaining(now) > 0 || now.Sub(r.probedAt) < probeTimeout
 }
 
-// AskedForRest records that the target requested a cooldown.
+// AskedForRest records that the target requested a cooldown; one that would end earlier
+// than the current one is ignored.
 func (t *Target) AskedForRest(d time.Duration) {
 	t.tracker.mu.Lock()
 	defer t.tracker.mu.Unlock()
@@ -66,9 +67,11 @@
 	t.markDraining()
 }
 
-// Admit reports whether the target accepts a new request now. It must be called just
-// before sending: since the selection, the target may have answered another request, or
-// the machine may have been suspended.
+// Admit reports whether a request may be sent to the target: it is not draining and not
+// in cooldown. After a cooldown, a call that returns true takes the probe request, and
+// further calls return false for probeTimeout or until Answered. Admit must be called
+// just before sending: since the selection, the target may have answered another request,
+// or the machine may have been suspended.
 func (t *Target) Admit() bool {
 	t.tracker.mu.Lock()
 	defer t.tracker.mu.Unlock()
@@ -86,7 +89,8 @@
 	return true
 }
 
-// Rests reports whether the target's cooldown lasts.
+// Rests reports whether the target's cooldown lasts. Unlike Admit, it disregards the
+// probe request and takes none.
 func (t *Target) Rests() bool {
 	t.tracker.mu.Lock()
 	defer t.tracker.mu.Unlock()
@@ -115,7 +119,7 @@
 	return shortest
 }
 
-// Resting returns the number of targets in cooldown.
+// Resting returns the number of listed targets in cooldown.
 func (t *Tracker) Resting() (n int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/balance/run.go
+++ b/balance/run.go
@@ -206,8 +206,9 @@
 	}
 }
 
-// expirePeers expires the reports of peers that have not been heard for long. The
-// caller holds the mutex.
+// expirePeers stops counting the runs of peers that have not been heard for
+// peerReportTTL, and drops the reports of those not heard for copyTTL. The caller holds
+// the mutex.
 func (t *Tracker) expirePeers(now time.Time) {
 	if now.Before(t.nextPeerExpiry) {
 		return
@@ -237,14 +238,15 @@
 	}
 }
 
-// peerReportTTL is how long a peer's report is valid.
+// peerReportTTL is how long the runs in a peer's report count as occupancy.
 const peerReportTTL = 3 * time.Second
 
 // OnChange sets the function called when this node's runs change.
 func (t *Tracker) OnChange(f func()) { t.onChange = f }
 
-// Runs returns this node's runs with nonzero Work, including those that failed
-// recently.
+// Runs returns this node's active runs with nonzero Work at listed targets, its runs
+// that failed within copyTTL and, for copyTTL after Remember, the restored traces as
+// failed runs.
 func (t *Tracker) Runs() []Shared {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -318,7 +320,9 @@
 	}
 }
 
-// TraceOf returns what is known of the runs with a key; false if nothing is.
+// TraceOf returns the trace of a key as known from NoteTrace, Remember and the prompt
+// index; false if nothing is known. It does not consult this node's own runs or the
+// runs that peers reported with SetOthers.
 func (t *Tracker) TraceOf(key string) (Trace, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -332,8 +336,8 @@
 	return trace, trace.ReadAt != "" || trace.Copy != ""
 }
 
-// Remember restores the traces that this node knew before it restarted; age is the time
-// since then.
+// Remember restores the traces that this node saved before it restarted; age is the time
+// since they were saved. Of traces older than copyTTL it omits the copy.
 func (t *Tracker) Remember(traces []Trace, age time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -347,8 +351,9 @@
 	}
 }
 
-// FindCopy returns the copy of a run with a key that failed here or at a peer, or whose
-// node does not answer. Nil if none is known at an available target.
+// FindCopy returns the copy of a run with a key: of a failed run of this node, else of any
+// run that a peer reported, failed or not, else of a trace from NoteTrace or Remember.
+// Nil if none is known, or if its target is not available or is suspect.
 func (t *Tracker) FindCopy(key string) (at *Target, name string) {
 	if key == "" {
 		return nil, ""
@@ -442,7 +447,7 @@
 	t.scheduleExpiry(report)
 }
 
-// StillThere records that nodes are alive and their last reports are still current.
+// StillThere records that nodes are alive and that their last reports are still current.
 func (t *Tracker) StillThere(nodes []string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/balance/score.go
+++ b/balance/score.go
@@ -70,8 +70,8 @@
 	slotCost          = 30.0 // per request ahead at a plain service, divided by its slots
 )
 
-// Pick returns the best target, or nil. Targets in backoff are selected only if no
-// other is left.
+// Pick returns the best target; nil if none is eligible or, for a copy, if the service
+// lacks memory. Targets in backoff are selected only if no other is left.
 func (t *Tracker) Pick(c Choice) *Target {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -158,7 +158,8 @@
 }
 
 // crossHallCost returns the cost of a target in another data hall: links between halls lose
-// packets now and then, which delays events, and reports of runs there arrive later.
+// packets now and then, which delays events, and reports of runs there arrive later. The
+// caller holds the mutex.
 func (t *Tracker) crossHallCost(choice *Choice, target *Target, now time.Time) float64 {
 	if t.inOtherRegion(target) {
 		return t.regionCost(choice, target.DataHall, now)
--- a/balance/silence.go
+++ b/balance/silence.go
@@ -13,8 +13,8 @@
 // OnSilence sets the function called when a target becomes unresponsive.
 func (t *Tracker) OnSilence(f func()) { t.onUnresponsive = f }
 
-// FellSilent records that the target does not answer. Unreachable says that it answers
-// nothing at all; otherwise the run may only have been preempted.
+// FellSilent records that the target does not answer, and implies Broke. unreachable says
+// that the target answers nothing at all; otherwise the run may only have been preempted.
 func (t *Target) FellSilent(unreachable bool) {
 	t.tracker.mu.Lock()
 	t.addUnresponsive()
@@ -60,8 +60,9 @@
 	t.onUnresponsive()
 }
 
-// SilentSince reports whether the target, or most likely its whole data hall, has
-// become unresponsive since a time and has not answered this node after it.
+// SilentSince reports whether, since a time, this node found the target unreachable or
+// most likely its whole data hall became unresponsive. It is false if the target has
+// answered this node after that time.
 func (t *Target) SilentSince(since time.Time) bool {
 	t.tracker.mu.Lock()
 	defer t.tracker.mu.Unlock()
--- a/bundle/bundle.go
+++ b/bundle/bundle.go
@@ -93,8 +93,9 @@
 	Routes  []Route                 `yaml:"routes"`
 }
 
-// Route declares whether calls under a path prefix may be retried. The longest
-// matching prefix wins; a call without a match is not retried.
+// Route declares whether calls of a method, or of any if Method is empty, under a
+// path prefix may be retried. The longest matching prefix wins, and the first of
+// equal ones; a call without a match is not retried.
 type Route struct {
 	Method     string `yaml:"method"`
 	Path       string `yaml:"path"`
@@ -110,7 +111,8 @@
 	Limits   Limits                   `yaml:"limits"`
 }
 
-// Limits are an account's site-wide limits; zero means unlimited.
+// Limits are an account's limits, which each node enforces for its own requests; zero
+// means unlimited. No node enforces TokensPerSecond.
 type Limits struct {
 	Concurrent        int `yaml:"concurrent"`
 	RequestsPerSecond int `yaml:"requestsPerSecond"`
@@ -130,7 +132,7 @@
 }
 
 // Objective is a service-level objective for an account and model; an empty
-// Account or Model matches all.
+// Account or Model matches all, and a zero duration sets no limit.
 type Objective struct {
 	Name           string                   `yaml:"name"`
 	Account        walnutramp.ClientAccount `yaml:"account"`
--- a/bundle/bundle_test.go
+++ b/bundle/bundle_test.go
@@ -58,7 +58,7 @@
 	require.False(t, s.Repeatable("POST", "/bookings"))
 }
 
-// randomLines returns a random document of numbered randomLines.
+// randomLines returns a document of random lines, some of them joined.
 func randomLines(rng *rand.Rand) []byte {
 	var b strings.Builder
 	for range rng.IntN(30) {
--- a/consensus/disk_test.go
+++ b/consensus/disk_test.go
@@ -69,8 +69,7 @@
 	c, disks := newRealCluster(t, 5)
 	old := c.awaitLeader()
 	term := old.Status().Term
-	endStall := disks[old.node].stall()
-	time.AfterFunc(stallTime, endStall)
+	time.AfterFunc(stallTime, disks[old.node].stall()) // stalls now; the end is called after stallTime
 	for began := time.Now(); time.Since(began) < stallTime; time.Sleep(10 * time.Millisecond) {
 		asked := time.Now()
 		require.Equal(t, walnutramp.CodeOK, old.Propose(t.Context(), []byte("command")).Code)
--- a/consensus/handover.go
+++ b/consensus/handover.go
@@ -42,7 +42,9 @@
 }
 
 // HandOver transfers leadership to a follower whose log is up to date, and
-// reports whether this member has stopped leading. Proposals that arrive
+// reports whether this member has stopped leading. It fails if this member does
+// not lead, another transfer is in progress, no voter answers, or the transfer
+// takes longer than an election timeout. Proposals that arrive
 // meanwhile block and are then rejected with CodeNoLeader; entries appended
 // before are committed and acknowledged first.
 func (m *Member) HandOver(ctx context.Context) bool { return m.handOverTo(ctx, "") }
--- a/consensus/propose.go
+++ b/consensus/propose.go
@@ -38,8 +38,10 @@
 	return m.propose(ctx, Entry{Data: command})
 }
 
-// Change proposes a new group, which may differ from the current one by one
-// member only.
+// Change proposes a new group. CodeBadRequest means that nothing was appended,
+// because the group does not differ from the current one by exactly one member,
+// another change is pending, or no entry of the current term is committed yet.
+// Other codes are those of Propose.
 func (m *Member) Change(ctx context.Context, g Group) ProposeReply {
 	m.mu.Lock()
 	old := m.store.group(m.store.lastIndex())
--- a/consensus/storage.go
+++ b/consensus/storage.go
@@ -125,7 +125,7 @@
 func (s *storage) place(e Entry) error {
 	at := int(e.Index) - int(s.snapshot.Index) - 1
 	if at < 0 || at > len(s.entries) {
-		return errors.Newf("entry %d is out of place: expected %d to %d", e.Index, s.snapshot.Index+1, s.lastIndex()+1)
+		return errors.Newf("entry %d is neither in the log nor next after entry %d", e.Index, s.lastIndex())
 	}
 	s.entries = append(s.entries[:at:at], e)
 	return nil
--- a/duty/gate.go
+++ b/duty/gate.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Backoff after calls that the platform did not accept or answer. It doubles
+// Backoff after calls that ended Fenced, Busy, Unclear or Unreachable. It doubles
 // from minBackoff to maxBackoff, with jitter over its upper half.
 const (
 	minBackoff = 100 * time.Millisecond // a single lost answer hardly delays the next call
@@ -20,7 +20,7 @@
 // and when the next call may be made. It is not safe for concurrent use.
 type Gate struct {
 	unclear         map[Subject]attempt
-	failures        int       // consecutive calls not accepted or not answered
+	failures        int       // consecutive calls that led to a backoff
 	backoffUntil    time.Time // end of the backoff
 	unanswered      int       // consecutive unanswered calls
 	unansweredSince time.Time // send time of the first of these
@@ -39,10 +39,11 @@
 // NewGate returns a gate with no recorded calls.
 func NewGate() *Gate { return &Gate{unclear: map[Subject]attempt{}} }
 
-// NeedsToken reports whether a call needs a higher token than the current one,
-// because an earlier call on its subject with other content may still take
-// effect. A repeat keeps the token: it is idempotent, and a grant costs a log
-// entry.
+// NeedsToken reports whether a call needs a higher token than the current one:
+// the last call on its subject to end Unclear, Fenced or Conflict had no lower
+// token, and it ended Unclear with other content, so that it may still take
+// effect, or it ended Fenced or Conflict. A repeat of an Unclear call keeps the
+// token: it is idempotent, and a grant costs a log entry.
 func (g *Gate) NeedsToken(c Call, current Token) bool {
 	a, ok := g.unclear[c.Subject]
 	return ok && a.token >= current && (a.refused || a.content != c.Content)
@@ -51,8 +52,8 @@
 // Pause returns the remaining backoff.
 func (g *Gate) Pause(now time.Time) time.Duration { return max(0, g.backoffUntil.Sub(now)) }
 
-// Silent returns how long the platform has been unresponsive; 0 if it is not,
-// or after fewer than minUnanswered calls.
+// Silent returns the time since the first of the latest consecutive unanswered
+// calls was sent; 0 if there are fewer than minUnanswered of them.
 func (g *Gate) Silent(now time.Time) time.Duration {
 	if g.unanswered < minUnanswered {
 		return 0
@@ -66,13 +67,14 @@
 // ForgetAnswers resets the state behind Silent and Reached.
 func (g *Gate) ForgetAnswers() { g.unanswered, g.lastAnswered = 0, false }
 
-// Pending reports whether a call that ended Unclear within the given time may
-// still take effect.
+// Pending reports whether a call ended Unclear less than the given time ago, and
+// so may still take effect.
 func (g *Gate) Pending(now time.Time, within time.Duration) bool {
 	return !g.lastUnclear.IsZero() && now.Sub(g.lastUnclear) < within
 }
 
-// Note records the outcome of a call.
+// Note records the outcome of a call. NotSent changes nothing, except that calls
+// under lower tokens are forgotten.
 func (g *Gate) Note(c Call, p Permission, o Outcome, sent, now time.Time) {
 	g.prune(p.Token)
 	if o == NotSent {
--- a/duty/record.go
+++ b/duty/record.go
@@ -80,8 +80,8 @@
 	return r.Waits || !r.Released || slices.Contains(r.Recent, node)
 }
 
-// AfterRelease returns the record after a release. A release under an older
-// token has no effect.
+// AfterRelease returns the record after a release. With a pending call the duty
+// does not count as released. A release under an older token has no effect.
 func (r Record) AfterRelease(c Release) Record {
 	if c.Token != r.Token {
 		return r
--- a/metering/tally.go
+++ b/metering/tally.go
@@ -87,8 +87,8 @@
 	return sum
 }
 
-// Silent returns how many nodes reported last between since and until. A report
-// of a restarted process counts for its node.
+// Silent returns how many nodes made their last report after since and before
+// until. A report of a restarted process counts for its node.
 func (t *Tally) Silent(since, until time.Time) int {
 	newest := map[string]time.Time{}
 	for from, node := range t.sources {
--- a/quota/holder.go
+++ b/quota/holder.go
@@ -24,7 +24,8 @@
 func NewHolder(span time.Duration) *Holder { return &Holder{span: span} }
 
 // Take applies the assignment in an answer to a request sent at requestedAt. It ignores
-// late or reordered answers.
+// answers without an assignment, later than AskLimit, or to a request before that of the
+// latest assignment.
 func (h *Holder) Take(w Word, requestedAt time.Time) {
 	now := uptime.Now()
 	issuedAt := requestedAt.Add(-w.Age)
--- a/quota/quota.go
+++ b/quota/quota.go
@@ -27,9 +27,9 @@
 // joinDelay is how long a node that joins waits before it uses its share.
 func joinDelay(span time.Duration) time.Duration { return ShareTTL + span }
 
-// evictDelay is how long a silent node stays in the set: until an assignment can neither
-// continue its absence (MaxAbsence), nor still be accepted (AskLimit) or valid (ShareTTL),
-// and one span more.
+// evictDelay is how long a silent node stays in the set: until it can no longer resume its
+// share (MaxAbsence) by an answer that is under way (AskLimit), that share has expired
+// (ShareTTL), and a span has passed.
 func evictDelay(span time.Duration) time.Duration { return MaxAbsence + AskLimit + ShareTTL + span }
 
 // Word is the assignment of a share that the control group's leader sends to a node in
--- a/route/grant.go
+++ b/route/grant.go
@@ -33,7 +33,7 @@
 	return Broken
 }
 
-// Grant is a slot at a target. The caller must call Done once.
+// Grant is a slot at a target, held until Done.
 type Grant struct {
 	Target bundle.Target
 
@@ -62,7 +62,8 @@
 	return g.state.stallLimit(r.cfg.StallFloor, r.cfg.StallCap)
 }
 
-// Tokens records that tokens arrived after a gap.
+// Tokens records that tokens arrived after a gap. The first call marks the end of the
+// prefill, and its gap is ignored.
 func (g *Grant) Tokens(gap time.Duration) {
 	r := g.router
 	r.mu.Lock()
@@ -123,8 +124,8 @@
 }
 
 // Hold takes a slot at a target where the work already runs, regardless of the target's
-// load and health. False means that the bundle has no such target or that the account's
-// limits refuse the request.
+// load and health. It returns false if the bundle has no such target or the account's
+// limits, which do not apply to a resumed request, refuse the request.
 func (r *Router) Hold(name walnutramp.TargetName, req Request) (*Grant, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -152,8 +153,8 @@
 	return g
 }
 
-// Forecast predicts the wait of a request at the best live target not in req.Avoid;
-// false if there is none.
+// Forecast predicts the wait of a request at the best live target not in req.Avoid,
+// whether or not the target has capacity; false if there is none.
 func (r *Router) Forecast(req Request) (time.Duration, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/route/limit.go
+++ b/route/limit.go
@@ -31,7 +31,7 @@
 	limits := r.limits(req.Account)
 	if limits.Concurrent > 0 && u.running >= limits.Concurrent {
 		return walnutramp.NewError(walnutramp.CodeAccountLimit, walnutramp.NotRun,
-			"account %s has %d concurrent requests; its limit is %d", req.Account, u.running, limits.Concurrent).WithRetryAfter(retryAfterLimit)
+			"account %s reached its limit of %d concurrent requests", req.Account, limits.Concurrent).WithRetryAfter(retryAfterLimit)
 	}
 	if !u.allow(limits.RequestsPerSecond) {
 		return walnutramp.NewError(walnutramp.CodeAccountLimit, walnutramp.NotRun,
--- a/route/route.go
+++ b/route/route.go
@@ -81,7 +81,8 @@
 	}
 }
 
-// Request describes a request for a slot at a target.
+// Request describes a request for a slot at a target. A target in Avoid is not used unless
+// it is the only live one of the model; policies other than Predicted ignore Avoid.
 type Request struct {
 	Account      walnutramp.ClientAccount
 	Priority     int
@@ -129,7 +130,8 @@
 	}
 }
 
-// Apply puts a bundle in force and keeps the state of targets that remain.
+// Apply puts a bundle in force. It keeps the state of targets that remain at the same
+// address.
 func (r *Router) Apply(b *bundle.Bundle) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -266,8 +268,8 @@
 	return r.cfg.MaxQueueTime
 }
 
-// shed makes room in the queue for w, or rejects w if the queue is full of others that
-// go first or its predicted wait exceeds its limit.
+// shed makes room in the queue for w. It rejects w if the queue is full of requests of the
+// same or higher priority, or if the predicted wait of w exceeds its maxWait.
 func (r *Router) shed(q *modelQueue, w *waiter) error {
 	victim := q.shedCandidate(w.req, r.cfg.QueueLimit)
 	if victim == nil && !w.req.Resume && q.predictedWait(w.req.Priority) > w.maxWait {
@@ -367,5 +369,5 @@
 		"no live target serves model %s", m).WithRetryAfter(retryAfterNoTarget)
 }
 
-// SpendRetry reports whether a retry is within the budget, and spends it.
+// SpendRetry reports whether a retry is within the budget and, if so, spends it.
 func (r *Router) SpendRetry() bool { return r.budget.spend(time.Now()) }
--- a/route/target.go
+++ b/route/target.go
@@ -147,8 +147,8 @@
 	return r.cfg.CooldownLeft(s.spec)
 }
 
-// modelCooldown returns the shortest remaining cooldown of a model's targets; 0 if none
-// is in cooldown.
+// modelCooldown returns the shortest remaining cooldown of those targets of a model that
+// otherwise accept work; 0 if none of them is in cooldown.
 func (r *Router) modelCooldown(m walnutramp.ModelName, now time.Time) time.Duration {
 	var shortest time.Duration
 	for _, s := range r.byModel[m] {
--- a/wal/wal.go
+++ b/wal/wal.go
@@ -122,8 +122,9 @@
 	return append(dst, record...)
 }
 
-// Append writes and syncs records. After an error the log accepts no more
-// writes, since the state on disk after a failed sync is unknown.
+// Append writes and syncs records. After a failed write or sync the log accepts
+// no more writes, since the state on disk is then unknown. A record of invalid
+// size fails only this call, which then writes nothing.
 func (l *Log) Append(records ...[]byte) error {
 	if l.err != nil {
 		return l.err
@@ -150,7 +151,8 @@
 // Size returns the log's size in bytes.
 func (l *Log) Size() int64 { return l.size }
 
-// Replace atomically replaces all records.
+// Replace atomically replaces all records. After an error the log accepts no more
+// writes. Unlike Append, it does not check the sizes of the records.
 func (l *Log) Replace(records ...[]byte) error {
 	if l.err != nil {
 		return l.err
--- a/wal/wal_test.go
+++ b/wal/wal_test.go
@@ -10,10 +10,7 @@
 	"github.com/walnutramp/walnutramp/wal"
 )
 
-const (
-	logName    = "test.log"
-	headerSize = 8 // of a record: length and checksum
-)
+const logName = "test.log"
 
 func record(i int) []byte { return []byte(fmt.Sprintf("record %d", i)) }
 
@@ -70,7 +67,7 @@
 		}
 		// Only damage to the last record may be taken for a torn tail.
 		require.Len(t, records, n-1, "byte %d", at)
-		require.GreaterOrEqual(t, at, size-headerSize-len(record(n-1)))
+		require.GreaterOrEqual(t, at, size-8-len(record(n-1))) // a record has a header of 8 bytes
 	}
 }
 
