--- a/caller/caller.go
+++ b/caller/caller.go
@@ -20,7 +20,8 @@
 type Generations interface {
 	// Open starts a generation.
 	Open(ctx context.Context, spec generation.Spec) (*generation.Generation, error)
-	// Continue returns the generation at a position.
+	// Continue returns the generation that a position names, after taking it
+	// over from another node if necessary.
 	Continue(ctx context.Context, p walnutramp.Position) (*generation.Generation, error)
 	// ByKey returns the generation that a key opened, or nil.
 	ByKey(ctx context.Context, account walnutramp.ClientAccount, key string) (*generation.Generation, error)
@@ -47,8 +48,8 @@
 	Answered(code walnutramp.Code)
 	// FirstToken reports the time to first token of a generation.
 	FirstToken(account walnutramp.ClientAccount, model walnutramp.ModelName, d time.Duration)
-	// Silence reports the time between two releases of tokens, and the number of tokens
-	// in the second.
+	// Silence reports the time between two releases of tokens to a caller, and the number
+	// of tokens in the second release.
 	Silence(account walnutramp.ClientAccount, model walnutramp.ModelName, d time.Duration, tokens int)
 	// Failed reports a generation that failed after its first token.
 	Failed(account walnutramp.ClientAccount, model walnutramp.ModelName)
@@ -152,7 +153,8 @@
 
 type accountHandler func(w http.ResponseWriter, r *http.Request, a bundle.Account)
 
-// authenticate resolves the client account of the request's API key.
+// authenticate passes a request on to next with the client account of its API key. It
+// rejects requests without a valid key, and all requests until the node has a bundle.
 func (h *Handler) authenticate(next accountHandler) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if h.cfg.Bundle().Version == 0 {
--- a/caller/complete.go
+++ b/caller/complete.go
@@ -19,7 +19,8 @@
 	h.serveGeneration(w, r, a, true)
 }
 
-// serveGeneration serves a request that opens a generation or resumes one.
+// serveGeneration serves a request that opens a generation or, with Last-Event-ID, resumes
+// one.
 func (h *Handler) serveGeneration(w http.ResponseWriter, r *http.Request, account bundle.Account, chat bool) {
 	p, continued, refusal := lastPosition(r)
 	if refusal != nil {
@@ -55,7 +56,8 @@
 	v.sendWhole()
 }
 
-// open starts a generation, or returns the one that the request's key opened before.
+// open starts a generation, or returns the one that the request's key opened before, even
+// if the node is stopping.
 func (h *Handler) open(ctx context.Context, req *generationRequest) (*generation.Generation, error) {
 	if req.spec.Key != "" {
 		g, err := h.cfg.Generations.ByKey(ctx, req.spec.Account, req.spec.Key)
--- a/caller/request.go
+++ b/caller/request.go
@@ -22,7 +22,7 @@
 const (
 	defaultMaxTokens  = 1024
 	promptPrefixBytes = 512 // length of the prompt prefix used for cache affinity
-	maxKeyBytes       = 256 // length of an Idempotency-Key
+	maxKeyBytes       = 256 // maximum length of an Idempotency-Key
 	headerKey         = "Idempotency-Key"
 	headerLast        = "Last-Event-ID"
 )
@@ -48,19 +48,21 @@
 	} `json:"stream_options"`
 }
 
-// reservedFields are set by this system and not forwarded from the caller's request.
+// reservedFields are not forwarded from the caller's request: this system sets them, or
+// serves only their neutral values.
 var reservedFields = []string{
 	"model", "prompt", "messages", "max_tokens", "max_completion_tokens", "stream", "stream_options",
 	"priority", "return_token_ids", "kv_transfer_params", "n", "best_of", "echo", "logprobs",
 }
 
-// restrictedOption is an option that is accepted only, or can be resumed at another engine
-// only, with one of its neutral values.
+// restrictedOption is an option with neutral values, which have the same effect as leaving
+// it out. Any other value is restricted, as the lists below say.
 type restrictedOption struct {
 	name          string
 	neutralValues []string
 }
 
+// unsupportedOptions are rejected with any but a neutral value.
 var unsupportedOptions = []restrictedOption{
 	{"n", []string{"1"}},
 	{"best_of", []string{"1"}},
@@ -74,7 +76,8 @@
 	{"audio", nil},
 }
 
-// engineBoundOptions depend on engine state that can't be transferred to another engine.
+// engineBoundOptions depend on engine state that can't be transferred: a generation that
+// sets one can't be resumed at another engine.
 var engineBoundOptions = []restrictedOption{
 	{"presence_penalty", []string{"0", "0.0"}},
 	{"frequency_penalty", []string{"0", "0.0"}},
@@ -89,8 +92,9 @@
 	{"structured_outputs", nil},
 }
 
-func (n restrictedOption) isSet(all map[string]json.RawMessage) bool {
-	v, ok := all[n.name]
+// isSet reports whether a request sets the option to a value that is not neutral.
+func (o restrictedOption) isSet(all map[string]json.RawMessage) bool {
+	v, ok := all[o.name]
 	if !ok || string(v) == "null" {
 		return false
 	}
@@ -98,7 +102,7 @@
 	if json.Compact(&compact, v) != nil {
 		return true
 	}
-	return !slices.Contains(n.neutralValues, compact.String())
+	return !slices.Contains(o.neutralValues, compact.String())
 }
 
 // readBody reads a request's body within the limits on size and time.
@@ -118,7 +122,7 @@
 	case errors.Is(err, os.ErrDeadlineExceeded), errors.Is(err, context.DeadlineExceeded):
 		return nil, walnutramp.NewError(walnutramp.CodeBodyTimeout, walnutramp.NotRun, "the body did not arrive within %v", h.cfg.BodyTimeout)
 	case err != nil:
-		return nil, walnutramp.NewError(walnutramp.CodeBadRequest, walnutramp.NotRun, "the request body ended early")
+		return nil, walnutramp.NewError(walnutramp.CodeBadRequest, walnutramp.NotRun, "the request body could not be read to its end")
 	}
 	return body, nil
 }
@@ -137,9 +141,9 @@
 	if !ok {
 		return nil, walnutramp.NewError(walnutramp.CodeUnknownModel, walnutramp.NotRun, "no model %q is in the bundle in force", f.Model)
 	}
-	for _, n := range unsupportedOptions {
-		if n.isSet(all) {
-			return nil, walnutramp.NewError(walnutramp.CodeUnsupportedOption, walnutramp.NotRun, "%s is not served", n.name)
+	for _, o := range unsupportedOptions {
+		if o.isSet(all) {
+			return nil, walnutramp.NewError(walnutramp.CodeUnsupportedOption, walnutramp.NotRun, "%s is not served", o.name)
 		}
 	}
 	prompt, err := f.prompt(chat)
@@ -155,9 +159,9 @@
 		Chat: chat, Model: f.Model, Prompt: prompt, PromptKey: promptKey(prompt),
 		Priority: account.Priority, Weight: account.Weight, Options: forwardedOptions(all),
 	}
-	for _, n := range engineBoundOptions {
-		if n.isSet(all) {
-			req.spec.Bound = append(req.spec.Bound, n.name)
+	for _, o := range engineBoundOptions {
+		if o.isSet(all) {
+			req.spec.Bound = append(req.spec.Bound, o.name)
 		}
 	}
 	return req, f.limitTokens(&req.spec, model)
@@ -198,6 +202,8 @@
 	return target.Prompt{Messages: f.Messages}, nil
 }
 
+// limitTokens sets spec.MaxTokens from the request, or to defaultMaxTokens, but to no more
+// than the prompt leaves of the model's context.
 func (f *fields) limitTokens(spec *generation.Spec, model bundle.Model) *walnutramp.Error {
 	available := model.Context - spec.PromptSize()
 	if available <= 0 {
@@ -219,7 +225,8 @@
 	return nil
 }
 
-// forwardedOptions returns the options that are forwarded to the engine unchanged.
+// forwardedOptions removes the reservedFields from all and returns the rest, which are
+// forwarded to the engine unchanged; nil if none are left.
 func forwardedOptions(all map[string]json.RawMessage) json.RawMessage {
 	for _, name := range reservedFields {
 		delete(all, name)
@@ -234,6 +241,8 @@
 	return options
 }
 
+// promptKey returns a hash of the start of a prompt, by which prompts that begin alike are
+// sent to one engine; 0 for a prompt of tokens.
 func promptKey(p target.Prompt) uint64 {
 	text := p.Text
 	if p.Messages != nil {
@@ -245,7 +254,8 @@
 	return xxhash.Sum64String(text[:min(len(text), promptPrefixBytes)])
 }
 
-// lastPosition parses Last-Event-ID, if the request has it.
+// lastPosition returns the position in Last-Event-ID, and whether the request has that
+// header, which is also true with an error.
 func lastPosition(r *http.Request) (walnutramp.Position, bool, *walnutramp.Error) {
 	value := strings.TrimSpace(r.Header.Get(headerLast))
 	if value == "" {
--- a/caller/service.go
+++ b/caller/service.go
@@ -23,7 +23,8 @@
 	Digest  string // of method, path and body
 }
 
-// Held is the ledger's state of a claim.
+// Held is the ledger's state of a claim. Token identifies a claim that is Mine, for Settle.
+// Digest and Outcome are those of the recorded claim; Outcome is final once Settled is set.
 type Held struct {
 	Mine    bool // the claim is new, and its owner may send the request once
 	Token   uint64
@@ -123,8 +124,8 @@
 	})
 }
 
-// sendRepeatable sends an idempotent call, and retries it within the budget until a target
-// answers.
+// sendRepeatable sends an idempotent call until a target answers, at most maxAttempts times
+// and as far as the retry budget allows.
 func (s *serviceCall) sendRepeatable(ctx context.Context) (target.Answer, error) {
 	var avoid []walnutramp.TargetName
 	var last error
@@ -246,7 +247,8 @@
 	return target.Answer{}, walnutramp.NewError(walnutramp.CodeOutcomeUnknown, walnutramp.Unknown, "the request was sent and its outcome is not known")
 }
 
-// settleTimeout bounds recording an outcome, which is not canceled with the request.
+// settleTimeout bounds the recording of an outcome, which goes on after the caller has
+// disconnected.
 const settleTimeout = 5 * time.Second
 
 func (s *serviceCall) sendClaimed(ctx context.Context, claim Claim, token uint64) (target.Answer, error) {
@@ -269,7 +271,7 @@
 	return target.Answer{}, walnutramp.NewError(walnutramp.CodeOutcomeUnknown, walnutramp.Unknown, "the request was sent and no answer came: %v", err)
 }
 
-// notSent reports whether no connection to the target was made.
+// notSent reports whether nothing of the call was sent.
 func notSent(err error) bool {
 	var unsent *target.NotSentError
 	return errors.As(err, &unsent)
--- a/cmd/walnutramp/main_test.go
+++ b/cmd/walnutramp/main_test.go
@@ -24,6 +24,7 @@
 			p := &program{out: &out, err: &out}
 			code := p.run(strings.Fields(args))
 			got := strings.TrimSpace(out.String())
+			// Exit codes have one digit.
 			exit, text, _ := strings.Cut(strings.TrimSpace(want), "\n")
 			require.Equal(t, exit, "exit "+string(rune('0'+code)), got)
 			require.Equal(t, strings.TrimSpace(text), got)
@@ -31,7 +32,8 @@
 	}
 }
 
-// TestDemoCompletesAllDrafts guards against lost drafts and token errors in the demo.
+// TestDemoCompletesAllDrafts guards against lost drafts, and missing, repeated or
+// out-of-place tokens, in the demo.
 func TestDemoCompletesAllDrafts(t *testing.T) {
 	var out bytes.Buffer
 	p := &program{out: &out, err: &out}
@@ -40,12 +42,13 @@
 	var r demoResult
 	require.NoError(t, json.Unmarshal([]byte(lines[len(lines)-1]), &r))
 	require.Equal(t, r.Drafts, r.Complete)
+	// The demo has two phases of demoDrafts drafts.
 	require.Equal(t, 2*demoDrafts*demoTokens, r.Tokens)
 	require.Zero(t, r.Missing+r.Repeated+r.Mixed)
 	require.Positive(t, r.Reconnects)
 }
 
-// TestDemoReportsIncompleteResults guards against a demo that succeeds with a bad
+// TestDemoReportsIncompleteResults checks that check fails for each kind of incomplete
 // result.
 func TestDemoReportsIncompleteResults(t *testing.T) {
 	good := demoResult{Drafts: 1, Complete: 1, LookupsAnswered: 1}
--- a/eventstream/eventstream.go
+++ b/eventstream/eventstream.go
@@ -14,8 +14,8 @@
 // MaxEvent bounds one event, in bytes.
 const MaxEvent = 1 << 20
 
-// ErrTooLong reports an event longer than MaxEvent.
-var ErrTooLong = errors.New("event too long")
+// ErrTooLong reports an event longer than MaxEvent, which its text repeats.
+var ErrTooLong = errors.New("event longer than 1 MiB")
 
 // Event is one event with its original bytes, including the final blank line.
 type Event struct {
@@ -24,14 +24,15 @@
 	HasID bool // the event has an integer ID
 }
 
-// Reader reads events. Bytes after the last blank line are kept as the remainder: a
-// truncated event, or the end of a stream without a final blank line.
+// Reader reads events. When Next fails, the bytes after the last blank line are kept as
+// the remainder: a truncated event, or the end of a stream without a final blank line.
 type Reader struct {
 	source    *bufio.Reader
 	event     []byte
 	remainder []byte
 }
 
+// readBuffer is the size of the read buffer in bytes; lines may be longer.
 const readBuffer = 2 << 10
 
 // NewReader returns a reader of r's events.
@@ -42,7 +43,8 @@
 // Buffered reports whether bytes can be read without blocking.
 func (r *Reader) Buffered() bool { return r.source.Buffered() > 0 }
 
-// Remainder returns the bytes after the last complete event.
+// Remainder returns the bytes read after the last complete event, once Next has failed;
+// nil before. After ErrTooLong the rest of the long event is not included.
 func (r *Reader) Remainder() []byte { return r.remainder }
 
 // Next returns the next complete event, which is valid until the next call. Errors are
--- a/eventstream/eventstream_test.go
+++ b/eventstream/eventstream_test.go
@@ -26,7 +26,7 @@
 				ids = append(ids, e.ID)
 			}
 		}
-		require.Equal(t, []int64{1, 2}, ids)
+		require.Equal(t, []int64{1, 2}, ids) // event 3 is truncated, so it is the remainder
 		require.Equal(t, text, whole.String()+string(r.Remainder()))
 		require.Equal(t, "id: 3\ndata: cut", string(r.Remainder()))
 	}
--- a/explain/explain.go
+++ b/explain/explain.go
@@ -204,8 +204,8 @@
 	"Target asks for rest": true, "Target says that it leaves": true,
 }
 
-// nextStart returns the next start of the process after one of its lines, however
-// late, unless the process logged an orderly exit in between.
+// nextStart returns the next start of a process more than contextMargin after one of its
+// lines, unless the process logged an orderly exit in between.
 func nextStart(all []Line, after Line) []Line {
 	for _, l := range all {
 		if l.Process != after.Process || l.Time <= after.Time+contextMargin {
--- a/explain/window.go
+++ b/explain/window.go
@@ -26,8 +26,8 @@
 	Cause   string
 }
 
-// TraceWindow returns how a usage window was closed and reported to the platform, or
-// false if no line names it.
+// TraceWindow returns how a usage window was closed and reported to the platform; false
+// if no line names the window.
 func TraceWindow(lines []Line, window string) (WindowTrace, bool) {
 	w := WindowTrace{Window: window}
 	w.Lines = filterByField(lines, "window", window)
--- a/gateway/ask.go
+++ b/gateway/ask.go
@@ -13,13 +13,14 @@
 
 // Signs are the backpressure signals in a target's answer.
 type Signs struct {
-	// Rest is the backoff that the target requests; 0 for none.
+	// Rest is the cooldown that the target requests; 0 for none.
 	Rest time.Duration
-	// Leaves reports that the target is shutting down and takes no new requests.
+	// Leaves says that the target is draining: it accepts no new requests.
 	Leaves bool
 }
 
-// Reasons why a request is not sent to the selected target.
+// Reasons why a request is not sent to the selected target: it is draining or in
+// cooldown, or the request is a retry that the budget does not cover.
 var (
 	errNotAdmitted = errors.New("target accepts no requests now")
 	errBudgetSpent = errors.New("retry budget exhausted")
@@ -29,7 +30,8 @@
 func notSent(err error) bool { return errors.Is(err, errNotAdmitted) || errors.Is(err, errBudgetSpent) }
 
 // chargeRetry charges a retry to the budget immediately before it is sent, unless a
-// reservation made when the retry was decided on is still valid.
+// reservation made when the retry was decided on is still valid. It charges nothing for
+// a request that no target has received yet.
 func (g *Gateway) chargeRetry(c *call) error {
 	if !c.reserveRetry(g.budgets.Of(c.service)) {
 		return errBudgetSpent
@@ -40,14 +42,14 @@
 	return nil
 }
 
-// purpose classifies a call to a target, for metrics.
+// purpose classifies a call to a target. Its value is a metric label.
 type purpose string
 
 // The purposes.
 const (
-	purposeFirst  purpose = "first"  // a client request that has reached no target yet
+	purposeFirst  purpose = "first"  // a client request that has reached no target yet and resumes nothing
 	purposeRetry  purpose = "repeat" // a request that other targets rejected or failed
-	purposeResume purpose = "resume" // the remainder of a stream
+	purposeResume purpose = "resume" // the remainder of a stream, also at its first attempt and at retries
 	purposeCopy   purpose = "copy"   // an order about the KV-cache copy of a run
 )
 
@@ -62,16 +64,17 @@
 	return purposeFirst
 }
 
-// send sends a request to a target that accepts it, and applies the load and
-// backpressure signals in the head of the answer. Every call to a target goes through
-// here, so that none bypasses admission.
-func (g *Gateway) send(ctx context.Context, t *balance.Target, why purpose, r *targetconn.Request) (*targetconn.Answer, error) {
+// send sends a request to a target and applies the load and backpressure signals in the
+// head of the answer. It fails with errNotAdmitted if the target is in cooldown or, except
+// for purposeCopy, draining. Every call to a target goes through here, so that none is
+// sent during a cooldown.
+func (g *Gateway) send(ctx context.Context, t *balance.Target, p purpose, r *targetconn.Request) (*targetconn.Answer, error) {
 	accepts := t.Admit
-	if why == purposeCopy {
+	if p == purposeCopy {
 		accepts = func() bool { return !t.Rests() } // runs are copied off a target that is shutting down
 	}
 	if !accepts() {
-		g.counters.notSent(why)
+		g.counters.notSent(p)
 		return nil, errNotAdmitted
 	}
 	charge := r.Gate
@@ -86,7 +89,7 @@
 	}
 	answer, err := g.pool.Do(ctx, endpoint(t), r)
 	if errors.Is(err, errNotAdmitted) {
-		g.counters.notSent(why)
+		g.counters.notSent(p)
 	}
 	if err != nil {
 		return nil, err
--- a/gateway/call.go
+++ b/gateway/call.go
@@ -21,7 +21,7 @@
 	id             string
 	route          *Route
 	service        string
-	engine         Service
+	settings       Service // settings of the service
 	account        Account
 	method         string
 	uri            string
@@ -32,29 +32,29 @@
 	arrived        time.Time
 	deadline       time.Time
 	priority       int
-	rank           int    // of the priority: number of distinct priorities that are more urgent
+	rank           int    // number of distinct priorities in the table that are more urgent than this call's
 	version        uint64 // of the configuration that selected the route
-	lastID         int64  // ID of the last event that the client has
-	hasLast        bool
+	lastID         int64  // ID of the last event that the client has or was forwarded
+	hasLast        bool   // lastID is set
 	work           balance.Work
 	maxOutput      int                      // upper bound of the output, in tokens
 	promptKey      string                   // identifies the prompt, the same whenever the request is sent again
-	resumed        bool                     // the client already has part of the answer
+	resumed        bool                     // the request came with a last event ID; false if its usage header is not parsed, see readWork
 	tried          map[*balance.Target]bool // targets that may have run it
-	rejected       map[*balance.Target]bool // targets that did not run it
+	rejected       map[*balance.Target]bool // targets that did not run it, since nextTarget last polled
 	attempts       int                      // targets selected so far
 	dispatched     int                      // targets that may have started it
 	mayHaveRun     bool                     // at least one target may have run it
 	contacted      bool                     // at least one target received it, even if it rejected it
 	failedHalls    map[string]int           // number of targets that failed it, by data hall
 	noCapacity     bool                     // targets exist, but none can admit the request
-	backoffLeft    time.Duration            // until the first target accepts requests again; 0 if one does now
-	reservedRetry  balance.Repeat           // charged but not yet received by a target
-	rolloutRequest *rollout.Request         // of the current attempt, while its service has a roll-out
+	backoffLeft    time.Duration            // see remainingBackoff; as of the last time that nextTarget found no target
+	reservedRetry  balance.Repeat           // retry taken from the budget, but not yet received by a target
+	rolloutRequest *rollout.Request         // reports the outcome of the current attempt to the roll-out; nil without one
 	metered        bool                     // already counted for its client account
 	fingerprint    quarantine.Fingerprint   // identical for identical requests of a client
 	sentAt         time.Time                // when the current attempt was sent
-	crashProbe     *quarantine.Look         // checks whether the target whose connection broke last has crashed
+	crashProbe     *quarantine.Look         // pending probe whether the target whose connection broke last has crashed
 }
 
 // open reads and validates a request, and resolves its route and client account.
@@ -88,7 +88,7 @@
 		c.priority = account.Priority
 	}
 	c.rank = table.ranks[c.priority]
-	c.engine = table.Services[c.service]
+	c.settings = table.Services[c.service]
 	if err := g.readDeadline(c, r.Header); err != nil {
 		return nil, err
 	}
@@ -104,15 +104,17 @@
 	return c, nil
 }
 
-// readWork derives the expected engine load and the prompt's key from the headers.
+// readWork derives the expected engine load, the output limit and the prompt's key from
+// the headers, and sets resumed. It does nothing for a plain service, or if the dialect
+// has no usage header.
 func (g *Gateway) readWork(c *call, h http.Header) {
 	n := &g.cfg.Names
-	if !c.engine.Engine || n.ParseUsage == nil {
+	if !c.settings.Engine || n.ParseUsage == nil {
 		return
 	}
 	prompt, out := n.ParseUsage(h.Get(n.Usage))
 	c.maxOutput = out
-	c.work = balance.Work{Read: prompt, Hold: prompt + out/2}
+	c.work = balance.Work{Read: prompt, Hold: prompt + out/2} // half of the maximum output is assumed
 	parts := strings.Split(h.Get(n.Prefix), ",")
 	c.promptKey = strings.TrimSpace(parts[len(parts)-1])
 	c.resumed = c.hasLast
@@ -135,7 +137,9 @@
 	return nil
 }
 
-// account returns the client account of an API key.
+// account returns the client account of the values of the API key header, which must be
+// exactly one. The account is empty if the table has none, or for requests without a
+// valid key on an open route.
 func (t *Table) account(keys []string, route *Route) (Account, *walnutramp.Error) {
 	if t.Accounts == nil {
 		return Account{}, nil
@@ -160,7 +164,7 @@
 	}
 	ms, err := strconv.ParseInt(value, 10, 64)
 	if err != nil || ms < 0 {
-		return walnutramp.NewError(walnutramp.CodeBadRequest, walnutramp.NotRun, "the deadline header is not a whole number of milliseconds")
+		return walnutramp.NewError(walnutramp.CodeBadRequest, walnutramp.NotRun, "the deadline header is not a whole number of milliseconds, 0 or more")
 	}
 	if requested := c.arrived.Add(time.Duration(ms) * time.Millisecond); requested.Before(c.deadline) {
 		c.deadline = requested
@@ -190,7 +194,7 @@
 		return bodyTooLarge(limit)
 	}
 	if err != nil {
-		return walnutramp.NewError(walnutramp.CodeBadRequest, walnutramp.NotRun, "the request body ended early")
+		return walnutramp.NewError(walnutramp.CodeBadRequest, walnutramp.NotRun, "the request body could not be read to its end")
 	}
 	g.buffered.Add(int64(len(body)))
 	c.body = body
@@ -201,7 +205,8 @@
 	return walnutramp.NewError(walnutramp.CodeBodyTooLarge, walnutramp.NotRun, "the request body is larger than %d bytes", limit)
 }
 
-// hopByHopHeaders apply to one connection only and are not forwarded.
+// hopByHopHeaders are not forwarded: those that apply to one connection only, and
+// Content-Length and Expect, which the gateway handles itself.
 var hopByHopHeaders = map[string]bool{
 	"Connection": true, "Keep-Alive": true, "Proxy-Connection": true, "Proxy-Authenticate": true, "Proxy-Authorization": true,
 	"Te": true, "Trailer": true, "Transfer-Encoding": true, "Upgrade": true, "Content-Length": true, "Expect": true,
@@ -233,7 +238,7 @@
 	return named
 }
 
-// request builds the request for one target.
+// request builds the request for one target. Its Gate charges the retry budget.
 func (g *Gateway) request(c *call, t *balance.Target) *targetconn.Request {
 	n := &g.cfg.Names
 	h := make(http.Header, len(c.header)+6)
@@ -256,8 +261,12 @@
 	}
 }
 
+// lowestPriority is the least urgent priority that is sent to targets; 0 is the most
+// urgent.
 const lowestPriority = 9
 
+// endpoint identifies a target for the connection pool. A restarted target is another
+// endpoint, even at the same address.
 func endpoint(t *balance.Target) targetconn.Endpoint {
 	return targetconn.Endpoint{ID: t.Life(), Address: t.Address}
 }
--- a/gateway/choose.go
+++ b/gateway/choose.go
@@ -23,8 +23,9 @@
 )
 
 // nextTarget returns the next target to try, or nil. While none is available, it
-// polls until the wait limit. A new request that no engine can admit fails at once, as
-// does one whose targets all back off for longer: its client can retry in time.
+// polls until the wait limit. It returns nil at once if the request may already have run,
+// if it is new and no engine can admit it, or if all its targets are in cooldown for
+// longer than the limit.
 func (g *Gateway) nextTarget(ctx context.Context, c *call) *balance.Target {
 	until := c.arrived.Add(min(time.Duration(float64(c.route.Aim)*waitShare), maxTargetWait))
 	for {
@@ -47,8 +48,8 @@
 	}
 }
 
-// remainingBackoff returns how long all eligible targets still back off; 0 if one
-// does not.
+// remainingBackoff returns the shortest remaining cooldown of the eligible targets; 0
+// unless all of them are in cooldown.
 func (g *Gateway) remainingBackoff(c *call) time.Duration {
 	excluded := g.excludeByVersion(c)
 	return g.targets.RestLeft(c.service, func(t *balance.Target) bool { return c.tried[t] || excluded != nil && excluded(t) })
@@ -83,7 +84,7 @@
 
 // isNew reports whether a call is subject to admission: it has not run anywhere, and
 // its client has no part of the answer.
-func (c *call) isNew() bool { return c.engine.Engine && !c.mayHaveRun && !c.hasLast }
+func (c *call) isNew() bool { return c.settings.Engine && !c.mayHaveRun && !c.hasLast }
 
 // choice returns the selection criteria for the next target. After a failure the key of
 // the prompt is dropped: many requests may look for new targets at once, and are then
--- a/gateway/copies.go
+++ b/gateway/copies.go
@@ -36,7 +36,8 @@
 
 // CopyOrders builds the calls that order engines to copy the KV cache of a run.
 type CopyOrders struct {
-	// Make orders a run's target to copy the run's KV cache to a holder.
+	// Make orders a run's target to copy the run's KV cache to a holder, from the ID of
+	// the client request and the address of the holder.
 	Make func(run, holder string) TargetCall
 	// Made parses the answer: the handle of the copy at the run's target.
 	Made func(answer []byte) (handle string, err error)
@@ -80,7 +81,7 @@
 		request.Header.Set(n.CopyFrom, from.name)
 		g.counters.copyResumes.Inc()
 	}
-	if !g.cfg.Copies || n.CopyHandle == nil || !c.engine.Copies || !c.route.Resume {
+	if !g.cfg.Copies || n.CopyHandle == nil || !c.settings.Copies || !c.route.Resume {
 		return nil
 	}
 	holder := r.pickHolder(t)
@@ -110,7 +111,7 @@
 // renewal. It checks at most once per copyCheckInterval.
 func (k *runCopy) maintain(ctx context.Context) {
 	g, c := k.relay.gateway, k.relay.call
-	if g.cfg.Names.CopyOrders.Make == nil || !g.cfg.Copies || !c.engine.CopyOrders || !c.route.Resume {
+	if g.cfg.Names.CopyOrders.Make == nil || !g.cfg.Copies || !c.settings.CopyOrders || !c.route.Resume {
 		return
 	}
 	k.mu.Lock()
@@ -165,7 +166,7 @@
 	}
 	k.copy = &kvCopy{holder: holder, name: g.cfg.Names.CopyHandle(k.target.Address, handle)}
 	k.handle = handle
-	k.renewAt = uptime.Now().Add(time.Duration(copyRenewShare * float64(c.engine.CopyLife)))
+	k.renewAt = uptime.Now().Add(time.Duration(copyRenewShare * float64(c.settings.CopyLife)))
 	k.run.SetCopy(holder.Life(), k.copy.name)
 	g.counters.copiesOrdered.Inc()
 }
--- a/gateway/demand.go
+++ b/gateway/demand.go
@@ -40,10 +40,10 @@
 
 // countDemand counts a call, unless it resumes an answer.
 func (g *Gateway) countDemand(c *call) {
-	if c.engine.Scaling == nil || c.hasLast {
+	if c.settings.Scaling == nil || c.hasLast {
 		return
 	}
-	if !c.engine.Engine {
+	if !c.settings.Engine {
 		g.demands.add(fleet.Demand{Service: c.service, Requests: 1})
 		return
 	}
@@ -59,7 +59,7 @@
 
 // countRejectedDemand counts a call, as countDemand does, that no engine could admit.
 func (g *Gateway) countRejectedDemand(c *call) {
-	if c.engine.Scaling != nil && !c.hasLast {
+	if c.settings.Scaling != nil && !c.hasLast {
 		g.demands.add(fleet.Demand{Service: c.service, Refused: 1})
 	}
 }
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -16,17 +16,24 @@
 	"github.com/walnutramp/walnutramp/targetconn"
 )
 
-// Names are the header names and encodings of the site's HTTP dialect.
+// Names are the header names and encodings of the site's HTTP dialect. System lists
+// further headers that are removed from client requests. CopyHandle returns the CopyFrom
+// value of a copy: for a copy requested with its run, from the address of the holder and
+// the ID of the client request; for an ordered copy, from the address of the run's target
+// and the handle of the copy there. If CopyHandle is nil, no copies are requested with
+// runs; CopyOrders needs it, unless its Make is nil. ParseLoad parses Load, ParseSigns the
+// backpressure signals of an answer, and ParseUsage Usage; what has no parser is ignored,
+// without ParseUsage also Prefix.
 type Names struct {
 	Identity   string // ID of a client request
 	Deadline   string // milliseconds that the client waits
 	Key        string // the client's API key
 	EventID    string // ID of the last event received
 	Account    string // set for targets: name of the client account
-	Expect     string // set for targets: the target's ID
+	Expect     string // set for targets: ID of the intended target; any other target answers 421
 	Priority   string // set for targets: 0 is most urgent
 	CopyTo     string // set for targets: address that receives a copy of the run's KV cache
-	CopyFrom   string // set for targets: copy from which the run resumes
+	CopyFrom   string // set for targets: the copy from which the run resumes
 	Load       string // in answers: the target's load
 	NotRun     string // in answers: the request was not run
 	System     []string
@@ -45,8 +52,8 @@
 	MaxBuffered int64         // maximum bytes of buffered request bodies
 	Buffers     BufferLimits  // for answers whose clients read slowly
 	Stall       time.Duration // timeout between the events of a stream, where its route sets no maximum gap
-	FirstEvent  time.Duration // timeout for a first event, in addition to the prefill, after which another target is tried
-	StartWait   time.Duration // how long a request waits for a node that has just started
+	FirstEvent  time.Duration // timeout for the first event of a run that can be retried, on top of the predicted prefill time; see firstEventTimeout
+	StartWait   time.Duration // how long a request waits for the first table and target list
 	Lease       func() bool   // whether new work may be accepted; nil for always
 	Copies      bool          // request KV-cache copies of runs
 
@@ -59,9 +66,9 @@
 	// Metering counts the requests of each client account; nil for none.
 	Metering *metering.Counter
 
-	// Find fetches what other nodes know of runs with this key; nil if this node always
-	// knows. Again reports that the client already has part of the answer, so that such
-	// a run must exist.
+	// Find asks other nodes about runs whose prompt has this key; nil to ask none.
+	// Again says that the client already has part of the answer, so that such a run
+	// has begun at some node.
 	Find func(ctx context.Context, key string, again bool)
 	// Borrow obtains a retry for a service from another node's budget; nil for none.
 	Borrow func(ctx context.Context, service string) bool
@@ -77,8 +84,8 @@
 // maximum gap.
 func WithStall(d time.Duration) Option { return func(c *Config) { c.Stall = d } }
 
-// WithFirstEvent sets the timeout for a first event, in addition to the prefill, after
-// which another target is tried.
+// WithFirstEvent sets the timeout for the first event of a run that can be retried, on
+// top of the predicted prefill time.
 func WithFirstEvent(d time.Duration) Option { return func(c *Config) { c.FirstEvent = d } }
 
 // WithLease sets the check for whether new work may be accepted, on a site whose
@@ -97,13 +104,13 @@
 // WithBufferLimits bounds the buffers of answers whose clients read slowly.
 func WithBufferLimits(l BufferLimits) Option { return func(c *Config) { c.Buffers = l } }
 
-// WithFind sets the lookup of runs that other nodes know of.
+// WithFind sets the function that asks other nodes about runs of a prompt.
 func WithFind(find func(ctx context.Context, key string, again bool)) Option {
 	return func(c *Config) { c.Find = find }
 }
 
 // WithBorrow sets the function that borrows a retry from another node when this node's
-// budget is exhausted. It reports whether one is available now.
+// budget is exhausted. The function reports whether it has obtained one.
 func WithBorrow(borrow func(ctx context.Context, service string) bool) Option {
 	return func(c *Config) { c.Borrow = borrow }
 }
@@ -140,9 +147,9 @@
 	budgets *balance.Budgets
 }
 
-// New returns a gateway without a table: it answers 503 until SetTable.
-// Budgets limit retries. Refresh is called when a target is found to differ from its
-// list entry.
+// New returns a gateway without a table. Until SetTable, requests wait up to StartWait
+// and are then answered 503. The budgets limit retries; refresh is called when a
+// target rejects a request as meant for another one, so that the target list is stale.
 func New(targets *balance.Tracker, pool *targetconn.Pool, budgets *balance.Budgets, refresh func(), opts ...Option) *Gateway {
 	cfg := defaultConfig()
 	for _, opt := range opts {
@@ -185,14 +192,16 @@
 	return Limits{}
 }
 
-// Started releases waiting requests if the node has a table and a target list.
+// Started releases the requests in awaitStart if the node has a table and a target list.
+// It must be called when the first target list is loaded; SetTable calls it itself.
 func (g *Gateway) Started() {
 	if g.table.Load() != nil && g.targets.Listed() {
 		g.startOnce.Do(func() { close(g.started) })
 	}
 }
 
-// awaitStart blocks a request until the node is initialized or StartWait has passed.
+// awaitStart blocks until the first table and target list are loaded, StartWait has
+// passed, or ctx ends.
 func (g *Gateway) awaitStart(ctx context.Context) {
 	select {
 	case <-g.started:
@@ -219,13 +228,13 @@
 // The phases of a graceful shutdown.
 const (
 	phaseServing int32 = iota
-	phaseLeaving       // load balancers are being notified; requests are served
+	phaseLeaving       // not ready; requests are served, except streams predicted to outlast the stop
 	phaseClosing       // connections are closed after their answer
 	phaseClosed        // new requests are rejected
 )
 
 // Leave begins a graceful shutdown: the node is no longer ready, and rejects, as not
-// run, streams that are predicted to outlast the given time.
+// run, new streams that are predicted to end after the given time.
 func (g *Gateway) Leave(by time.Time) {
 	g.stopDeadline.Store(&by)
 	g.stopping.Store(phaseLeaving)
@@ -257,10 +266,11 @@
 	return time.Duration(unknownLengthFactor * float64(g.targets.WholeRun(c.service)))
 }
 
-// CloseConnections tells clients to open no more requests on their connections.
+// CloseConnections makes every answer from now on close its connection. Requests are
+// still served as after Leave.
 func (g *Gateway) CloseConnections() { g.stopping.Store(phaseClosing) }
 
-// Refuse rejects new requests as not run.
+// Refuse makes the gateway reject all new requests from now on, as not run.
 func (g *Gateway) Refuse() { g.stopping.Store(phaseClosed) }
 
 // ServeHTTP implements http.Handler.
--- a/gateway/held.go
+++ b/gateway/held.go
@@ -8,7 +8,8 @@
 	"k8s.io/klog/v2"
 )
 
-// BufferLimits bound, in bytes, the buffered part of answers whose clients read slowly.
+// BufferLimits bound, in bytes, the buffered part of answers whose clients read slowly: of
+// one answer, of all answers to one client account, and of all answers.
 type BufferLimits struct {
 	Answer  int64
 	Account int64
--- a/gateway/meter.go
+++ b/gateway/meter.go
@@ -18,12 +18,12 @@
 	minimum map[string]time.Duration // by route
 }
 
-// minimumGrowth is the factor by which the minimum grows with each exchange, so that it
-// adapts to a slower target within some hundred exchanges.
+// minimumGrowth is the factor by which the minimum grows with each exchange that is not
+// shorter, so that it adapts to slower targets.
 const minimumGrowth = 1.01
 
-// estimate returns the part of an exchange's duration during which the request was
-// executed rather than queued.
+// estimate records the duration of an exchange and returns its estimated service time
+// without queueing: the route's minimum, which grows with each longer exchange.
 func (e *serviceTimes) estimate(route string, took time.Duration) time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -40,15 +40,16 @@
 	return grown
 }
 
-// meterFirst counts a request at its first event. A resumed request was counted before.
+// meterFirst counts a stream at its first event. One with a last event ID was counted
+// when it began.
 func (g *Gateway) meterFirst(c *call) {
 	if !c.hasLast {
 		g.meter(c, uptime.Now())
 	}
 }
 
-// meterAnswer counts a request that was answered just now. It is dated to its estimated
-// start, since it may have been queued at its target.
+// meterAnswer counts a plain request when the head of its answer arrives. It is dated to
+// its estimated start, since it may have been queued at its target.
 func (g *Gateway) meterAnswer(c *call) {
 	if g.cfg.Metering == nil {
 		return
@@ -57,7 +58,7 @@
 	g.meter(c, answered.Add(-g.serviceTimes.estimate(c.route.Name, answered.Sub(c.sentAt))))
 }
 
-// meter counts a request once, however many targets run it.
+// meter counts a request once, at the time at which it began, however many targets run it.
 func (g *Gateway) meter(c *call, began time.Time) {
 	if !c.metered {
 		g.cfg.Metering.Count(c.account.Name, began)
--- a/gateway/outbox.go
+++ b/gateway/outbox.go
@@ -47,8 +47,10 @@
 	return b
 }
 
-// Put appends a copy of p. It blocks while the buffer is full, so that nothing more is
-// read from the target meanwhile.
+// Put appends a copy of p. It blocks while a buffer limit is reached, so that nothing more
+// is read from the target meanwhile. After each slowClientTimeout of blocking, the answer
+// with the largest buffer under that limit is aborted. The error is that of ctx, or why
+// writing this answer stopped.
 func (b *responseBuffer) Put(ctx context.Context, p []byte) error {
 	var timeout <-chan time.Time
 	for {
@@ -95,7 +97,8 @@
 	}
 }
 
-// Finish waits until everything is written to the client, or ctx ends.
+// Finish waits until everything is written to the client. If ctx ends before, the rest is
+// discarded. The error says why not everything was written.
 func (b *responseBuffer) Finish(ctx context.Context) error {
 	b.accounting.mu.Lock()
 	b.complete = true
--- a/gateway/refuse.go
+++ b/gateway/refuse.go
@@ -32,13 +32,15 @@
 	RetryAfterMS int64  `json:"retry_after_ms,omitempty"`
 }
 
-// refuse rejects a request with an error of the gateway, before any target is tried.
+// refuse rejects a request with an error of the gateway that was found while opening the
+// call or because the node is stopping. For other errors, see fail.
 func (g *Gateway) refuse(w http.ResponseWriter, r *http.Request, e *walnutramp.Error) {
 	klog.InfoS("Request ended here", "request", r.Header.Get(g.cfg.Names.Identity), "code", int(e.Code), "outcome", e.Outcome, "why", e.Message)
 	g.writeError(w, e)
 }
 
-// fail ends a call with an error of the gateway.
+// fail answers an opened call with an error of the gateway, whether or not a target was
+// tried, and logs the call's details.
 func (g *Gateway) fail(w http.ResponseWriter, c *call, e *walnutramp.Error) {
 	klog.InfoS("Request ended here", "request", c.id, "content", c.fingerprint, "route", c.route.Name, "code", int(e.Code), "outcome", e.Outcome,
 		"sent", c.dispatched, "read", c.work.Read, "priority", c.priority, "ms", uptime.Since(c.arrived).Milliseconds(), "why", e.Message)
@@ -65,7 +67,7 @@
 }
 
 // retryShare is the mean Retry-After of a request that could not be admitted, as a
-// fraction of the mean run time: by then some of the runs have ended.
+// multiple of the mean run time.
 const retryShare = 1.0
 
 // retryDelay returns the Retry-After of a request that could not be admitted, with
@@ -88,7 +90,8 @@
 		return walnutramp.NewError(walnutramp.CodeOverloaded, walnutramp.NotRun, "no engine has free capacity").WithRetryAfter(g.retryDelay(c))
 	}
 	if !c.mayHaveRun && c.backoffLeft > 0 {
-		// Retrying sooner fails at every node: a target sends its backoff to all.
+		// Retrying sooner is likely to fail at other nodes too: a target requests a
+		// cooldown from every node that sends it requests.
 		after := pause.Behind(c.backoffLeft, rand.Float64())
 		return walnutramp.NewError(walnutramp.CodeTargetsRest, walnutramp.NotRun, "all targets are in backoff").WithRetryAfter(after)
 	}
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -170,7 +170,7 @@
 	rc := &runCopy{relay: r, target: t, run: run, copy: o.copy}
 	end := r.execute(ctx, t, o, rc)
 	r.call.rolloutRequest.Dropped() // no effect if an outcome was recorded
-	run.End(balance.RunEnd{Whole: end == runComplete, Tokens: r.events * r.call.engine.EventTokens})
+	run.End(balance.RunEnd{Whole: end == runComplete, Tokens: r.events * r.call.settings.EventTokens})
 	if left := rc.end(end); run.Begun() {
 		r.resumeFrom = left
 	}
--- a/generation/columns.go
+++ b/generation/columns.go
@@ -4,11 +4,11 @@
 	"github.com/walnutramp/walnutramp"
 )
 
-// Columns encodes token-only appends, which are nearly all, column by column. This is
-// several times cheaper to encode than a list of structures.
+// Columns is the column-wise encoding of appends that have only tokens (see tokensOnly).
+// It is cheaper to encode than a list of structures.
 type Columns struct {
-	Handles []uint64
-	Froms   []uint64
+	Handles []uint64 // run handle of each append
+	Froms   []uint64 // offset of each append's first token
 	Counts  []uint64 // number of tokens of each append
 	IDs     []int64  // of all tokens, concatenated
 	Sizes   []uint64 // length of each token's text in bytes
@@ -20,7 +20,7 @@
 	return a.Open == nil && a.PromptTokens == nil && a.Source == nil && a.Final == nil
 }
 
-// add appends a token-only append.
+// add encodes one more append, for which tokensOnly must be true.
 func (c *Columns) add(a *Append) {
 	c.Handles = append(c.Handles, uint64(a.Handle))
 	c.Froms = append(c.Froms, uint64(a.From))
@@ -32,7 +32,8 @@
 	}
 }
 
-// valid reports whether the lengths of the columns are consistent.
+// valid reports whether the lengths of the columns are consistent. Columns received from
+// another node must be checked before they are decoded.
 func (c *Columns) valid() bool {
 	var tokens, bytes uint64
 	for _, n := range c.Counts {
@@ -45,7 +46,7 @@
 		tokens == uint64(len(c.IDs)) && len(c.Sizes) == len(c.IDs) && bytes == uint64(len(c.Text))
 }
 
-// appends decodes the columns, which must be valid.
+// appends decodes the columns, for which valid must be true.
 func (c *Columns) appends() []Append {
 	list := make([]Append, len(c.Handles))
 	tokens := make([]walnutramp.Token, len(c.IDs))
--- a/generation/owner.go
+++ b/generation/owner.go
@@ -121,7 +121,8 @@
 	g.terminate(walnutramp.NewError(walnutramp.CodeOutOfTargets, walnutramp.Unknown, "the generation was stopped: no client followed it"))
 }
 
-// Next returns the output released after from, and waits until there is some.
+// Next returns the output released after offset from, or the end of the generation, and
+// waits for either. The error is a *walnutramp.Error, or that of ctx.
 func (g *Generation) Next(ctx context.Context, from walnutramp.Offset) (Batch, error) {
 	for {
 		b, changed, err := g.readReleased(from)
--- a/generation/place.go
+++ b/generation/place.go
@@ -9,7 +9,8 @@
 )
 
 // chooseMembers returns a replica set: this node, then the live members of keep, then
-// others by Rank, preferring unused data halls. Members of avoid are excluded.
+// other live nodes by Rank, preferring unused data halls. Members of avoid are excluded.
+// The size is odd, and at most the configured number of replicas.
 func (m *Manager) chooseMembers(id walnutramp.GenerationID, keep, avoid []Member) []Member {
 	size := m.cfg.Guard().Replicas
 	self := m.cfg.Directory.Self()
--- a/generation/resume.go
+++ b/generation/resume.go
@@ -31,7 +31,8 @@
 type Resumer interface {
 	// Name identifies the method in logs and metrics.
 	Name() string
-	// Forecast predicts gap and cost; false means that the method is not applicable.
+	// Forecast predicts the gap and the tokens to recompute; false means that the method
+	// is not applicable.
 	Forecast(b *Interrupted) (Forecast, bool)
 	// Resume opens a stream that continues at the end of the log.
 	Resume(ctx context.Context, b *Interrupted) (*attempt, error)
@@ -52,7 +53,8 @@
 const reattachTimeout = 300 * time.Millisecond
 
 // resume continues the interrupted generation with the resumer of the best forecast, and
-// falls back to the next one. The error is that of the last one.
+// falls back to the others in order, in rounds until the error is final. It returns the
+// error of the last resumer, or neither attempt nor error if the log is complete.
 func (g *Generation) resume(ctx context.Context, why cause) (*attempt, error) {
 	began := time.Now()
 	b := g.interrupted(why)
@@ -85,7 +87,7 @@
 	return nil, ctx.Err()
 }
 
-// resumeRetryDelay separates rounds in which every target failed but some live.
+// resumeRetryDelay is the wait between two rounds of resume.
 const resumeRetryDelay = 20 * time.Millisecond
 
 // retryable reports whether another round may succeed: the failure was not a decision of
--- a/generation/run.go
+++ b/generation/run.go
@@ -33,14 +33,14 @@
 
 const (
 	causeFinished  cause = iota
-	causeClosed          // the connection broke or was refused
+	causeClosed          // the connection broke or was refused, or the stream had a gap
 	causeStalled         // the target stopped sending
 	causeStopped         // canceled by this node
 	causeTakenOver       // the previous owner was another node
 )
 
 // launch starts the task that feeds the generation; grant is nil to resume. It returns
-// false if the node is closing.
+// false if the manager is closed.
 func (g *Generation) launch(grant *route.Grant) bool {
 	ctx, stop := context.WithCancel(g.m.ctx)
 	g.rec.mu.Lock()
@@ -123,7 +123,8 @@
 	return g.start(ctx, grant, spec.Prompt, nil)
 }
 
-// start sends a prompt to the granted target and makes it the generation's source.
+// start sends a prompt to the granted target and makes the new stream the generation's
+// source, even if it then fails to open.
 func (g *Generation) start(ctx context.Context, grant *route.Grant, prompt target.Prompt, kv *target.KVHandle) (*attempt, error) {
 	g.rec.mu.Lock()
 	st := &g.rec.state
--- a/logsink/logsink_test.go
+++ b/logsink/logsink_test.go
@@ -43,9 +43,9 @@
 	require.Zero(t, s.Dropped())
 }
 
-// Guards against writers blocked by a full pipe: excess lines must be dropped and
-// counted, and the count logged once the pipe drains.
-func TestWriteDoesNotBlockOnBlockedReader(t *testing.T) {
+// TestWriteDoesNotBlockOnFullPipe guards against callers blocked by a full pipe: excess
+// lines must be dropped and counted, and the count logged once the pipe is read.
+func TestWriteDoesNotBlockOnFullPipe(t *testing.T) {
 	reader, writer, err := os.Pipe()
 	require.NoError(t, err)
 	defer reader.Close()
@@ -64,7 +64,7 @@
 	case <-time.After(10 * time.Second):
 		t.Fatal("Write blocked on the reader")
 	}
-	require.Greater(t, s.Dropped(), 4000)
+	require.Greater(t, s.Dropped(), 4000) // the pipe and the queue hold far fewer than 1000 lines
 	output := make(chan string)
 	go func() {
 		var all bytes.Buffer
@@ -86,7 +86,7 @@
 	}
 }
 
-func TestCloseDoesNotWaitForABlockedReader(t *testing.T) {
+func TestCloseDoesNotWaitForFullPipe(t *testing.T) {
 	reader, writer, err := os.Pipe()
 	require.NoError(t, err)
 	defer reader.Close()
--- a/node/control.go
+++ b/node/control.go
@@ -13,8 +13,8 @@
 )
 
 // setupControl creates the control group client, and on nodes with a disk the
-// consensus member. Only founders start with the initial group; other nodes have
-// to be added to it.
+// consensus member. A member starts with the initial group only if the identity on its
+// disk is consensus.Founder; other members have to be added to the group later.
 func (n *Node) setupControl() error {
 	if len(n.cfg.Control) == 0 {
 		return nil
@@ -86,8 +86,8 @@
 	}
 }
 
-// inForce reports whether the node may accept new requests: always if the bundle
-// comes from a file, otherwise while the control group's lease is valid.
+// inForce reports whether the node may accept new requests: always if there is no control
+// group, otherwise while the node holds the control group's lease.
 func (n *Node) inForce() bool { return n.control == nil || n.control.InForce() }
 
 // Control returns the control group client, or nil without a control group.
@@ -96,7 +96,8 @@
 // Voter returns the node's consensus member, or nil without a control group or disk.
 func (n *Node) Voter() *consensus.Member { return n.voter }
 
-// BundleVersion returns the version of the bundle in force on this node.
+// BundleVersion returns the version of the bundle that is loaded on this node, whether or
+// not the node may accept new requests.
 func (n *Node) BundleVersion() uint64 { return n.bundle.Load().Version }
 
 // statusService serves the node's status to the other nodes.
@@ -115,9 +116,11 @@
 	}
 }
 
+// statusTimeout bounds the wait for the status of the other nodes.
 const statusTimeout = 1 * time.Second
 
-// statusOfAll returns this node's status and that of all live nodes.
+// statusOfAll returns this node's status and that of all other live nodes. A node that
+// fails to answer within statusTimeout is listed with its name and data hall only.
 func (n *Node) statusOfAll(ctx context.Context) []operator.NodeStatus {
 	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
--- a/node/formats_test.go
+++ b/node/formats_test.go
@@ -7,5 +7,5 @@
 	"github.com/walnutramp/walnutramp/node"
 )
 
-// Types sent between nodes.
+// TestFormats compares the encodings of types sent between nodes with testdata/formats.txt.
 func TestFormats(t *testing.T) { schema.Check(t, node.TellArgs{}, node.TellReply{}) }
--- a/node/metrics.go
+++ b/node/metrics.go
@@ -12,7 +12,8 @@
 	"github.com/walnutramp/walnutramp/slo"
 )
 
-// Resume describes a generation that was resumed after a failure.
+// Resume describes a generation that was resumed after a failure: How is the name of the
+// resumer, and At the time at which the new stream was open.
 type Resume struct {
 	Generation walnutramp.GenerationID
 	How        string
--- a/node/node.go
+++ b/node/node.go
@@ -47,7 +47,7 @@
 	Dial              DialFunc
 	LoadInterval      time.Duration
 	ProbePeriod       time.Duration
-	StopDeadline      time.Duration // for requests in flight after Stop
+	StopDeadline      time.Duration // bounds the whole of Stop
 	HeaderTimeout     time.Duration // timeout for reading request headers
 	Seed              uint64
 	GenerationOptions []generation.Option
@@ -94,10 +94,10 @@
 // WithProbePeriod sets the interval between membership probes.
 func WithProbePeriod(d time.Duration) Option { return func(c *Config) { c.ProbePeriod = d } }
 
-// WithLoadInterval sets the interval between load reports of a target.
+// WithLoadInterval sets the interval between polls of a target's load.
 func WithLoadInterval(d time.Duration) Option { return func(c *Config) { c.LoadInterval = d } }
 
-// WithStopDeadline sets how long requests in flight may run after Stop.
+// WithStopDeadline sets how long Stop may take until the remaining requests are aborted.
 func WithStopDeadline(d time.Duration) Option { return func(c *Config) { c.StopDeadline = d } }
 
 // WithControl sets the control group's founders and the operators whose signed
@@ -168,8 +168,8 @@
 	pool          *target.Pool
 	watch         *target.Watch
 	http          *http.Server
-	control       *control.Client   // nil if the bundle comes from a file
-	voter         *consensus.Member // nil on nodes without a disk
+	control       *control.Client   // nil without a control group
+	voter         *consensus.Member // nil without a control group or disk
 	voterState    *control.State
 	placement     *placement.Controller // active while the voter is the leader
 	instanceWatch *discovery.Watch      // nil without a platform
@@ -375,10 +375,10 @@
 // Traffic returns the counters of bytes exchanged with peers.
 func (n *Node) Traffic() *peer.Traffic { return &n.traffic }
 
-// Stop shuts the node down gracefully: it reports not ready, stops accepting
-// requests, waits for those in flight up to the stop deadline, announces that it
-// leaves so that its replicas are replaced, and closes. The waits end early if ctx
-// is done.
+// Stop shuts the node down gracefully: the node reports not ready and rejects new work,
+// waits until load balancers have noticed, waits for the requests in flight, announces
+// that it leaves so that its replicas are replaced, and closes. The waits end at the stop
+// deadline, or earlier if ctx ends.
 func (n *Node) Stop(ctx context.Context) {
 	n.stopping.Store(true)
 	n.http.SetKeepAlivesEnabled(false)
@@ -404,7 +404,7 @@
 	handoverDelay = 2 * time.Second
 )
 
-// Close stops the node at once, without a graceful shutdown.
+// Close stops the node at once and aborts the requests in flight.
 func (n *Node) Close() {
 	n.stopping.Store(true)
 	if n.stopGossip != nil {
--- a/node/quarantine.go
+++ b/node/quarantine.go
@@ -32,7 +32,7 @@
 // TellArgs is the argument of the Tell RPC.
 type TellArgs struct{ Notes []quarantine.Note }
 
-// TellReply is the reply of the Tell RPC: the number of notes that were new.
+// TellReply is the reply of the Tell RPC: the number of notes that were new to the node.
 type TellReply struct{ Fresh int }
 
 // Tell handles the RPC that delivers another node's notes.
--- a/node/report.go
+++ b/node/report.go
@@ -8,7 +8,7 @@
 	"k8s.io/klog/v2"
 )
 
-// reportSaveInterval bounds how much of the report a crash can lose.
+// reportSaveInterval bounds how much of the report a stop or crash can lose.
 const reportSaveInterval = 10 * time.Second
 
 // reportSaver periodically saves the service-level counts on nodes with a disk.
--- a/node/session_test.go
+++ b/node/session_test.go
@@ -54,7 +54,21 @@
 	}
 }
 
-// session executes a script.
+// session executes a script. A line is a command with its arguments; the lines after it that
+// begin with a tab are its body, which only send uses. Lines that begin with # are comments.
+//
+//	site [nodes=3] [engines=2] ...      starts the site; see start
+//	send METHOD PATH [node=1] [Header=value ...]
+//	draft NAME [key=K] [tokens=50] [node=1]  starts a draft in the background
+//	await NAME [gap=500ms]              waits for a draft and prints its result
+//	booking NAME [key=K] [node=1]       sends a booking in the background; NAME is ignored
+//	sleep DURATION
+//	kill NODE|ENGINE, restart NODE|ENGINE
+//	cut A B, heal A B                   blocks or restores the link from A to B
+//	fault ENGINE|all kind=KIND [at=TOKEN] [for=DURATION]
+//	cutanswers [n=1]                    the service executes the next n requests without answering
+//	submit [node=1] [leaving=ENGINE] [version=N] [weights=V]
+//	placed, versions, runs              print the state of engines, nodes and service
 type session struct {
 	t      *testing.T
 	site   *site.Site
@@ -156,6 +170,10 @@
 	return n
 }
 
+// start starts the site. Besides sizes (nodes, engines, services, slots, replicas and
+// control, the number of control group members), its options are hold (EngineConfig's
+// HoldEvery), plain=true (engines send no token IDs), leaning (bundle.Leaning), delay (of
+// the plain service) and concurrent (limit of the account clerks).
 func (s *session) start(opts map[string]string) {
 	cfg := site.Default()
 	s.net = site.NewMemory()
@@ -190,8 +208,8 @@
 
 var generationPattern = regexp.MustCompile(`[0-9a-f]{32}`)
 
-// redactIDs replaces the random generation ids, the only part of a transcript that
-// differs between runs.
+// redactIDs replaces IDs of 32 hex digits: those of generations are random, and the only
+// part of a transcript that differs between runs.
 func redactIDs(text string) string { return generationPattern.ReplaceAllString(text, "GENERATION") }
 
 // send sends one HTTP request and prints the response:
@@ -284,10 +302,11 @@
 			return e
 		}
 	}
-	s.t.Fatalf("no engine %q", name)
+	s.t.Fatalf("no node or engine %q", name)
 	return nil
 }
 
+// fault sets a fault at an engine, or at all; a missing or malformed duration is 0.
 func (s *session) fault(what string, opts map[string]string) {
 	length, _ := time.ParseDuration(opts["for"])
 	f := standin.Fault{Kind: standin.FaultKind(opts["kind"]), AtToken: number(opts, "at", 0), For: length}
@@ -309,7 +328,10 @@
 	s.wait.Go(func() { s.client.Call(s.ctx, call) })
 }
 
-// submit submits the next bundle: submit node=1 [leaving=engine-1] [version=2]
+// submit submits a changed bundle and prints whether it was accepted:
+// submit [node=1] [leaving=engine-1] [version=N] [weights=V]
+// Version is the next one by default. Weights sets the first model's version and enables
+// placement orders.
 func (s *session) submit(opts map[string]string) {
 	b := *s.site.Bundle
 	b.Version = uint64(number(opts, "version", int(b.Version)+1))
@@ -335,7 +357,8 @@
 	}
 }
 
-// versions prints each node's bundle version and whether it accepts new requests.
+// versions prints each node's bundle version and whether the node holds the lease, so
+// that it may accept new requests.
 func (s *session) versions() {
 	for _, n := range s.site.Nodes {
 		s.printf("%s: version %d, takes new work %t\n", n.Name, n.BundleVersion(), n.Control().InForce())
--- a/serve/entry.go
+++ b/serve/entry.go
@@ -22,14 +22,13 @@
 	"k8s.io/klog/v2"
 )
 
-// Times of a graceful shutdown, measured from the stop request. With a short
-// grace period the shares of it apply instead.
+// Times of a graceful shutdown, measured from the stop request.
 const (
 	connCloseDelay = 2500 * time.Millisecond // from then on connections are closed after each response
 	rejectDelay    = 3 * time.Second         // from then on new requests are rejected
 	killMargin     = 300 * time.Millisecond  // left between the shutdown deadline and the kill
-	connCloseShare = 0.6
-	rejectShare    = 0.75
+	connCloseShare = 0.6                     // of the shutdown deadline, instead of a longer connCloseDelay
+	rejectShare    = 0.75                    // of the shutdown deadline, instead of a longer rejectDelay
 )
 
 // shutdownSchedule holds the steps of a graceful shutdown, measured from the
@@ -137,7 +136,7 @@
 	onList  func()
 }
 
-// TakeList implements discovery.Taker.
+// TakeList implements discovery.Taker. The first list lets waiting requests start.
 func (t *targetReceiver) TakeList(list []discovery.Target) {
 	t.closeConnections(t.targets.Update(list))
 	t.onList()
@@ -192,12 +191,12 @@
 	}
 }
 
-// priorRunFinder returns a function that looks up earlier runs of a request key at
-// other nodes. For a retry it also asks other regions, since the first attempt may
-// have run in any of them.
-func priorRunFinder(sharer *loadshare.Sharer) func(ctx context.Context, key string, again bool) {
-	return func(ctx context.Context, key string, retry bool) {
-		if retry {
+// priorRunFinder returns a function that asks other nodes about earlier runs of a prompt
+// key. For a resumed request it also asks other regions, since the earlier run may be in
+// any of them.
+func priorRunFinder(sharer *loadshare.Sharer) func(ctx context.Context, key string, resumed bool) {
+	return func(ctx context.Context, key string, resumed bool) {
+		if resumed {
 			sharer.FindAnywhere(ctx, key)
 		} else {
 			sharer.Find(ctx, key)
--- a/serve/fleet.go
+++ b/serve/fleet.go
@@ -7,7 +7,7 @@
 )
 
 // startFleet starts the controller that scales the services' targets while this
-// member leads the control group. It returns nil if scaling is disabled.
+// member leads the control group. It returns nil if scaling or duties are disabled.
 func (p *Process) startFleet(m *consensus.Member, s *control.Server, holder *control.DutyHolder) (*control.FleetController, error) {
 	if !p.settings.Scales || holder == nil {
 		return nil, nil
--- a/serve/metering.go
+++ b/serve/metering.go
@@ -56,7 +56,8 @@
 }
 
 // startUsageReporting starts the controller that closes usage windows and reports
-// them to the platform while the member holds the duty.
+// them to the platform while the member holds the duty. It does nothing if metering
+// or duties are disabled.
 func (p *Process) startUsageReporting(u *usage, m *consensus.Member, server *control.Server, holder *control.DutyHolder) error {
 	if holder == nil || !p.settings.Metering.Enabled() {
 		return nil
--- a/serve/serve.go
+++ b/serve/serve.go
@@ -130,7 +130,8 @@
 }
 
 // New starts a process. dropped returns the number of log lines dropped so far,
-// for the metrics; it may be nil.
+// for the metrics; it may be nil. After an error, parts that have been started keep
+// running, so the caller has to exit.
 func New(s Settings, a Adapter, dropped func() int) (*Process, error) {
 	if s.MemoryMB > 0 {
 		debug.SetMemoryLimit(int64(float64(s.MemoryMB<<20) * heapShare))
--- a/slo/formats_test.go
+++ b/slo/formats_test.go
@@ -6,5 +6,6 @@
 	"github.com/walnutramp/walnutramp/internal/schema"
 )
 
-// Types stored on disk.
+// TestFormats compares the encoding of the types stored on disk with
+// testdata/formats.txt.
 func TestFormats(t *testing.T) { schema.Check(t, image{}) }
--- a/slo/slo.go
+++ b/slo/slo.go
@@ -13,7 +13,7 @@
 	"github.com/walnutramp/walnutramp/bundle"
 )
 
-// Kind is the latency that an objective bounds.
+// Kind is a latency that an objective bounds; one objective may bound several.
 type Kind string
 
 // Kinds of objectives.
@@ -57,8 +57,9 @@
 	Counts  []Count `json:"counts"`  // in the order of Windows
 }
 
-// Burn returns the burn rate of the error budget in a window: the share of events
-// that missed the objective, relative to the allowed share.
+// Burn returns the burn rate of the error budget in a window, given by its index in
+// Windows: the share of events that missed the objective, relative to the allowed share.
+// It is 0 without events or without a budget.
 func (s Series) Burn(window int) float64 {
 	c := s.Counts[window]
 	if c.Total == 0 || s.Allowed <= 0 {
@@ -67,8 +68,8 @@
 	return float64(c.Total-c.Good) / float64(c.Total) / s.Allowed
 }
 
-// ring holds the counts of a window in a ring buffer with a slot for each bucket of
-// time.
+// ring holds the counts of a window in a ring buffer with one slot for each of the
+// window's buckets.
 type ring struct {
 	Slots []slot
 }
@@ -115,7 +116,8 @@
 	return &Tracker{objectives: objectives, series: map[Key][]ring{}}
 }
 
-// Observe counts n events of duration d for all matching objectives.
+// Observe counts n events of duration d for every objective that bounds the kind and
+// matches the account and model.
 func (t *Tracker) Observe(kind Kind, account walnutramp.ClientAccount, model walnutramp.ModelName, d time.Duration, n int) {
 	now := time.Now()
 	for _, o := range t.objectives() {
@@ -160,7 +162,8 @@
 	}
 }
 
-// Report returns the current counts of all series, sorted by key.
+// Report returns the current counts of all series, sorted by key. Allowed is 0 in a series
+// whose objective no longer exists.
 func (t *Tracker) Report() []Series {
 	now := time.Now()
 	allowed := map[string]float64{}
@@ -188,7 +191,8 @@
 	})
 }
 
-// Merge sums the reports of several nodes, sorted by key.
+// Merge sums the reports of several nodes and sorts the series by key. Allowed is that of
+// the first report with the series.
 func Merge(reports ...[]Series) []Series {
 	sums := map[Key]*Series{}
 	for _, report := range reports {
--- a/slo/store.go
+++ b/slo/store.go
@@ -7,17 +7,19 @@
 
 const storeName = "slo.log"
 
-// Store persists a tracker's counts in the data directory across restarts.
+// Store keeps a tracker's counts on disk across restarts.
 type Store struct {
 	log *wal.Log
 }
 
+// image is the content of the stored record; Rings has an entry for each key, with a ring
+// for each window.
 type image struct {
 	Keys  []Key
 	Rings [][]ring
 }
 
-// OpenStore opens the store and loads the saved counts into t.
+// OpenStore opens the store and loads the saved counts, if any, into t.
 func OpenStore(fs wal.FS, t *Tracker) (*Store, error) {
 	log, records, err := wal.Open(fs, storeName)
 	if err != nil {
--- a/target/engine.go
+++ b/target/engine.go
@@ -12,9 +12,11 @@
 
 // Engine is a model engine.
 type Engine interface {
-	// Start begins a stream, which lives until ctx ends or it is closed.
+	// Start begins a stream, which lives until ctx ends or the stream is closed. The error
+	// is a *NotSentError if nothing was sent, and a *StatusError if the engine answered
+	// with an error status; after any other error the engine may run the stream.
 	Start(ctx context.Context, a Attempt) (Stream, error)
-	// Attach continues a stream that the engine still runs, from token offset from.
+	// Attach continues a stream that the engine still runs, starting at the token at offset from.
 	Attach(ctx context.Context, streamID string, from walnutramp.Offset) (Stream, error)
 	// Cancel ends a stream. It is no error if the stream does not exist.
 	Cancel(ctx context.Context, streamID string) error
@@ -41,8 +43,8 @@
 	UnloadArtifact OrderAction = "unload"
 )
 
-// Fence is a fencing token: it orders the orders of a leader after those of its
-// predecessors.
+// Fence is a fencing token: it ranks an order above all earlier ones, of the same leader
+// (by Sequence) and of leaders of earlier terms.
 type Fence struct {
 	Epoch    uint64 `json:"epoch"` // term of the leader
 	Sequence uint64 `json:"sequence"`
@@ -65,13 +67,14 @@
 	CopyReady   CopyState = "ready"
 )
 
-// Placed lists the artifacts on a target.
+// Placed is the inventory of a target: the state of its copies of artifacts (model
+// weights), and the newest fence that it has accepted.
 type Placed struct {
 	Copies map[string]CopyState `json:"copies"` // by artifact
 	Fence  Fence                `json:"fence"`  // of the newest order that was accepted
 }
 
-// Orders is a target that accepts orders.
+// Orders is a target that accepts orders to load and unload artifacts.
 type Orders interface {
 	// Placed returns the artifacts on the target.
 	Placed(ctx context.Context) (Placed, error)
@@ -84,7 +87,8 @@
 	// Recv returns the next chunk. io.EOF without a preceding Finish means that the
 	// stream was truncated.
 	Recv() (Chunk, error)
-	// Close releases the connection; the engine may continue for a while.
+	// Close releases the connection. It does not cancel the stream at the engine, which
+	// may continue for a while; see Engine.Cancel.
 	Close() error
 }
 
@@ -101,7 +105,7 @@
 	Model     walnutramp.ModelName
 	Prompt    Prompt
 	MaxTokens int
-	Priority  int             // larger is more urgent
+	Priority  int             // larger is more urgent, unlike a gateway.Route's Priority
 	Options   json.RawMessage // the caller's other options, a JSON object, forwarded unchanged
 	KV        *KVHandle       // KV cache to import in place of a prefill
 }
@@ -114,14 +118,15 @@
 	Finish       string               // finish reason; empty unless this is the last chunk
 }
 
-// KVHandle identifies an exported KV cache; its fields are opaque to this system.
+// KVHandle identifies an exported KV cache. It is passed on unchanged from the exporting
+// to the importing engine.
 type KVHandle struct {
 	Address string `json:"remote_address"`
 	Handle  string `json:"remote_handle"`
 	Tokens  int    `json:"remote_tokens"` // number of tokens in the cache
 }
 
-// LoadReport is the load that an engine reports, with some delay.
+// LoadReport is the load that an engine reported. At is when this node received it.
 type LoadReport struct {
 	Running       int     `json:"running"`
 	Waiting       int     `json:"waiting"`
--- a/target/watch.go
+++ b/target/watch.go
@@ -18,7 +18,8 @@
 	Unreachable(name walnutramp.TargetName)
 }
 
-// Watch polls the load of each target, with one goroutine per target.
+// Watch polls the load of each target, with one goroutine per target. To plain services
+// it only connects. A poll of an engine in backoff delivers no result.
 type Watch struct {
 	pool     *Pool
 	sink     ReportSink
