--- a/balance/budget_test.go
+++ b/balance/budget_test.go
@@ -179,9 +179,8 @@
 	}
 }
 
-// The site must never exceed its retry limit, whatever nodes know of each other.
-// Budgets that relied on exchanged counts, which may be late or lost with a crashed
-// node, failed every case.
+// The site must never exceed its retry limit, whatever nodes know of each other: counts
+// exchanged between nodes may be late, or lost with a crashed node.
 func TestSiteStaysWithinRetryLimit(t *testing.T) {
 	const almostAWindow = 9950 * time.Millisecond
 	for name, scenario := range map[string]func(s *budgetSite){
--- a/balance/regions_test.go
+++ b/balance/regions_test.go
@@ -19,8 +19,8 @@
 	"east-a": "east", "east-b": "east", "mid-a": "mid", "mid-b": "mid", "west-a": "west", "west-b": "west",
 }
 
-// regionTracker returns the tracker of a node in east-a, with the given number of
-// engines in each data hall, named after it.
+// regionTracker returns the tracker of a node in east-a. Each data hall has the given
+// number of engines, whose IDs begin with the data hall's name.
 func regionTracker(engines int, opts ...Option) *Tracker {
 	t := NewTracker(WithSeed(1), WithDataHall("east-a"), WithTopology(topology.New("east-a", regionHalls)))
 	for _, opt := range opts {
--- a/balance/rivals_test.go
+++ b/balance/rivals_test.go
@@ -88,7 +88,7 @@
 }
 
 // An estimated run duration of 0 must not overflow the number of concurrent selections,
-// which made Pick panic.
+// which would make Pick panic.
 func TestZeroRunDurationDoesNotOverflow(t *testing.T) {
 	tr := NewTracker(WithSeed(1))
 	tr.Update(siteEngines(24, 1))
--- a/balance/run.go
+++ b/balance/run.go
@@ -118,8 +118,8 @@
 	Tokens int  // output tokens, 0 if unknown
 }
 
-// End stops tracking the request. A failed run is remembered for as long as its copy
-// may be kept.
+// End stops tracking the request. A run that failed after its first event is remembered,
+// if it has a key, for as long as its copy may be kept.
 func (r *Run) End(end RunEnd) {
 	tracker := r.target.tracker
 	tracker.mu.Lock()
--- a/balance/score.go
+++ b/balance/score.go
@@ -21,7 +21,7 @@
 	Again bool
 	// Exclude filters out targets, such as those already tried.
 	Exclude func(*Target) bool
-	// Copy selects the holder of a copy of a run.
+	// Copy selects a target to hold a copy of a run, rather than to run the request.
 	Copy bool
 	// Admission marks a new request: only a target with capacity for it is selected,
 	// predicted to begin it within Within.
--- a/consensus/member.go
+++ b/consensus/member.go
@@ -33,7 +33,7 @@
 	store        *storage
 	role         role
 	knownLeader  walnutramp.NodeName
-	lastContact  time.Time // last contact with a leader, or last vote granted
+	lastContact  time.Time // last contact with a leader, vote granted, or start of an own election
 	lastVote     time.Time // last vote granted to another member since process start
 	commit       uint64
 	applied      uint64
--- a/groupclock/agreement.go
+++ b/groupclock/agreement.go
@@ -17,7 +17,7 @@
 )
 
 // Agreement computes the time that a majority of the members' wall clocks agree
-// on.
+// on. It is not safe for concurrent use.
 type Agreement struct {
 	steady  Steady
 	members map[string]*filter
@@ -93,8 +93,9 @@
 	return fresh
 }
 
-// Agreed sets the time from a result, on the member that computed it. Both use
-// the same monotonic clock.
+// Agreed adds a result to the follower's samples, on the member that computed
+// it; a result without agreement is ignored. The follower and the Agreement must
+// use the same monotonic clock.
 func (f *Follower) Agreed(r Result) {
 	if r.Agreed {
 		f.addSample(sample{at: r.at, offset: r.offset, within: r.Within})
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -152,7 +152,8 @@
 	return true
 }
 
-// checkInvariants checks the invariants.
+// checkInvariants checks that a ready copy remains, that at most one load above the limit
+// is in progress, and that other engines load only once the canary share is ready.
 func (c *cluster) checkInvariants(t *testing.T) {
 	ready, loading, canary := 0, 0, 0
 	first := (len(c.orderBooks) + 3) / 4
--- a/quarantine/ledger.go
+++ b/quarantine/ledger.go
@@ -61,7 +61,8 @@
 // OnHeld sets the callback for newly quarantined contents.
 func (l *Ledger) OnHeld(f func(Fingerprint)) { l.cfg.OnHeld = f }
 
-// Ended records that a target crashed during a run from this node.
+// Ended records that a target crashed during a run from this node. It ignores
+// Settled runs.
 func (l *Ledger) Ended(n Note) {
 	if n.Standing == Settled {
 		return
@@ -84,8 +85,8 @@
 	return r == nil || len(r.crashes) == 0 || !r.crashes[len(r.crashes)-1].at.After(now.Add(-n.Age-n.Ran))
 }
 
-// Sound records a successful run of a content, which clears it of earlier
-// crashes.
+// Sound records a successful run of a content, which clears the content of
+// earlier crashes. It does nothing for a content without crashes.
 func (l *Ledger) Sound(content Fingerprint) {
 	l.mu.Lock()
 	r := l.records[content]
@@ -216,7 +217,8 @@
 	return e.at.After(r.lastSuccess) && l.insert(n.Content, r, e)
 }
 
-// clear removes crashes that precede a successful run.
+// clear removes crashes that precede a successful run, and reports whether
+// there were any.
 func (l *Ledger) clear(content Fingerprint, r *record, at time.Time) bool {
 	if !at.After(r.lastSuccess) {
 		return false
@@ -252,8 +254,8 @@
 	}
 }
 
-// insert inserts a crash unless it is known; a higher standing replaces the
-// known one.
+// insert inserts a crash unless it is known or the content has maxCrashes; a
+// higher standing replaces the known one. It reports whether anything changed.
 func (l *Ledger) insert(content Fingerprint, r *record, e crash) bool {
 	for i := range r.crashes {
 		if r.crashes[i].same(e) {
--- a/quarantine/ledger_test.go
+++ b/quarantine/ledger_test.go
@@ -276,7 +276,8 @@
 		}
 		rng.Shuffle(len(notes), func(i, j int) { notes[i], notes[j] = notes[j], notes[i] })
 		two.Take(append(slices.Clone(notes), notes[:10]...))
-		// A successful run of an unknown content is not recorded.
+		// A successful run is not recorded before the first crash of its content, so
+		// both take all notes once more.
 		two.Take(notes)
 		one.Take(notes)
 		for n := range 6 {
--- a/quarantine/witness.go
+++ b/quarantine/witness.go
@@ -73,8 +73,8 @@
 // Look is a pending probe.
 type Look struct{ done chan struct{} }
 
-// Broke starts probing the target of a broken connection. It returns nil if
-// there is nothing to probe.
+// Broke starts probing the target of a broken connection. It returns nil without
+// probing if the run was Settled or the witness is closed.
 func (w *Witness) Broke(b Break) *Look {
 	w.mu.Lock()
 	defer w.mu.Unlock()
