--- a/code.go
+++ b/code.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// Code is a numbered result. The thousands digit is the area: 2 caller requests,
+// Code is a numbered result. The thousands digit is the area: 1 success, 2 caller requests,
 // 3 capacity, 4 generations, 5 plain services, 6 peers, 7 bundles, 9 the node itself.
 // docs/CODES.md documents them.
 type Code int
--- a/gateway/ask.go
+++ b/gateway/ask.go
@@ -107,7 +107,7 @@
 	signs := g.cfg.Names.ParseSigns(a.Status, a.Header)
 	if signs.Rest > 0 {
 		t.AskedForRest(signs.Rest)
-		g.counters.backoffs.Inc()
+		g.counters.cooldowns.Inc()
 		klog.InfoS("Target asks for rest", "request", request, "target", t.ID, "status", a.Status, "rest_ms", signs.Rest.Milliseconds())
 	} else {
 		t.Answered()
--- a/gateway/ask_test.go
+++ b/gateway/ask_test.go
@@ -16,16 +16,16 @@
 	"github.com/walnutramp/walnutramp/internal/uptime"
 )
 
-// throttlingTarget rejects requests with a backoff in seconds while one is set; else it
+// throttlingTarget rejects requests with a cooldown in seconds while one is set; else it
 // answers by a script.
 type throttlingTarget struct {
-	backoff  atomic.Int64
+	cooldown atomic.Int64
 	stopping atomic.Bool
 	script   func(*fakeTarget, *http.Request, net.Conn)
 }
 
 func (d *throttlingTarget) answer(f *fakeTarget, r *http.Request, c net.Conn) {
-	if seconds := d.backoff.Load(); seconds > 0 {
+	if seconds := d.cooldown.Load(); seconds > 0 {
 		reply(c, r.Header.Get("X-Id"), 503, "", "X-Not-Run: 1", fmt.Sprintf("X-Rest: %d", seconds))
 		return
 	}
@@ -42,7 +42,7 @@
 
 func newThrottlingTarget(seconds int64) *throttlingTarget {
 	d := &throttlingTarget{}
-	d.backoff.Store(seconds)
+	d.cooldown.Store(seconds)
 	return d
 }
 
@@ -64,7 +64,7 @@
 	return s.tracker.Pick(balance.Choice{Service: "draft", Exclude: func(t *balance.Target) bool { return t.ID != id }})
 }
 
-func TestTargetIsNotCalledDuringItsBackoff(t *testing.T) {
+func TestTargetIsNotCalledDuringItsCooldown(t *testing.T) {
 	for _, path := range []string{"/safe/", "/once/"} {
 		busy := newThrottlingTarget(60)
 		targets := []*fakeTarget{
@@ -77,19 +77,19 @@
 			require.Equal(t, 200, status)
 		}
 		require.Len(t, targets[0].seen(), 1, "only the rejected request")
-		busy.backoff.Store(0)
+		busy.cooldown.Store(0)
 		t.Cleanup(uptime.Pretend(61 * time.Second))
 		for range 30 {
 			status, _ := s.post(t, path)
 			require.Equal(t, 200, status)
 		}
-		require.Greater(t, len(targets[0].seen()), 5, "its backoff is over")
+		require.Greater(t, len(targets[0].seen()), 5, "its cooldown is over")
 	}
 }
 
-// While the only target backs off, requests must be rejected at once as not run, with a
-// Retry-After that covers the backoff and is jittered.
-func TestSoleTargetInBackoffRejectsWithRetryAfter(t *testing.T) {
+// While the only target is in cooldown, requests must be rejected at once as not run, with a
+// Retry-After that covers the cooldown and is jittered.
+func TestSoleTargetInCooldownRejectsWithRetryAfter(t *testing.T) {
 	for _, path := range []string{"/safe/", "/once/", "/draft/"} {
 		service := "lookup"
 		if path == "/draft/" {
@@ -116,23 +116,23 @@
 	}
 }
 
-// A backoff that ends within the wait limit must not fail the request.
-func TestRequestWaitsForAShortBackoff(t *testing.T) {
+// A cooldown that ends within the wait limit must not fail the request.
+func TestRequestWaitsForAShortCooldown(t *testing.T) {
 	busy := newThrottlingTarget(60)
 	f := newFakeTarget(t, "i-1", "lookup", "north", busy.answer)
 	s := newTestSite(t, []*fakeTarget{f})
 	status, _ := s.post(t, "/safe/")
 	require.Equal(t, 503, status)
-	busy.backoff.Store(0)
+	busy.cooldown.Store(0)
 	t.Cleanup(uptime.Pretend(60*time.Second - 200*time.Millisecond))
 	status, _ = s.post(t, "/safe/")
 	require.Equal(t, 200, status)
 	require.Len(t, f.seen(), 2)
 }
 
-// While all targets back off, each must get only the request it rejected, and serve again
+// While all targets are in cooldown, each must get only the request it rejected, and serve again
 // afterwards.
-func TestAllTargetsInBackoff(t *testing.T) {
+func TestAllTargetsInCooldown(t *testing.T) {
 	busy := newThrottlingTarget(60)
 	targets := []*fakeTarget{
 		newFakeTarget(t, "i-1", "lookup", "north", busy.answer), newFakeTarget(t, "i-2", "lookup", "north", busy.answer),
@@ -144,7 +144,7 @@
 	}
 	require.Len(t, targets[0].seen(), 1)
 	require.Len(t, targets[1].seen(), 1)
-	busy.backoff.Store(0)
+	busy.cooldown.Store(0)
 	t.Cleanup(uptime.Pretend(61 * time.Second))
 	for range 10 {
 		status, _ := s.post(t, "/once/")
@@ -152,9 +152,9 @@
 	}
 }
 
-// A target that is still overloaded after its backoff must have to reject one request
+// A target that is still overloaded after its cooldown must have to reject one request
 // only, however many arrive.
-func TestOnlyOneRequestProbesATargetAfterItsBackoff(t *testing.T) {
+func TestOnlyOneRequestProbesATargetAfterItsCooldown(t *testing.T) {
 	busy := newThrottlingTarget(60)
 	slow := busy.answer
 	f := newFakeTarget(t, "i-1", "lookup", "north", func(f *fakeTarget, r *http.Request, c net.Conn) {
@@ -188,8 +188,8 @@
 	require.Len(t, targets[0].seen(), 1)
 }
 
-// The holder of the copy backs off when the run fails: the run must resume elsewhere.
-func TestRunDoesNotResumeAtAHolderInBackoff(t *testing.T) {
+// The holder of the copy is in cooldown when the run fails: the run must resume elsewhere.
+func TestRunDoesNotResumeAtAHolderInCooldown(t *testing.T) {
 	fresh := newFakeTarget(t, "i-4", "draft", "north", draft(nil))
 	s, body, err := newCopySite(t, http.StatusOK, func(s *copySite) bool {
 		if !s.copied() {
@@ -227,7 +227,7 @@
 	return copyOrdersOf(source)
 }
 
-func TestTargetInBackoffGetsNoCopyOrders(t *testing.T) {
+func TestTargetInCooldownGetsNoCopyOrders(t *testing.T) {
 	require.Empty(t, copyOrdersAfter(t, func(target *balance.Target) { target.AskedForRest(time.Minute) }))
 }
 
@@ -240,7 +240,7 @@
 // the request from being sent.
 func TestSignalBetweenSelectionAndSendIsHonoured(t *testing.T) {
 	for name, signal := range map[string]func(*balance.Target){
-		"backoff":  func(target *balance.Target) { target.AskedForRest(time.Minute) },
+		"cooldown": func(target *balance.Target) { target.AskedForRest(time.Minute) },
 		"stopping": (*balance.Target).SaidLeaving,
 		"probe in flight": func(target *balance.Target) {
 			target.AskedForRest(time.Second)
--- a/gateway/call.go
+++ b/gateway/call.go
@@ -48,7 +48,7 @@
 	contacted      bool                     // at least one target received it, even if it rejected it
 	failedHalls    map[string]int           // number of targets that failed it, by data hall
 	noCapacity     bool                     // targets exist, but none can admit the request
-	backoffLeft    time.Duration            // see remainingBackoff; as of the last time that nextTarget found no target
+	cooldownLeft   time.Duration            // see remainingCooldown; as of the last time that nextTarget found no target
 	reservedRetry  balance.Repeat           // retry taken from the budget, but not yet received by a target
 	rolloutRequest *rollout.Request         // reports the outcome of the current attempt to the roll-out; nil without one
 	metered        bool                     // already counted for its client account
--- a/gateway/choose.go
+++ b/gateway/choose.go
@@ -14,7 +14,7 @@
 const (
 	waitShare     = 0.5 // fraction of the latency objective that a request may wait for a target
 	retryInterval = 25 * time.Millisecond
-	maxRejections = 12 // targets that may reject one request
+	maxRejections = 12 // no target is tried once more than this were selected for a request
 	maxTargetWait = 2 * time.Second
 
 	// startShare is the fraction of the latency objective within which a new request
@@ -22,10 +22,9 @@
 	startShare = 0.9
 )
 
-// nextTarget returns the next target to try, or nil. While none is available, it
-// polls until the wait limit. It returns nil at once if the request may already have run,
-// if it is new and no engine can admit it, or if all its targets are in cooldown for
-// longer than the limit.
+// nextTarget returns the next target to try, or nil. While none is available, it polls
+// until the wait limit, unless waiting is useless: if the request may already have run, if
+// it is new and no engine can admit it, or if all its targets are in cooldown for longer.
 func (g *Gateway) nextTarget(ctx context.Context, c *call) *balance.Target {
 	until := c.arrived.Add(min(time.Duration(float64(c.route.Aim)*waitShare), maxTargetWait))
 	for {
@@ -40,17 +39,17 @@
 		if c.noCapacity || c.mayHaveRun {
 			return nil
 		}
-		c.backoffLeft = g.remainingBackoff(c)
-		if !uptime.Now().Add(c.backoffLeft).Before(until) || !pause.For(ctx, retryInterval) {
+		c.cooldownLeft = g.remainingCooldown(c)
+		if !uptime.Now().Add(c.cooldownLeft).Before(until) || !pause.For(ctx, retryInterval) {
 			return nil
 		}
 		clear(c.rejected)
 	}
 }
 
-// remainingBackoff returns the shortest remaining cooldown of the eligible targets; 0
+// remainingCooldown returns the shortest remaining cooldown of the eligible targets; 0
 // unless all of them are in cooldown.
-func (g *Gateway) remainingBackoff(c *call) time.Duration {
+func (g *Gateway) remainingCooldown(c *call) time.Duration {
 	excluded := g.excludeByVersion(c)
 	return g.targets.RestLeft(c.service, func(t *balance.Target) bool { return c.tried[t] || excluded != nil && excluded(t) })
 }
--- a/gateway/counters.go
+++ b/gateway/counters.go
@@ -20,7 +20,7 @@
 	stalls            *metrics.Counter
 	brokenAnswers     *metrics.Counter
 	movedRuns         *metrics.Counter
-	backoffs          *metrics.Counter
+	cooldowns         *metrics.Counter
 	invalidLoads      *metrics.Counter
 	answerSeconds     *metrics.Histogram
 	firstEventSeconds *metrics.Histogram
@@ -38,7 +38,7 @@
 		stalls:            s.NewCounter("walnutramp_gateway_stalls_total"),
 		brokenAnswers:     s.NewCounter("walnutramp_gateway_broken_answers_total"),
 		movedRuns:         s.NewCounter("walnutramp_gateway_runs_moved_total"),
-		backoffs:          s.NewCounter("walnutramp_gateway_rests_asked_total"),
+		cooldowns:         s.NewCounter("walnutramp_gateway_rests_asked_total"),
 		invalidLoads:      s.NewCounter("walnutramp_gateway_unreadable_loads_total"),
 		answerSeconds:     s.NewHistogram("walnutramp_gateway_answer_seconds"),
 		firstEventSeconds: s.NewHistogram("walnutramp_gateway_first_event_seconds"),
--- a/gateway/demand.go
+++ b/gateway/demand.go
@@ -38,7 +38,7 @@
 	d.rows[more.Service] = sum
 }
 
-// countDemand counts a call, unless it resumes an answer.
+// countDemand counts a call of a service that can be scaled, unless it resumes an answer.
 func (g *Gateway) countDemand(c *call) {
 	if c.settings.Scaling == nil || c.hasLast {
 		return
--- a/gateway/refuse.go
+++ b/gateway/refuse.go
@@ -89,11 +89,11 @@
 		g.countRejectedDemand(c)
 		return walnutramp.NewError(walnutramp.CodeOverloaded, walnutramp.NotRun, "no engine has free capacity").WithRetryAfter(g.retryDelay(c))
 	}
-	if !c.mayHaveRun && c.backoffLeft > 0 {
+	if !c.mayHaveRun && c.cooldownLeft > 0 {
 		// Retrying sooner is likely to fail at other nodes too: a target requests a
 		// cooldown from every node that sends it requests.
-		after := pause.Behind(c.backoffLeft, rand.Float64())
-		return walnutramp.NewError(walnutramp.CodeTargetsRest, walnutramp.NotRun, "all targets are in backoff").WithRetryAfter(after)
+		after := pause.Behind(c.cooldownLeft, rand.Float64())
+		return walnutramp.NewError(walnutramp.CodeTargetsRest, walnutramp.NotRun, "all targets are in cooldown").WithRetryAfter(after)
 	}
 	if !c.mayHaveRun {
 		return walnutramp.NewError(walnutramp.CodeNoTarget, walnutramp.NotRun, "%s", why).WithRetryAfter(retryWhenBusy)
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -41,9 +41,9 @@
 
 const (
 	runComplete   runResult = iota // the answer is complete
-	runRejected                    // the target rejected the request without running it
+	runRejected                    // the request was not sent, or the target rejected it without running it
 	runNoTarget                    // no target is available
-	runFailed                      // no answer, or the connection broke
+	runFailed                      // no answer in time, a server error, or the connection broke
 	runNotStream                   // an answer that is not an event stream was forwarded
 	runClientLeft                  // the client disconnected
 )
@@ -132,8 +132,8 @@
 	return true
 }
 
-// runNext makes one more run: at the holder of the failed run's copy if there is one,
-// else at the best target.
+// runNext makes one more run: at the holder of the failed run's copy if there is one that
+// is usable and accepts the run, else at the best target.
 func (r *relay) runNext(ctx context.Context) runResult {
 	from := r.resumeFrom
 	r.resumeFrom = nil
@@ -248,12 +248,13 @@
 }
 
 // overdueFactor is how many times its predicted wait a run must have waited for its
-// first event before it is replaced; predictions are rarely that wrong.
+// first event before it is replaced.
 const overdueFactor = 2
 
-// firstEventTimeout returns how long to wait for a run's first event. If another target
-// may be tried, an overdue run is canceled at the last moment at which a new one can
-// still start in time; the last permitted attempt may use the whole deadline.
+// firstEventTimeout returns how long to wait for a run's first event. The last permitted
+// attempt may use the whole deadline. An earlier one that is overdue by then is canceled
+// at the last moment at which a new run can still start in time; if that moment is too
+// early or the stream has begun, after FirstEvent plus the predicted prefill time.
 func (r *relay) firstEventTimeout(o runRequest) time.Duration {
 	g, c := r.gateway, r.call
 	if !c.canRetryElsewhere() {
--- a/generation/link.go
+++ b/generation/link.go
@@ -77,7 +77,8 @@
 	return wait <= 0 || pause.For(ctx, wait)
 }
 
-// send replicates everything that is queued; false if the node did not answer.
+// send replicates everything that is queued; false if the node did not answer or ctx
+// ended.
 func (r *replicator) send(ctx context.Context) bool {
 	for {
 		batch := r.collect()
@@ -116,7 +117,7 @@
 	b.appends = append(b.appends, *a)
 }
 
-// collect dequeues as much as one call carries.
+// collect dequeues as much as one call to one incarnation of the node carries.
 func (r *replicator) collect() batch {
 	r.mu.Lock()
 	queue := r.queue
--- a/generation/owner.go
+++ b/generation/owner.go
@@ -39,13 +39,13 @@
 // cursor is the replication progress of one replica.
 type cursor struct {
 	member       Member
-	opened       bool
-	held         walnutramp.Offset
-	prompt       bool
-	source       int
-	final        bool
-	failingSince time.Time // zero while the replica answers
-	restarted    bool      // the incarnation is gone and never counts again
+	opened       bool              // the replica has accepted the epoch
+	held         walnutramp.Offset // tokens that the replica holds
+	prompt       bool              // the replica holds the prompt's token IDs
+	source       int               // Seq of the newest Source that the replica holds
+	final        bool              // the replica holds the end
+	failingSince time.Time         // zero while the replica answers
+	restarted    bool              // the incarnation is gone and never counts again
 }
 
 // Batch is output that is released together.
--- a/generation/store.go
+++ b/generation/store.go
@@ -16,7 +16,7 @@
 
 	mu       sync.Mutex
 	state    State
-	promised Epoch
+	promised Epoch // newest epoch that this node has promised or accepted
 	lastUsed time.Time
 	owner    *Generation // set while this node owns it
 }
@@ -26,7 +26,8 @@
 	key     string
 }
 
-// Store holds the replicas of one node and serves them to peers.
+// Store holds the records of one node, of replicas and of owned generations, and serves
+// them to peers.
 type Store struct {
 	self   Member
 	retain time.Duration
--- a/generation/takeover.go
+++ b/generation/takeover.go
@@ -82,7 +82,9 @@
 	return g, nil
 }
 
-// find looks up a generation on the other nodes, by rank.
+// find looks up a generation in this node's store, then on the other nodes in the order
+// of Rank. The error is CodeNotProvable if nodes that may hold the generation did not
+// answer, else CodeGenerationUnknown.
 func (m *Manager) find(ctx context.Context, args FindArgs) (FindReply, error) {
 	var best FindReply
 	m.store.Find(args, &best)
--- a/serve/serve.go
+++ b/serve/serve.go
@@ -66,7 +66,7 @@
 
 	Policy balance.Policy // load balancing policy; empty for the default
 
-	RepeatRatio  float64 // of the site's retry budget
+	RepeatRatio  float64 // these are parameters of the site's retry budget; see balance.BudgetConfig
 	RepeatSlack  float64
 	RepeatWindow time.Duration
 }
