--- a/balance/balance.go
+++ b/balance/balance.go
@@ -205,7 +205,7 @@
 
 // Update applies a complete target list and returns the incarnations that have ended or
 // are no longer listed. Of two targets listed at one address, the one that was listed
-// first has ended and is marked so: the list lags behind. An unchanged entry costs one
+// earlier has ended and is marked so: the list lags behind. An unchanged entry costs one
 // comparison.
 func (t *Tracker) Update(list []discovery.Target) (removed []string) {
 	t.mu.Lock()
--- a/balance/run.go
+++ b/balance/run.go
@@ -321,8 +321,8 @@
 }
 
 // TraceOf returns the trace of a key as known from NoteTrace, Remember and the prompt
-// index; false if nothing is known. It does not consult this node's own runs or the
-// runs that peers reported with SetOthers.
+// index; false if nothing is known. It does not include copies of this node's own runs
+// or of runs that peers reported with SetOthers.
 func (t *Tracker) TraceOf(key string) (Trace, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/quarantine/news.go
+++ b/quarantine/news.go
@@ -26,8 +26,7 @@
 }
 
 // News returns the local notes after a sequence number, with their current
-// ages, and the newest sequence number. Notes beyond the newest maxOutbox are
-// lost; Everything makes up for them.
+// ages, and the newest sequence number. Notes that enqueue dropped are missing.
 func (l *Ledger) News(after uint64) ([]Note, uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
