--- a/control/calls.go
+++ b/control/calls.go
@@ -15,7 +15,7 @@
 
 // do sends a command to the leader and retries until it is answered or
 // commandTimeout passes. A command may be applied more than once, so it must be
-// idempotent.
+// idempotent. After an error, an attempt may have been applied or may still be.
 func (c *Client) do(ctx context.Context, method string, args any) (Result, *walnutramp.Error) {
 	return c.doWithTimeout(ctx, attemptTimeout, method, args)
 }
@@ -95,7 +95,8 @@
 }
 
 // Offer submits a document to the group of a site without signatures. The caller
-// must have validated it.
+// must have validated it. If the group did not answer in time, the document may still
+// be accepted.
 func (c *Client) Offer(ctx context.Context, version uint64, doc []byte) (Result, error) {
 	sub := newSubmit(version, "operator", doc)
 	timeout := attemptTimeout + time.Duration(len(sub.Packed))*time.Second/minOfferRate
@@ -107,7 +108,8 @@
 }
 
 // Newest returns the group's newest document, confirmed by the leader with a
-// majority after the call began. ok is false if no leader confirmed it in time.
+// majority after the call began. Before the first document, version is 0 and doc is nil.
+// ok is false if no leader confirmed it in time.
 func (c *Client) Newest(ctx context.Context) (version uint64, doc []byte, ok bool) {
 	ctx, cancel := context.WithTimeout(ctx, commandTimeout)
 	defer cancel()
@@ -131,7 +133,7 @@
 }
 
 // confirmedDocument returns the document that a reply confirms, read in full; nil if
-// the group has none yet. The request must not have named a version held by the client.
+// the group has none yet. The request must have been made with Have 0.
 func (c *Client) confirmedDocument(ctx context.Context, node walnutramp.NodeName, r *NewestReply) ([]byte, error) {
 	if r.Version == 0 {
 		return nil, nil
@@ -139,7 +141,8 @@
 	return c.document(ctx, node, 0, nil, r)
 }
 
-// Submit submits a signed bundle to the group.
+// Submit submits a signed bundle to the group. If the group did not answer in time, the
+// bundle may still be accepted.
 func (c *Client) Submit(ctx context.Context, doc []byte, s bundle.Signature) (Result, error) {
 	r, err := c.do(ctx, ".Submit", SubmitArgs{Doc: doc, Signature: s})
 	if err != nil {
@@ -148,7 +151,8 @@
 	return r, nil
 }
 
-// History returns the accepted bundles from the first member that answers.
+// History returns the accepted bundles as applied by the first member that answers,
+// which may not have the newest.
 func (c *Client) History(ctx context.Context) (HistoryReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, commandTimeout)
 	defer cancel()
--- a/control/clock.go
+++ b/control/clock.go
@@ -60,8 +60,8 @@
 // Clock returns the group's clock as known to this member.
 func (k *Timekeeper) Clock() groupclock.Clock { return k.follower }
 
-// Agreement returns the latest agreement of the members' clocks; empty if this
-// member does not lead.
+// Agreement returns the latest result of comparing the members' clocks, which says
+// whether they agree; empty if this member does not lead.
 func (k *Timekeeper) Agreement() groupclock.Result {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -156,7 +156,7 @@
 	}
 }
 
-// observe applies the time stamp of a leader's reply.
+// observe applies the time stamp of a leader's reply; k may be nil.
 func (k *Timekeeper) observe(stamp *groupclock.Stamp, askedAt time.Time) {
 	if k != nil {
 		observeStamp(k.follower, stamp, askedAt)
--- a/control/contact.go
+++ b/control/contact.go
@@ -21,7 +21,7 @@
 // ContactStats counts a node's requests to the control group since its start.
 type ContactStats struct {
 	Asked  uint64
-	Failed uint64 // no answer in time, or a redirect
+	Failed uint64 // no answer, or one with another code than CodeOK, as a redirect
 }
 
 // recordFailure records a request without a usable answer.
--- a/control/directory.go
+++ b/control/directory.go
@@ -73,8 +73,8 @@
 	return nodes
 }
 
-// apply applies the reply to the entry nodes held at a version. It returns false if
-// the changes apply to another version.
+// apply applies the reply to the entry nodes held at a version; the result is not
+// sorted. It returns false if the changes apply to another version.
 func (r *DirectoryReply) apply(version uint64, nodes []EntryPlace) ([]EntryPlace, bool) {
 	if r.From == 0 {
 		return r.joinedNodes(), true
@@ -129,7 +129,7 @@
 }
 
 // reply returns the changes since a version, or the full list if that version is
-// not kept.
+// not kept. Before the first version there are no changes.
 func (d *directory) reply(version uint64) DirectoryReply {
 	newest := d.newest()
 	if version == newest.version || newest.version == 0 {
@@ -154,7 +154,8 @@
 // entryNodeTTL is how long an entry node stays listed after its last request.
 const entryNodeTTL = 4 * time.Second
 
-// entryRegistry tracks the entry nodes that recently asked for the newest document.
+// entryRegistry tracks the entry nodes that recently asked for the newest document, here
+// or at a relay.
 type entryRegistry struct {
 	mu         sync.Mutex
 	nodes      map[string]registeredNode // by address
@@ -168,7 +169,8 @@
 	lastSeen time.Time
 }
 
-// register records a request by an entry node; one without an address is ignored.
+// register records a request by an entry node; one without an address is ignored. A
+// data hall and disk reported earlier are kept if the data hall is now unknown.
 func (e *entryRegistry) register(node EntryPlace) {
 	if node.Address == "" {
 		return
--- a/control/duty_holder.go
+++ b/control/duty_holder.go
@@ -34,8 +34,8 @@
 	Leads() bool
 	// Confirm has a majority confirm, after the call, that this member leads.
 	Confirm(ctx context.Context) bool
-	// Commit proposes a command and waits until it is applied. It returns
-	// false if the outcome is not known.
+	// Commit proposes a command and waits until it is applied. If it returns false,
+	// the command may or may not be applied.
 	Commit(ctx context.Context, c Command) bool
 	// Record returns the duty record as applied by this member.
 	Record() duty.Record
@@ -197,7 +197,7 @@
 }
 
 // renew confirms leadership with a majority, reads the latest duty record and
-// extends the lease.
+// extends the lease, which counts from before the confirmation was requested.
 func (h *DutyHolder) renew(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, leadershipConfirmTimeout)
 	defer cancel()
@@ -219,7 +219,8 @@
 	return h.lease.Next(uptime.Now(), h.gate.Reached())
 }
 
-// acquire commits a grant to this process.
+// acquire commits a grant to this process and reports whether it is known to be
+// committed.
 func (h *DutyHolder) acquire(ctx context.Context, g duty.Grant, reason duty.Reason) bool {
 	ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
 	defer cancel()
--- a/control/duty_release.go
+++ b/control/duty_release.go
@@ -22,8 +22,9 @@
 )
 
 // Release releases the duty permanently, before a planned stop, and transfers
-// leadership if possible: the next holder waits neither for the lease to expire
-// nor for an election.
+// leadership if possible: the next holder need not wait for an election, nor for the
+// lease to expire unless a call may still take effect or it held the duty recently
+// itself; see duty.Record.
 func (h *DutyHolder) Release(ctx context.Context) {
 	h.mu.Lock()
 	h.stopped = true
@@ -62,8 +63,9 @@
 	klog.InfoS("Duty released", "token", token, "pending", pending, "unreachable", unreachable, "agreed", ok)
 }
 
-// drain waits until no call is in flight. It leaves half of the time until ctx's
-// deadline for committing the release.
+// drain waits until no call is in flight, for at most drainTimeout, and reports whether
+// that was achieved. It leaves half of the time until ctx's deadline for committing the
+// release.
 func (h *DutyHolder) drain(ctx context.Context) bool {
 	limit := drainTimeout
 	if end, ok := ctx.Deadline(); ok {
@@ -111,6 +113,8 @@
 	klog.InfoS("Platform unresponsive, transferring leadership", "silent_ms", unresponsive.Milliseconds(), "handedOver", ok)
 }
 
+// setDraining stops new calls, or allows them again. Both clear the record of the
+// platform's answers.
 func (h *DutyHolder) setDraining(on bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/control/fetch.go
+++ b/control/fetch.go
@@ -16,7 +16,7 @@
 const (
 	chunkTimeout     = chunkQueueTimeout + 400*time.Millisecond // of one chunk: queueing and transfer
 	chunkRetryDelay  = 50 * time.Millisecond                    // after a failed request
-	maxChunkFailures = 4                                        // consecutive failures: each node twice
+	maxChunkFailures = 4                                        // consecutive failures, of two nodes in turn
 	maxBusyWait      = 5 * time.Second                          // without a chunk, while nodes are overloaded
 )
 
--- a/control/fleet_base.go
+++ b/control/fleet_base.go
@@ -10,8 +10,8 @@
 )
 
 // recordBase commits the number of targets that a service has before any is
-// ordered, and raises it as more appear. It reports whether a base is known, and
-// updates record to what was committed.
+// ordered, and raises it as more appear. It reports whether a base is known, false if it
+// could not commit a change, and updates record to the committed one.
 func (c *FleetController) recordBase(ctx context.Context, service string, record *fleet.Record, serving fleet.Counts) bool {
 	orders := FleetOrders{Service: service, Base: record.Base}
 	if len(record.Orders) == 0 {
--- a/control/fleet_metrics.go
+++ b/control/fleet_metrics.go
@@ -20,7 +20,7 @@
 }
 
 // WriteMetrics writes the fleet metrics in the Prometheus text format. It writes
-// nothing on members that do not lead.
+// nothing on members that do not lead, and nothing for a service before its first plan.
 func (c *FleetController) WriteMetrics(w io.Writer) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/control/guide.go
+++ b/control/guide.go
@@ -62,8 +62,8 @@
 	return nil
 }
 
-// redirect fills a reply that names the leader, if known. It returns the members as
-// last received.
+// redirect fills a reply with CodeNoLeader and the node to ask instead: the leader or a
+// relay as last known, empty if unknown. It returns the members as last received.
 func (g *Guide) redirect(code *walnutramp.Code, leader *walnutramp.NodeName) []walnutramp.NodeName {
 	*code = walnutramp.CodeNoLeader
 	var group []walnutramp.NodeName
@@ -71,7 +71,8 @@
 	return group
 }
 
-// leaderAndMembers returns the leader, if known, and the members as last received.
+// leaderAndMembers returns the leader or relay as last known, empty if unknown, and the
+// members as last received.
 func (c *Client) leaderAndMembers() (leader walnutramp.NodeName, group []walnutramp.NodeName) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/control/keeper.go
+++ b/control/keeper.go
@@ -76,7 +76,7 @@
 }
 
 // step returns the next membership and the reason for the change, which is empty if
-// none is needed.
+// there is none to make now.
 func (k *Keeper) step(g consensus.Group, followers []consensus.FollowerStatus) (consensus.Group, string) {
 	for node, request := range k.pendingJoins() {
 		known, ok := g.Find(node)
@@ -142,7 +142,7 @@
 	return longest.Voter, longest.Silent
 }
 
-// Joiner asks to join the group while this node is not a voter.
+// Joiner asks to join the group while this node is not a voter or hears no leader.
 type Joiner struct {
 	peers    Peers
 	node     walnutramp.NodeName
@@ -189,7 +189,8 @@
 	return reply.Code == walnutramp.CodeOK
 }
 
-// joinCandidates returns the nodes to ask, the leader first, without self.
+// joinCandidates returns the nodes to ask, the last known leader first, without self. A
+// node may occur twice.
 func (c *Client) joinCandidates(self walnutramp.NodeName) []walnutramp.NodeName {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/control/ledger.go
+++ b/control/ledger.go
@@ -40,8 +40,9 @@
 	Key     string
 }
 
-// claim grants a request to the first claimant. A request that is known not to
-// have run can be claimed again.
+// claim grants a request to the first claimant; Mine of the result says whether that is
+// the claimant of c. A request that is known not to have run can be claimed again, with
+// another token.
 func (s *State) claim(c *Claim, now int64) Result {
 	k := ledgerKey{c.Account, c.Key}
 	e, ok := s.ledger[k]
@@ -59,7 +60,8 @@
 	return Result{Code: walnutramp.CodeOK, Entry: e, Mine: true}
 }
 
-// settle records an outcome once, and only for the holder of the claim.
+// settle records an outcome once, and only for the holder of the claim. Settling again
+// returns the first outcome.
 func (s *State) settle(c *Settle, now int64) Result {
 	k := ledgerKey{c.Account, c.Key}
 	e, ok := s.ledger[k]
--- a/control/messages.go
+++ b/control/messages.go
@@ -55,19 +55,20 @@
 const anyVersions = math.MaxUint64
 
 // NewestReply is the leader's reply, confirmed by a majority after the request
-// arrived.
+// arrived; or that of a relay, confirmed Age earlier, or an unconfirmed one.
 type NewestReply struct {
 	Code    walnutramp.Code
 	Leader  walnutramp.NodeName // node to ask instead, if known
 	Version uint64
 	Digest  string
-	// Update turns the requester's document into the newest.
+	// Update turns the requester's document into the newest; empty if it is that.
 	Update Payload
 	// Source is the node to read long payloads from; empty for the one that replies.
 	Source walnutramp.NodeName
 	// Group lists the members as known to the node that replies.
 	Group []walnutramp.NodeName
-	// Unconfirmed is set if a newer version may be in force.
+	// Unconfirmed is set if no majority confirmed the reply, so that a newer version may
+	// be in force.
 	Unconfirmed bool
 	// Entries are the addresses of the live entry nodes, for a requester of an older
 	// build that holds another EntriesVersion. EntriesVersion is 0 if none are sent.
@@ -110,7 +111,7 @@
 	Demand []fleet.Demand
 }
 
-// PassArgs forwards reports from nodes to the leader.
+// PassArgs forwards reports that a member received from nodes to the leader.
 type PassArgs struct {
 	Reports []NodeReport
 }
@@ -127,7 +128,7 @@
 type TellReply struct {
 	Code   walnutramp.Code
 	Leader walnutramp.NodeName
-	To     uint64 // identifies the process that holds the reports
+	To     uint64 // identifies the process that received the report
 	// Closed is the newest window whose counts are final.
 	Closed metering.Window
 }
@@ -158,7 +159,8 @@
 	Identity consensus.Identity
 }
 
-// JoinReply names the leader if this member does not lead.
+// JoinReply acknowledges a request to join, or names the leader if this member does not
+// lead.
 type JoinReply struct {
 	Code   walnutramp.Code
 	Leader walnutramp.NodeName
@@ -195,15 +197,15 @@
 type ReportArgs struct {
 	Node  string
 	Life  uint64 // identifies the node's process
-	Judge uint64 // process that received the previous reports; 0 for none
+	Judge uint64 // evaluation that the previous reply named; 0 for none
 	Cells []rollout.Cell
 }
 
-// ReportReply returns permits for the new versions.
+// ReportReply returns permits for the new versions, or names the leader.
 type ReportReply struct {
 	Code    walnutramp.Code
 	Leader  walnutramp.NodeName
-	Judge   uint64 // process that received this report
+	Judge   uint64 // the leader's present evaluation; 0 for none
 	Permits []rollout.Permit
 }
 
--- a/control/pieces.go
+++ b/control/pieces.go
@@ -76,8 +76,8 @@
 	Data []byte
 }
 
-// newChunkLimiter returns the rate limiter of chunks on a link of so many bytes per
-// second, 0 if unknown.
+// newChunkLimiter returns the rate limiter of chunks on a link with the given rate in
+// bytes per second, 0 if unknown.
 func newChunkLimiter(link float64) *rate.Limiter {
 	limit := rate.Limit(link * chunkLinkShare)
 	if link <= 0 {
@@ -104,7 +104,8 @@
 	return nil
 }
 
-// findCompressed returns the text of which a chunk is requested.
+// findCompressed returns the payload of which a chunk is requested. It waits for up to
+// relayMaxLag, since a relay may receive it later than the leader.
 func (s *Server) findCompressed(args PieceArgs) (compressed, bool) {
 	if args.To > 0 {
 		s.awaitVersion(args.To, relayMaxLag)
--- a/control/relay.go
+++ b/control/relay.go
@@ -27,7 +27,7 @@
 	relayRetryDelay       = 100 * time.Millisecond  // after a failed request
 	relayIdleDelay        = 2 * time.Second         // between requests while no relay is needed
 	relayDiscoveryTimeout = 250 * time.Millisecond  // how long awaitRelay waits for a relay of the data hall to ask the leader
-	relayMaxLag           = 300 * time.Millisecond  // how long a request waits for a relay to catch up with the leader
+	relayMaxLag           = 300 * time.Millisecond  // how long a request waits for a member to catch up with the leader
 )
 
 // relays tracks the members that relay the leader's replies, by data hall.
@@ -117,7 +117,7 @@
 
 	mu        sync.Mutex
 	askedAt   time.Time     // when the newest confirmation was requested
-	version   uint64        // that was confirmed as the newest
+	version   uint64        // of the document that was confirmed as the newest
 	needFull  bool          // request the full target list
 	directory directory     // entry nodes, as named by the leader
 	share     relayedShare  // of the retry budget, for the entry nodes that this member answers
@@ -151,7 +151,8 @@
 	return len(r.directory.newest().entries) > relayThreshold
 }
 
-// refresh asks the leader once, with a long poll.
+// refresh asks the leader once, with a long poll. It returns false if it got no
+// confirmed reply or could not read the target list.
 func (r *Relay) refresh(ctx context.Context, leader walnutramp.NodeName) bool {
 	ctx, cancel := context.WithTimeout(ctx, renewLongPoll+responseTimeout)
 	defer cancel()
@@ -186,7 +187,8 @@
 	return args
 }
 
-// apply stores the leader's reply.
+// apply stores the leader's reply, unless its target list does not apply; the
+// confirmation is dropped then.
 func (r *Relay) apply(reply NewestReply, askedAt time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -221,8 +223,8 @@
 // withUnknownHall lists addresses as entry nodes whose data hall is unknown.
 func withUnknownHall(addresses []string) []HallEntries { return []HallEntries{{Addresses: addresses}} }
 
-// applyTargets stores the target list of the leader's reply. It returns false if
-// that does not apply to the list held here. The caller holds the mutex.
+// applyTargets stores the target list of the leader's reply. It returns false if the
+// change does not apply to the list held here; the full list is requested next. The caller holds the mutex.
 func (r *Relay) applyTargets(reply TargetListReply) bool {
 	if r.server.targets == nil || reply.Version == 0 {
 		return true
--- a/control/report_client.go
+++ b/control/report_client.go
@@ -18,8 +18,8 @@
 	// windows, so that a restarted member gets the counts again.
 	usageKeepalive     = 800 * time.Millisecond
 	finalReportTimeout = 300 * time.Millisecond // at a planned stop
-	// nearMemberBackoff is how long the nearby member is not tried after a
-	// failed report.
+	// nearMemberBackoff is how long after a failed report the nearby member is not
+	// tried.
 	nearMemberBackoff = 2 * time.Second
 )
 
@@ -39,7 +39,7 @@
 func (c *Client) hasReports() bool { return c.usage != nil || c.demand != nil }
 
 // reportUsageLoop reports usage and demand until the client is closed, and once
-// more then.
+// more then if there is anything to report.
 func (c *Client) reportUsageLoop() {
 	t := usageReporter{client: c, incarnation: c.incarnation, acked: map[string]fleet.Demand{}}
 	for pause.For(c.ctx, usageReportInterval) {
@@ -54,7 +54,7 @@
 	incarnation  uint64 // identifies this process
 	receiver     uint64 // instance ID of the member that has the reports; 0 for none
 	sentAt       time.Time
-	lastOpenAt   time.Time               // when there were last rows of open windows
+	lastOpenAt   time.Time               // when there were last rows of open windows; zero for never
 	acked        map[string]fleet.Demand // as last acknowledged, by service
 	pending      []fleet.Demand          // in the report in flight
 	member       walnutramp.NodeName     // last report's destination
@@ -126,8 +126,8 @@
 	return args
 }
 
-// destination returns the member to report to: the nearby one unless it failed
-// lately, then the fallback, then a random one.
+// destination returns the member to report to: the nearby one if known, unless it failed
+// within nearMemberBackoff; else the fallback; else a random one.
 func (t *usageReporter) destination() walnutramp.NodeName {
 	c := t.client
 	if near := c.nearMember(); near != "" && time.Since(t.nearFailedAt) >= nearMemberBackoff {
--- a/control/reports.go
+++ b/control/reports.go
@@ -27,8 +27,8 @@
 	// reportDelay is the time after a window's end from which a node's report
 	// covers the whole window: requests are counted when they are answered.
 	reportDelay = usageReportInterval + 2*forwardInterval
-	// silentNodeTimeout is how long a window waits for a node that has stopped
-	// reporting.
+	// silentNodeTimeout is how long after its last report a node counts as silent
+	// rather than gone. Windows wait for silent nodes.
 	silentNodeTimeout = 10 * time.Second
 	// sourceRetention is how long the reports of a silent node are kept.
 	sourceRetention = 1 * time.Minute
@@ -77,7 +77,7 @@
 }
 
 // SetDemandSink sets the function that receives the demand while this member
-// leads. It is called before Run.
+// leads. It must be called before Run.
 func (r *Reports) SetDemandSink(sink DemandFunc) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -150,7 +150,7 @@
 	d.reportedAt, d.changed = now, true
 	for _, row := range rows {
 		if row.Requests >= d.rows[row.Service].Requests {
-			d.rows[row.Service] = row // skip reordered reports
+			d.rows[row.Service] = row // else the report was overtaken by a newer one
 		}
 	}
 }
@@ -198,8 +198,8 @@
 	r.notifySink(reports)
 }
 
-// collect returns the changes since the last call, or everything. The caller
-// holds the mutex.
+// collect returns the changes since the last call, or everything. Demand is returned
+// whole for each node with changes. The caller holds the mutex.
 func (r *Reports) collect(all bool) []NodeReport {
 	bySource := map[metering.Source]*NodeReport{}
 	of := func(from metering.Source) *NodeReport {
@@ -224,8 +224,8 @@
 	return reports
 }
 
-// forward sends the leader the changes, or everything if this leader instance
-// has not acknowledged earlier reports.
+// forward sends the leader the changes, or everything if this leader process has not
+// acknowledged the earlier reports. Without changes it calls every forwardKeepalive.
 func (r *Reports) forward(ctx context.Context, leader walnutramp.NodeName) {
 	if leader != r.leader {
 		r.leader, r.receiver = leader, 0
--- a/control/rollout_client.go
+++ b/control/rollout_client.go
@@ -81,7 +81,9 @@
 	return known[rand.IntN(len(known))]
 }
 
-// StartRollout starts a roll-out of a service to a version and returns its record.
+// StartRollout starts a roll-out of a service to a version and returns its record. If
+// another roll-out is in progress, it returns that one's record with an error. If the
+// group did not answer in time, the roll-out may still be started.
 func (c *Client) StartRollout(ctx context.Context, service, version string, duration time.Duration) (rollout.Record, error) {
 	r, repeated, err := c.doReportingRetry(ctx, attemptTimeout, ".Order", OrderArgs{Service: service, Version: version, Duration: duration})
 	if err != nil {
@@ -97,7 +99,8 @@
 }
 
 // Rollout returns the newest roll-out of a service, read from a leader that a
-// majority confirmed after this call.
+// majority confirmed after the call began. If the service had none, the error has
+// CodeRolloutUnknown.
 func (c *Client) Rollout(ctx context.Context, service string) (RolloutReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, commandTimeout)
 	defer cancel()
--- a/control/rollout_controller.go
+++ b/control/rollout_controller.go
@@ -183,8 +183,9 @@
 	}
 }
 
-// evaluate applies the policy to a roll-out. It returns the next step, whether the
-// step has to be committed, and the elapsed time.
+// evaluate applies the policy to a roll-out. It returns the next step, whether it is to
+// be committed, and the elapsed time. An unchanged step is committed every
+// progressInterval.
 func (c *RolloutController) evaluate(rec rollout.Record) (step rollout.Step, changes bool, elapsed time.Duration) {
 	elapsed = c.state.rolloutElapsed(rec)
 	c.mu.Lock()
@@ -268,7 +269,8 @@
 		"answers", t.verdict.Answers, "excess", t.verdict.Excess, "score", t.verdict.Score, "evidence", t.verdict.Evidence)
 }
 
-// report adds a node's report and returns the node's permits.
+// report adds a node's report and returns the node's permits; judge is 0 if this member
+// evaluates no reports. Cells meant for another judge are dropped.
 func (c *RolloutController) report(args ReportArgs) (judge uint64, permits []rollout.Permit) {
 	view := c.state.versions()
 	c.mu.Lock()
--- a/control/rollout_server.go
+++ b/control/rollout_server.go
@@ -13,7 +13,7 @@
 	// defaultOrderRetryWindow is how long operators retry an order, unless the
 	// site sets it.
 	defaultOrderRetryWindow = 5 * time.Second
-	// orderRetryMargin is the delay with which the last retry may arrive.
+	// orderRetryMargin is how long after the retry window the last retry may arrive.
 	orderRetryMargin = 1 * time.Second
 )
 
--- a/control/rollouts.go
+++ b/control/rollouts.go
@@ -71,7 +71,7 @@
 	r.elapsedAt[service] = uptime.Now().Add(-min(max(0, delay), maxDowntimeCredit))
 }
 
-// elapsed returns the time since a roll-out was ordered.
+// elapsed returns the time since a roll-out was ordered, as measured by this member.
 func (r *rollouts) elapsed(rec rollout.Record) time.Duration {
 	recordedAt, ok := r.elapsedAt[rec.Service]
 	if !ok {
@@ -80,7 +80,7 @@
 	return rec.Elapsed + uptime.Since(recordedAt)
 }
 
-// addKnown records the versions before any roll-out.
+// addKnown records the versions before any roll-out, once.
 func (r *rollouts) addKnown(c *KnownVersions) Result {
 	rec := r.record(c.Service)
 	if len(rec.InForce) == 0 && rec.Number == 0 {
@@ -116,7 +116,8 @@
 	return Result{Code: walnutramp.CodeOK, Rollout: *rec}
 }
 
-// advance applies a step of a roll-out. It does not change one that has ended.
+// advance applies a step of a roll-out. A step of one that has ended, or is not the
+// service's newest, changes nothing.
 func (r *rollouts) advance(c *RolloutStep, now int64) Result {
 	rec := r.record(c.Service)
 	if rec.Number != c.Number || rec.State != rollout.Running {
--- a/control/roster.go
+++ b/control/roster.go
@@ -47,9 +47,9 @@
 type TargetListReply struct {
 	Version uint64            // 0 if unknown
 	From    uint64            // version that Change applies to
-	Change  *TargetListChange // if the requester's version is kept
+	Change  *TargetListChange // set if the requester's version is kept
 	Whole   Payload           // the full list otherwise
-	List    []byte            // the full list, as decompressed from Whole
+	List    []byte            // the full list uncompressed; not sent
 	Age     time.Duration     // since the list was read
 }
 
@@ -61,7 +61,7 @@
 
 func targetID(t discovery.Target) string { return t.ID }
 
-// Set stores a reading. The order of the targets does not matter.
+// Set stores a reading, with the present time. The order of the targets does not matter.
 func (r *Roster) Set(list []discovery.Target) {
 	list = slices.Clone(list)
 	slices.SortFunc(list, func(a, b discovery.Target) int { return cmp.Compare(a.ID, b.ID) })
@@ -79,7 +79,7 @@
 	r.changed = make(chan struct{})
 }
 
-// SetFirst stores a reading, unless there is one.
+// SetFirst stores a reading if there is none.
 func (r *Roster) SetFirst(list []discovery.Target) {
 	if version, _ := r.current(); version == 0 {
 		r.Set(list)
@@ -138,7 +138,7 @@
 }
 
 // findCompressed returns the compressed list with a hash, if held, and a channel
-// that is closed on the next reading.
+// that is closed on the next new version.
 func (r *Roster) findCompressed(hash uint64) (compressed, <-chan struct{}) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -218,6 +218,8 @@
 	return &change
 }
 
+// watch returns a channel that is closed on the next new version, and whether there is a
+// list of another version than the given one.
 func (r *Roster) watch(version uint64) (changed <-chan struct{}, differs bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -225,7 +227,8 @@
 	return r.changed, newest != 0 && newest != version
 }
 
-// decode returns the list or the change for the holder of a version.
+// decode returns the list or the change for the holder of a version; neither if that
+// version is the newest.
 func (r *TargetListReply) decode(version uint64) (discovery.Feed, error) {
 	f := discovery.Feed{Age: r.Age}
 	if r.Version == version {
@@ -246,7 +249,8 @@
 	return f, nil
 }
 
-// Targets applies the reply to the list that the requester holds at a version.
+// Targets applies the reply to the list that the requester holds at a version. It
+// returns nil if the reply confirms that list.
 func (r *TargetListReply) Targets(version uint64, list []discovery.Target) ([]discovery.Target, error) {
 	f, err := r.decode(version)
 	if f.Change != nil {
--- a/control/server.go
+++ b/control/server.go
@@ -25,7 +25,7 @@
 	state            *State
 	updates          *updates
 	chunkLimiter     *rate.Limiter      // rate of chunks of long payloads
-	offers           singleflight.Group // in progress, by version and digest
+	offers           singleflight.Group // submissions in progress, by version and digest
 	operators        bundle.Operators
 	keeper           *Keeper // nil if the membership is fixed
 	entryNodes       entryRegistry
@@ -36,7 +36,7 @@
 	reports          *Reports           // of usage and demand; nil if unused
 	timekeeper       *Timekeeper        // of the group's time; nil if unused
 	sharing          *Sharing           // of the retry budget; nil if unused
-	orderRetryWindow time.Duration      // for which an operator resends an order that was not answered
+	orderRetryWindow time.Duration      // how long an operator resends an order that was not answered
 }
 
 // ServerOption configures a Server.
@@ -115,8 +115,8 @@
 	return nil
 }
 
-// reportMember returns the member of an entry node's data hall that takes its
-// reports.
+// reportMember returns the member of an entry node's data hall that takes the entry
+// node's reports; empty for the leader or if none is known.
 func (s *Server) reportMember(args NewestArgs) walnutramp.NodeName {
 	if s.reports == nil {
 		return ""
@@ -147,7 +147,7 @@
 	}
 }
 
-// inDataHall reports whether this member is known to be in a data hall.
+// inDataHall reports whether this member is known to be in the given data hall.
 func (s *Server) inDataHall(hall string) bool { return s.relay != nil && s.relay.hall == hall }
 
 // registerRequester records the requester and those that it relays to.
@@ -244,7 +244,8 @@
 }
 
 // targetsChanged returns a channel that is closed when the target list changes, and
-// whether the requester's version already differs.
+// whether the requester's version already differs; nil and false for a requester that
+// does not use the list.
 func (s *Server) targetsChanged(args NewestArgs) (changed <-chan struct{}, differs bool) {
 	if s.targets == nil || !args.wantsTargets() {
 		return nil, false
@@ -261,7 +262,8 @@
 	return s.propose(context.Background(), args.Command, reply)
 }
 
-// propose proposes a command to the group, if this member leads.
+// propose proposes a command to the group, if this member leads; reply.Code and
+// reply.Leader tell the outcome. The error concerns only the encoding.
 func (s *Server) propose(ctx context.Context, c Command, reply *DoReply) error {
 	c.Now = time.Now().UnixMilli()
 	command, err := msgpack.Marshal(c)
--- a/control/sharing.go
+++ b/control/sharing.go
@@ -31,8 +31,8 @@
 	opened bool       // opening the set was proposed, successfully or not
 }
 
-// NewSharing returns a Sharing and registers it with a member's server. Span is
-// the time window of the budget.
+// NewSharing returns a Sharing and registers it with a member's server. span is the
+// time window of the budget.
 func NewSharing(m *consensus.Member, s *Server, span time.Duration) *Sharing {
 	sh := &Sharing{member: m, server: s, state: s.state, register: quota.NewRegister(span)}
 	s.sharing = sh
@@ -113,8 +113,8 @@
 	return nodes
 }
 
-// shareFor returns the share of the query's sender. The leader has been confirmed
-// after the query came in.
+// shareFor returns the share of the query's sender, or of each of the entry nodes for
+// which a relay asks. The caller has had leadership confirmed after the query arrived.
 func (sh *Sharing) shareFor(args NewestArgs) quota.Word {
 	if sh == nil || !args.wantsTargets() {
 		return quota.Word{}
--- a/control/state.go
+++ b/control/state.go
@@ -65,7 +65,7 @@
 type Result struct {
 	Code    walnutramp.Code
 	Version uint64 // of the bundle in force, or of the winner of a conflict
-	Winner  string // operator that submitted it
+	Winner  string // operator that submitted that bundle
 	Digest  string
 	Entry   Entry // of the ledger
 	Mine    bool  // the requester holds the claim
@@ -95,7 +95,8 @@
 
 // Rules of acceptance.
 const (
-	// AcceptNext accepts only the version that follows the newest.
+	// AcceptNext accepts only the version that follows the newest. Others are
+	// conflicts, except an accepted document that is resubmitted.
 	AcceptNext Rule = iota
 	// AcceptHighest accepts any version above the newest. Others are acknowledged
 	// without effect.
@@ -135,7 +136,8 @@
 	return s
 }
 
-// Apply implements consensus.StateMachine.
+// Apply implements consensus.StateMachine. A command that can't be decoded changes
+// nothing.
 func (s *State) Apply(index uint64, command []byte) []byte {
 	var c Command
 	if err := msgpack.Unmarshal(command, &c); err != nil {
@@ -200,7 +202,7 @@
 
 func (s *State) newest() Accepted { return s.history[len(s.history)-1] }
 
-// submit accepts the next version. Resubmitting an accepted document returns its
+// submit accepts a version according to the rule. Under AcceptNext, resubmitting an accepted document returns its
 // original result; a different document with an accepted version is a conflict.
 func (s *State) submit(c *Submit, now int64) Result {
 	if s.rule == AcceptHighest {
@@ -259,6 +261,8 @@
 	s.deltas = slices.Clone(s.deltas[first:])
 }
 
+// findAccepted returns the accepted bundle of a version; false if there is none or it is
+// no longer retained. It requires that versions have no gaps.
 func (s *State) findAccepted(version uint64) (Accepted, bool) {
 	first := s.history[0].Version
 	if version < first || version > s.newest().Version {
@@ -370,7 +374,8 @@
 	return nil
 }
 
-// History returns the accepted bundles, oldest first.
+// History returns the newest accepted bundles, at most maxHistory, oldest first. Until
+// that many were accepted, the first has version 0 and stands for none.
 func (s *State) History() []Accepted {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/control/update.go
+++ b/control/update.go
@@ -47,8 +47,8 @@
 }
 
 // maxCachedUpdates is how many compressed updates are cached. Nodes may still read
-// a large update after newer versions were accepted: a few versions times the few
-// that nodes hold.
+// a large update after newer versions were accepted, so it covers a few newest versions,
+// for each of the few versions that nodes hold.
 const maxCachedUpdates = 16
 
 // updates compresses the updates to the newest document, once for all nodes that
@@ -60,8 +60,8 @@
 	cache []compressedUpdate // newest last
 }
 
-// updateFrom returns the newest version and the update from another version to it,
-// empty if that is not older.
+// updateFrom returns the newest version and the update from the given version to it;
+// empty if the given version is not older.
 func (u *updates) updateFrom(version uint64) (Accepted, compressedUpdate) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -79,8 +79,8 @@
 	return newest, p
 }
 
-// find returns the update from a version that has a hash. It may lead to a version
-// that is no longer the newest.
+// find returns the update with a hash: that from a version to the newest or, if this has
+// another hash, a cached one, which may lead to a version that is no longer the newest.
 func (u *updates) find(from, hash uint64) (compressed, bool) {
 	_, p := u.updateFrom(from)
 	if p.hash == hash && p.bytes != nil {
--- a/control/windows.go
+++ b/control/windows.go
@@ -13,14 +13,15 @@
 const maxUnreported = 1000
 
 // CloseWindow closes a metering window, records which windows the platform has, or
-// both: the record can wait for the next close.
+// both: the record can be part of the next close.
 type CloseWindow struct {
 	// Window is closed with Counts if it is the next one; 0 for none.
 	Window metering.Window
 	Counts metering.Counts
 	// Begins says that metering starts after Window, which is not reported itself.
 	Begins bool
-	// Told is the newest window that the platform has.
+	// Told is the newest window that the platform has or that was dropped; 0 for no
+	// change.
 	Told metering.Window
 }
 
@@ -37,7 +38,8 @@
 	Untold []ClosedWindow  // closed, oldest first
 }
 
-// newest returns the newest closed window; 0 before metering starts.
+// newest returns the newest closed window, or the one before the first of metering; 0
+// before metering starts.
 func (w *windows) newest() metering.Window { return max(w.Next, 1) - 1 }
 
 // close applies a command. A window that is closed already does not change.
@@ -60,7 +62,8 @@
 	return Result{Code: walnutramp.CodeOK}
 }
 
-// markReported drops the windows up to told. They can't be reported with other
+// markReported records that the platform has the windows up to told, or that they were
+// dropped, and removes them. They can't be reported with other
 // counts later, since only the next window can be closed.
 func (w *windows) markReported(told metering.Window) {
 	w.Told = max(w.Told, told)
--- a/loadshare/borrow.go
+++ b/loadshare/borrow.go
@@ -13,7 +13,7 @@
 
 // Limits of borrowing.
 const (
-	// borrowTimeout bounds the wait for replies: many round trips within a region.
+	// borrowTimeout bounds the wait for the replies to one attempt.
 	borrowTimeout  = 30 * time.Millisecond
 	borrowFanout   = 2 // peers asked at once
 	borrowAttempts = 3
@@ -50,7 +50,7 @@
 }
 
 // Borrow asks peers for a retry of a service, and reports whether one was granted in
-// time. Granted retries, late ones included, are added to the service's budget.
+// time. After a failure it asks none for borrowBackoff. Granted retries, late ones included, are added to the service's budget.
 func (s *Sharer) Borrow(ctx context.Context, service string) bool {
 	for range borrowAttempts {
 		peers := s.pickLenders(service)
@@ -85,7 +85,8 @@
 	return sameRegion[:min(borrowFanout, len(sameRegion))]
 }
 
-// borrowFrom asks the peers, and waits until one grants a retry or all refuse.
+// borrowFrom asks the peers, and waits until one grants a retry or all refuse, for at
+// most borrowTimeout.
 func (s *Sharer) borrowFrom(ctx context.Context, service string, peers []string) bool {
 	id, p := s.startBorrow(service, len(peers))
 	s.sendTo(s.addressesOf(peers), message{Borrow: &borrowRequest{ID: id, Service: service}})
@@ -122,7 +123,8 @@
 	return s.borrows.lastID, p
 }
 
-// handleBorrow replies to a peer that asks for a retry.
+// handleBorrow replies to a peer that asks for a retry, and charges a granted one to
+// this node's budget.
 func (s *Sharer) handleBorrow(from string, req *borrowRequest) {
 	ok := s.budgets.Of(req.Service).Lend()
 	if ok {
--- a/loadshare/feed.go
+++ b/loadshare/feed.go
@@ -35,7 +35,7 @@
 	receivedAt     time.Time // time of the last datagram
 	sourceSince    time.Time // when the current source was chosen
 	synced         bool      // a snapshot and all changes up to sequence were applied
-	stale          bool      // needs a new snapshot; changes are applied meanwhile
+	stale          bool      // a new snapshot is needed; changes are applied meanwhile
 	gapSince       time.Time // since when a datagram has been missing; zero for none
 	resendRequests int       // requests for the missing datagrams
 	sequence       uint64    // of the last datagram applied
@@ -62,8 +62,8 @@
 // current reports whether the feed is synced and its source alive.
 func (f *feed) current(now time.Time) bool { return f.synced && now.Sub(f.receivedAt) <= feedTimeout }
 
-// chooseSource selects the first source that has not timed out recently, and
-// reports whether the source changed.
+// chooseSource selects the first source that has not timed out within sourceBackoff, or
+// else the one whose timeout is oldest, and reports whether the source changed.
 func (f *feed) chooseSource(sources []string, failedAt map[string]time.Time, now time.Time) bool {
 	if f.source != "" && now.Sub(laterOf(f.receivedAt, f.sourceSince)) > feedTimeout {
 		failedAt[f.source] = now
@@ -155,7 +155,7 @@
 }
 
 // noteGap records a missing datagram, and reports whether to request it
-// immediately.
+// immediately. After gapTimeout it makes the feed request a snapshot.
 func (f *feed) noteGap(now time.Time) bool {
 	if f.gapSince.IsZero() {
 		f.gapSince = now
@@ -204,7 +204,8 @@
 	}
 }
 
-// reset discards the feed's state, and returns the deltas that remove its nodes.
+// reset discards the feed's state except its source, and returns the deltas that remove
+// its nodes.
 func (f *feed) reset() []nodeDelta {
 	var removed []nodeDelta
 	for node := range f.nodes {
--- a/loadshare/layout.go
+++ b/loadshare/layout.go
@@ -46,7 +46,7 @@
 type layout struct {
 	own         string              // this node's address
 	hall        string              // its data hall
-	region      string              // its region; empty on a site of one
+	region      string              // its region; empty on a site of one region
 	relayed     bool                // updates pass through relays
 	relays      map[string][]string // addresses by data hall, highest rank first
 	traceStores map[string][]string // addresses of nodes that may store traces, by region
@@ -101,7 +101,7 @@
 	return sources
 }
 
-// regionOf returns the region of a data hall, empty on a site of one. A hall of
+// regionOf returns the region of a data hall, empty on a site of one region. A hall of
 // unknown region counts as part of this node's region.
 func (l *layout) regionOf(hall string) string {
 	if !l.regions.Several() {
@@ -125,7 +125,7 @@
 	return others
 }
 
-// relaysIn returns all relays of a region.
+// relaysIn returns all relays of a region, in no particular order.
 func (l *layout) relaysIn(region string) []string {
 	var all []string
 	for hall, relays := range l.relays {
@@ -136,8 +136,8 @@
 	return all
 }
 
-// exporters returns the relays of another region in this node's order of
-// preference.
+// exporters returns the relays of another region, from which its runs are imported, in
+// this node's order of preference.
 func (l *layout) exporters(region string) []string {
 	all := l.relaysIn(region)
 	rendezvous.Sort(all, l.own)
--- a/loadshare/loadshare.go
+++ b/loadshare/loadshare.go
@@ -72,7 +72,8 @@
 // WithQuarantine sets the ledger whose crash reports nodes exchange.
 func WithQuarantine(l *quarantine.Ledger) Option { return func(s *Sharer) { s.ledger = l } }
 
-// New returns a sharer that sends and receives on conn.
+// New returns a sharer that sends and receives on conn once it runs. With WithMemory it
+// restores the state file.
 func New(conn net.PacketConn, tracker *balance.Tracker, budgets *balance.Budgets, opts ...Option) *Sharer {
 	s := &Sharer{
 		conn: conn, tracker: tracker, budgets: budgets, sameHall: newPeerGroup(true, sameHallPacing), otherHalls: newPeerGroup(false, otherHallPacing),
@@ -282,7 +283,8 @@
 	return peers
 }
 
-// Run sends and receives until ctx ends, then closes the connection.
+// Run sends and receives until ctx ends, sends a last full message, then closes the
+// connection.
 func (s *Sharer) Run(ctx context.Context) {
 	go s.receive()
 	if s.stateFile != "" {
--- a/loadshare/publisher.go
+++ b/loadshare/publisher.go
@@ -9,8 +9,8 @@
 
 // Timing and limits of a publisher.
 const (
-	// perSubscriberDelay is the batching delay per subscriber; it bounds a feed to
-	// 400 datagrams per second.
+	// perSubscriberDelay is the batching delay per subscriber; at one datagram
+	// per flush it bounds a feed to 400 datagrams per second.
 	perSubscriberDelay = 2500 * time.Microsecond
 	minBatchDelay      = 10 * time.Millisecond
 	// regionBatchDelay is the minimum batching delay towards other regions, where
@@ -24,7 +24,7 @@
 	heartbeatInterval = 150 * time.Millisecond
 	// subscriptionTimeout is how long a subscription lasts without renewal.
 	subscriptionTimeout = 2500 * time.Millisecond
-	// countsInterval is the minimum time between datagrams with counts.
+	// countsInterval is the minimum time between change datagrams with counts.
 	countsInterval = 500 * time.Millisecond
 	// resendBuffer is how many datagrams are kept for retransmission, at least a
 	// second's worth; maxResend bounds the retransmissions per request.
@@ -102,7 +102,7 @@
 	}
 }
 
-// add queues a change for the next datagram.
+// add queues a change for the next datagram, unless there are no subscribers.
 func (p *publisher) add(delta nodeDelta) {
 	if len(p.subscribers) == 0 {
 		return
@@ -174,7 +174,7 @@
 }
 
 // sentSince returns up to maxResend change datagrams from a sequence number on, nil if
-// they are not buffered.
+// the first is not buffered.
 func (p *publisher) sentSince(number uint64) []feedDatagram {
 	first := p.sequence + 1 - uint64(len(p.sent))
 	if number < first || number > p.sequence {
@@ -210,7 +210,8 @@
 // reports might never quarantine the content.
 const quarantineInterval = 2 * time.Second
 
-// quarantineDue reports whether these reports are to be sent now.
+// quarantineDue reports whether these reports are to be sent now, and records that they
+// are.
 func (p *publisher) quarantineDue(now time.Time) bool {
 	if !p.countsDue(now) || now.Sub(p.quarantineSentAt) < quarantineInterval {
 		return false
@@ -219,8 +220,8 @@
 	return true
 }
 
-// flush returns the datagrams with the changes, their recipients, and the subscribers
-// that are to be sent a snapshot instead.
+// flush returns the datagrams with the changes, or a heartbeat if there are none, their
+// recipients, and the subscribers that are to be sent a snapshot instead.
 func (p *publisher) flush(r *relay, counts map[string]balance.Count, now time.Time) (changes []feedDatagram, recipients, unsynced []string) {
 	first := feedDatagram{Scope: p.scope, Region: p.region, Ended: p.events.ended, Suspects: p.events.suspects, Silent: p.events.silent}
 	first.Crashes, _ = splitAt(p.events.crashes, maxFeedCrashes)
--- a/loadshare/regions.go
+++ b/loadshare/regions.go
@@ -14,7 +14,7 @@
 // country takes about 10 ms.
 const regionDelay = 15 * time.Millisecond
 
-// ownRegion returns the region of this node, empty on a site of one.
+// ownRegion returns the region of this node, empty on a site of one region.
 func (s *Sharer) ownRegion() string {
 	if !s.regions.Several() {
 		return ""
--- a/loadshare/relay.go
+++ b/loadshare/relay.go
@@ -27,7 +27,7 @@
 // origin is a node whose runs this relay knows.
 type origin struct {
 	local      bool      // of this data hall: it reports here directly
-	region     string    // empty on a site of one region
+	region     string    // empty on a site of one region, and for runs from a site feed
 	reportedAt time.Time // time of its last report
 	runs       map[uint64]originRun
 	counts     map[string]balance.Count
@@ -86,7 +86,7 @@
 }
 
 // takeSnapshotBudget charges a snapshot of a publisher to the budget; false if the
-// budget is exhausted.
+// budget is exhausted. A snapshot may overdraw it.
 func (r *relay) takeSnapshotBudget(p *publisher, now time.Time) bool {
 	r.snapshotBudget = min(snapshotBurst, r.snapshotBudget+now.Sub(r.budgetAt).Seconds()*snapshotRate)
 	r.budgetAt = now
@@ -220,7 +220,8 @@
 	return names
 }
 
-// expire drops the nodes of this hall that stopped reporting, and returns them.
+// expire drops the nodes of this hall that stopped reporting, and returns them. It does
+// nothing within expireInterval of the last check.
 func (r *relay) expire(now time.Time) (expired []uint32) {
 	if now.Sub(r.expiredAt) < expireInterval {
 		return nil
--- a/loadshare/relaying.go
+++ b/loadshare/relaying.go
@@ -15,7 +15,7 @@
 // nodeName returns the name of a node in the tracker.
 func nodeName(short uint32) string { return strconv.FormatUint(uint64(short), 16) }
 
-// currentLayout returns the layout of the nodes known now.
+// currentLayout returns the layout of the nodes known now. It must not be modified.
 func (s *Sharer) currentLayout() *layout {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -33,7 +33,7 @@
 	return s.layout
 }
 
-// updateLocation updates a sender's location from a message. The caller holds the
+// updateLocation updates a sender's location from a message, if that carries one. The caller holds the
 // mutex.
 func (s *Sharer) updateLocation(state *sender, m *message) {
 	loc := location{dataHall: m.DataHall, disk: m.Disk}
@@ -44,7 +44,8 @@
 	s.layout = nil
 }
 
-// addressesOf returns the UDP addresses of the known peers among these.
+// addressesOf returns the UDP addresses of those of the given addresses that are known
+// peers.
 func (s *Sharer) addressesOf(addresses []string) []*net.UDPAddr {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -90,7 +91,8 @@
 	s.relay.hall.addEvents(events, now)
 }
 
-// handleFeed processes a datagram of a feed that this node subscribes to.
+// handleFeed processes a datagram of a feed that this node subscribes to; others are
+// ignored.
 func (s *Sharer) handleFeed(from string, p *feedDatagram) {
 	now := uptime.Now()
 	s.relayMu.Lock()
@@ -182,7 +184,8 @@
 	return runs
 }
 
-// handleSubscribe adds or renews a subscriber, and retransmits what it lost.
+// handleSubscribe adds or renews a subscriber, and retransmits the datagrams that it
+// reports as lost.
 func (s *Sharer) handleSubscribe(from string, req *subscribeRequest) {
 	s.relayMu.Lock()
 	var resend []feedDatagram
--- a/loadshare/sender.go
+++ b/loadshare/sender.go
@@ -20,7 +20,8 @@
 	receivedAt time.Time // time of the report
 }
 
-// apply applies a message and returns the sender's current runs.
+// apply applies a message and returns the sender's current runs. Ages that still
+// grow are as of now.
 func (s *sender) apply(m message, now time.Time) []balance.Shared {
 	s.sequence = m.Sequence
 	if m.Full || s.runs == nil {
--- a/loadshare/state.go
+++ b/loadshare/state.go
@@ -21,7 +21,7 @@
 	At     int64 // unix nanoseconds
 	Peers  []string
 	Traces []balance.Trace
-	Ends   []crashReport // ages as of At
+	Ends   []crashReport // their ages are as of At
 }
 
 const (
@@ -44,7 +44,8 @@
 // it in another one that survives a power loss.
 func WithMemory(file string) Option { return func(s *Sharer) { s.stateFile = file } }
 
-// restore loads the newer of the node's two state files.
+// restore loads the newer of the node's two state files. State older than
+// savedStateMaxAge is dropped except for the crash reports.
 func (s *Sharer) restore() {
 	m, age := newerState(readState(s.stateFile), readState(s.stateFile+syncedSuffix))
 	s.restoreCrashes(m, age)
@@ -76,7 +77,8 @@
 	s.ledger.Take(notes)
 }
 
-// newerState returns the newer of two states and its age.
+// newerState returns the newer of two states and its age, negative if the clock was set
+// back.
 func newerState(a, b savedState) (savedState, time.Duration) {
 	if b.At > a.At {
 		a = b
--- a/loadshare/stats.go
+++ b/loadshare/stats.go
@@ -10,7 +10,8 @@
 	failedRelays atomic.Int64 // failovers from unresponsive relays
 	borrowed     atomic.Int64 // retries borrowed from peers
 	lent         atomic.Int64 // retries lent to peers
-	// regions counts the bytes sent to each other region; nil on a site of one.
+	// regions counts the bytes sent to each other region; nil on a site of one
+	// region.
 	regions map[string]*atomic.Int64
 }
 
@@ -26,7 +27,7 @@
 	Borrowed    int64 // retries borrowed from peers
 	Lent        int64 // retries lent to peers
 
-	Region      string           // of this node; empty on a site of one
+	Region      string           // of this node; empty on a site of one region
 	RegionBytes map[string]int64 // bytes sent, by other region
 }
 
--- a/loadshare/subscriptions.go
+++ b/loadshare/subscriptions.go
@@ -80,7 +80,7 @@
 	s.tracker.StillThere(live)
 }
 
-// queryHalls queries peers whose data hall is not known.
+// queryHalls queries some peers whose data hall is not known.
 func (s *Sharer) queryHalls(l *layout, now time.Time) {
 	if len(l.unknownHall) == 0 || now.Sub(s.hallsQueriedAt) < hallQueryInterval {
 		return
--- a/member/list.go
+++ b/member/list.go
@@ -157,7 +157,8 @@
 	return updates
 }
 
-// probeNext returns the next node to probe; each node is probed once per round.
+// probeNext returns the next node to probe; each node is probed once per round, except
+// those that have left. It returns false if there is none.
 func (l *list) probeNext(shuffle func([]walnutramp.NodeName)) (Node, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
