--- a/node/control.go
+++ b/node/control.go
@@ -86,9 +86,9 @@
 	}
 }
 
-// inForce reports whether the node may accept new requests: always if there is no control
-// group, otherwise while the node holds the control group's lease.
-func (n *Node) inForce() bool { return n.control == nil || n.control.InForce() }
+// mayAcceptRequests reports whether the node may accept new requests: always if there is
+// no control group, otherwise while the node holds the control group's lease.
+func (n *Node) mayAcceptRequests() bool { return n.control == nil || n.control.InForce() }
 
 // Control returns the control group client, or nil without a control group.
 func (n *Node) Control() *control.Client { return n.control }
@@ -112,7 +112,7 @@
 func (n *Node) status() operator.NodeStatus {
 	return operator.NodeStatus{
 		Node: n.cfg.Name, DataHall: n.cfg.DataHall, Version: n.BundleVersion(),
-		InForce: n.inForce(), Stopping: n.stopping.Load(), Answered: true,
+		InForce: n.mayAcceptRequests(), Stopping: n.stopping.Load(), Answered: true,
 	}
 }
 
--- a/node/node.go
+++ b/node/node.go
@@ -235,7 +235,7 @@
 	opts := append([]route.Option{
 		route.WithNode(n.cfg.Name, n.cfg.DataHall),
 		route.WithSeed(n.cfg.Seed),
-		route.WithInForce(n.inForce),
+		route.WithInForce(n.mayAcceptRequests),
 		route.WithRestLeft(n.pool.RestLeft),
 	}, n.cfg.RouteOptions...)
 	n.router = route.New(opts...)
@@ -284,7 +284,7 @@
 		http.Error(w, "stopping", http.StatusServiceUnavailable)
 		return
 	}
-	if !n.inForce() || n.bundle.Load().Version == 0 {
+	if !n.mayAcceptRequests() || n.bundle.Load().Version == 0 {
 		http.Error(w, "no bundle is known to be in force", http.StatusServiceUnavailable)
 		return
 	}
