--- a/emulator/engine.go
+++ b/emulator/engine.go
@@ -128,6 +128,7 @@
 	return fmt.Sprintf("%d,%d,%d", len(e.runs)-waiting, waiting, e.cfg.Slots)
 }
 
+// parseUsage parses the usage header; an invalid field is 0.
 func parseUsage(value string) (prompt, out int) {
 	first, second, _ := strings.Cut(value, ",")
 	prompt, _ = strconv.Atoi(first)
@@ -153,6 +154,7 @@
 	return r
 }
 
+// release removes a run from the batch and frees its memory.
 func (e *Engine) release(r *run) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/emulator/policies_test.go
+++ b/emulator/policies_test.go
@@ -51,9 +51,9 @@
 	halls               = 3
 	nodeCount           = 6
 	loadDuration        = 30 * time.Second
-	sharePeriod         = 15 * time.Millisecond
+	sharePeriod         = 15 * time.Millisecond // between exchanges of load state
 	firstEventObjective = 4500 * time.Millisecond
-	pauseObjective      = 700 * time.Millisecond
+	pauseObjective      = 700 * time.Millisecond // longest time between two events
 )
 
 // scenario is the load and policy of an emulation.
@@ -91,6 +91,7 @@
 
 func hall(n int) string { return fmt.Sprint("hall-", n) }
 
+// start starts an engine in a data hall, with a new ID.
 func (e *emulation) start(hallNumber int, address string) {
 	l, err := e.net.Listen(address, address)
 	if err != nil {
@@ -193,6 +194,7 @@
 	return len(p), nil
 }
 
+// draft sends a draft through a gateway and counts whether it kept its objectives.
 func (e *emulation) draft(i int, g *gateway.Gateway, prompt, out int) {
 	ctx, cancel := context.WithTimeout(context.Background(), 25*time.Second)
 	defer cancel()
--- a/emulator/service_test.go
+++ b/emulator/service_test.go
@@ -26,20 +26,21 @@
 	serviceLoadDuration = 10 * time.Second
 )
 
-// variant is a use of the reported slowdown by nodes.
+// variant is a way in which nodes use the slowdown that servers report.
 type variant struct {
 	name     string
 	halfLife time.Duration // of the slowdown; 0 ignores it
 	probes   int           // servers probed before a choice
 }
 
-// defaultVariant is the default of nodes.
+// defaultVariant is what nodes do by default.
 var defaultVariant = variant{name: "half-life 1 s", halfLife: time.Second}
 
+// ignoringVariant ignores the slowdown.
 var ignoringVariant = variant{name: "ignored"}
 
-// variants are those run if seedsVariable is set; by default, only the default
-// and none are compared.
+// variants are compared if seedsVariable is set; otherwise only defaultVariant and
+// ignoringVariant are.
 var variants = []variant{
 	defaultVariant, ignoringVariant, {name: "latest report", halfLife: time.Hour}, {name: "half-life 50 ms", halfLife: 50 * time.Millisecond},
 	{name: "half-life 200 ms", halfLife: 200 * time.Millisecond}, {name: "probes two", halfLife: time.Second, probes: 2},
--- a/fleet/cost.go
+++ b/fleet/cost.go
@@ -8,12 +8,12 @@
 
 // Penalties, in units of the price of an on-demand target.
 const (
-	// refusalPenalty is the penalty for each target missing to serve all
-	// requests. It is high because refusing requests costs far more than the
-	// targets.
+	// refusalPenalty is the penalty for each target short of the number below
+	// which requests are refused.
 	refusalPenalty = 20.0
-	// delayPenalty is the penalty for each target missing to serve requests
-	// without delay and with backup copies.
+	// delayPenalty is the penalty for each target short of the number that serves
+	// requests without delay and with backup copies, and for each target in excess
+	// of maxHallRatio.
 	delayPenalty = 1.0
 	// maxHallRatio is the largest size of a data hall, relative to the mean,
 	// without a penalty. The loss of a larger one interrupts more runs than the
@@ -125,8 +125,8 @@
 var stepSizes = []int{16, 4, 1}
 
 // searchLeastCost runs a local search for the lowest expected cost, starting at
-// the guess. It changes single places, pairs of places, and all data halls at
-// once. The result never costs more than the guess.
+// the guess. Each change, as listed by moves, keeps the limits of apply. The result
+// never costs more than the guess, but may be a local minimum.
 func (s *Situation) searchLeastCost(guess Counts) Counts {
 	cost, base := s.costFunc(), s.onDemandBase()
 	best, lowest := maps.Clone(guess), cost(guess)
@@ -147,8 +147,8 @@
 	return best
 }
 
-// minGain is the smallest improvement for which the search continues, in prices
-// of a target.
+// minGain is the improvement of the expected cost below which the search does not
+// take a change, in the unit of Scaling.Prices.
 const minGain = 1e-6
 
 // moves lists the candidate moves of one step size: at one place, from one
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -20,19 +20,19 @@
 
 // check fails the test if the share of served requests is below minServed, or the
 // cost relative to a fixed fleet is above maxCost. It then logs all orders.
-func (s *simulation) check(until time.Duration, served, cost float64) {
+func (s *simulation) check(until time.Duration, minServed, maxCost float64) {
 	s.t.Helper()
-	part := s.cost / fixedCost(s, until)
-	s.t.Logf("served %.4f of the requests, cost %.3f of a fixed fleet, %d calls, at least %d serving targets", s.served(), part, s.calls, s.minServing)
-	if s.served() < served {
-		s.t.Errorf("served %.4f of the requests, want at least %.4f", s.served(), served)
+	costShare := s.cost / fixedCost(s, until)
+	s.t.Logf("served %.4f of the requests, cost %.3f of a fixed fleet, %d calls, at least %d serving targets", s.served(), costShare, s.calls, s.minServing)
+	if s.served() < minServed {
+		s.t.Errorf("served %.4f of the requests, want at least %.4f", s.served(), minServed)
 	}
-	if part > cost {
-		s.t.Errorf("cost %.3f of a fixed fleet, want at most %.3f", part, cost)
+	if costShare > maxCost {
+		s.t.Errorf("cost %.3f of a fixed fleet, want at most %.3f", costShare, maxCost)
 	}
 	if s.t.Failed() {
-		for _, o := range s.steps {
-			s.t.Logf("%v %+v", o.at, o.step)
+		for _, sent := range s.steps {
+			s.t.Logf("%v %+v", sent.at, sent.step)
 		}
 	}
 }
@@ -72,9 +72,9 @@
 	if onDemand == 0 || onDemand > 90 {
 		t.Errorf("%d on-demand targets, want 1 to 90", onDemand)
 	}
-	for _, o := range s.steps {
-		if o.step.Order.Kind == fleet.OnDemand && o.at < s.scaling.Boot {
-			t.Errorf("on-demand targets removed at %v, before spot targets served", o.at)
+	for _, sent := range s.steps {
+		if sent.step.Order.Kind == fleet.OnDemand && sent.at < s.scaling.Boot {
+			t.Errorf("on-demand targets removed at %v, before spot targets served", sent.at)
 		}
 	}
 }
@@ -217,13 +217,13 @@
 	f.Add(1, 120, 0.15, 1.0, 0.8, 1.25, 41.0, 200.0, 2e6, uint8(0))
 	f.Add(0, 5, 0.0, 1.0, 1.0, 1.0, 4e3, 1e5, 1e9, uint8(3))
 	f.Add(3, 20, 1.0, 1e3, 1e-3, 1.0, 10.0, 10.0, 1e5, uint8(63))
-	f.Fuzz(func(t *testing.T, minTargets, maxTargets int, spot, a, b, c, reading, running, held float64, stuck uint8) {
-		if minTargets < 0 || maxTargets < minTargets || maxTargets > 200 || !inRange(spot, 0, 1) || !inRange(a, 0, 1e4) || !inRange(b, 0, 1e4) || !inRange(c, 0, 1e4) ||
+	f.Fuzz(func(t *testing.T, minTargets, maxTargets int, spot, priceA, priceB, priceC, reading, running, held float64, stuck uint8) {
+		if minTargets < 0 || maxTargets < minTargets || maxTargets > 200 || !inRange(spot, 0, 1) || !inRange(priceA, 0, 1e4) || !inRange(priceB, 0, 1e4) || !inRange(priceC, 0, 1e4) ||
 			!inRange(reading, 0, 1e6) || !inRange(running, 0, 1e6) || !inRange(held, 0, 1e12) {
 			t.Skip()
 		}
 		s := fleet.Situation{
-			Scaling: fleet.Scaling{Min: minTargets, Max: maxTargets, Boot: time.Second, SpotPrice: spot, Prices: map[string]float64{"a": a, "b": b, "c": c}},
+			Scaling: fleet.Scaling{Min: minTargets, Max: maxTargets, Boot: time.Second, SpotPrice: spot, Prices: map[string]float64{"a": priceA, "b": priceB, "c": priceC}},
 			Engine:  simEngine(), Risks: fleet.AssumedRisks(), Base: map[string]int{"a": 1, "b": 2, "c": 3},
 			Load:  &fleet.Load{Requests: reading, Reading: reading, Running: running, Held: held},
 			Stuck: fleet.Counts{},
--- a/fleet/mover.go
+++ b/fleet/mover.go
@@ -18,8 +18,8 @@
 	minRetryDelay = 500 * time.Millisecond
 	maxRetryDelay = 8 * time.Second
 	// maxBackoff limits the backoff, in boot times, after the platform had no
-	// capacity at a place. The backoff grows by backoffFactor with each
-	// refusal, and stays short so that new capacity is found soon.
+	// capacity at a place or reclaimed its targets. The backoff grows by
+	// backoffFactor each time.
 	maxBackoff    = 2
 	backoffFactor = 1.3
 	// maxScaleDownPart limits the fraction of a data hall's targets that one order
@@ -105,6 +105,7 @@
 	return &Mover{service: service, places: map[Place]*placeState{}, lastScaledDown: map[string]time.Time{}}
 }
 
+// at returns the state of a place, which it adds if there is none.
 func (m *Mover) at(p Place) *placeState {
 	if m.places[p] == nil {
 		m.places[p] = &placeState{}
@@ -150,7 +151,8 @@
 	return p.Kind == Spot && v.Leaving[p] > removed && v.Serving[p] < v.Ordered[p]
 }
 
-// refused starts a backoff because the platform had no capacity.
+// refused starts a backoff because the platform had no capacity or reclaimed
+// targets.
 func (s *placeState) refused(now time.Time, boot time.Duration) {
 	s.backoff = min(max(time.Duration(backoffFactor*float64(s.backoff)), boot), maxBackoff*boot)
 	s.backoffUntil = now.Add(s.backoff)
@@ -266,8 +268,8 @@
 	return halls
 }
 
-// kinds are in order of scale-up: reclaimed spot targets take the longest to
-// recover.
+// kinds is the order in which scaleUp and repeat look at the kinds. Spot comes first:
+// reclaimed spot targets take the longest to recover.
 var kinds = []Kind{Spot, OnDemand}
 
 // scaleUp returns the scale-up order for a data hall, if any.
@@ -334,7 +336,9 @@
 	return max(1, int(math.Ceil(maxScaleDownPart*float64(v.Ordered.Hall(hall)))))
 }
 
-// inDeadBand reports whether a change is within the dead band.
+// inDeadBand reports whether a change is too small to be ordered. It returns false
+// while no request has arrived, and while fewer targets are ordered than the load
+// needs.
 func (v *View) inDeadBand(change int, hall string) bool {
 	return !v.Idle && v.Ordered.Total() >= v.Least && float64(change) < deadBand*float64(v.Ordered.Hall(hall))
 }
--- a/fleet/need.go
+++ b/fleet/need.go
@@ -15,8 +15,8 @@
 // Utilization limits of a target.
 const (
 	// comfortReading is the prefill utilization up to which prompts seldom
-	// queue. Nodes balance on load reports that are about 100 ms old, so
-	// prompts collide.
+	// queue. It is well below 1, since nodes that balance on slightly outdated
+	// load reports send prompts to the same target.
 	comfortReading = 0.5
 	// comfortMemory is the utilization of memory or slots up to which the
 	// balancer treats a target like an empty one.
@@ -33,7 +33,7 @@
 	comfort float64 // above it, more targets do not improve service
 }
 
-// needOf returns the need of a load.
+// needOf returns the need of a load. Backup copies count only towards comfort.
 func (e Engine) needOf(l Load) need {
 	held := l.Held
 	if e.Copies {
@@ -45,8 +45,8 @@
 	}
 }
 
-// targetsFor returns the number of targets of a given size for a use, at the
-// given utilization; 0 if the size is unknown.
+// targetsFor returns the number of targets with the given size, in slots or tokens,
+// that hold a use at the given utilization; 0 if the size is unknown.
 func targetsFor(use float64, size int, utilization float64) float64 {
 	if size <= 0 {
 		return 0
--- a/fleet/plan.go
+++ b/fleet/plan.go
@@ -94,16 +94,16 @@
 // kinds chosen for the load that these targets can bear. Counts that are not
 // available in a data hall move to others.
 func (s *Situation) keepCapacity() Counts {
-	situation := *s
-	situation.Load = s.bearableLoad()
-	kinds := situation.searchLeastCost(situation.hallReserve())
+	bearable := *s
+	bearable.Load = s.bearableLoad()
+	cheapest := bearable.searchLeastCost(bearable.hallReserve())
 	wanted := Counts{}
 	missing := 0
 	cheap := s.cheapKind()
 	for _, hall := range s.halls() {
 		p, other := Place{hall, cheap}, Place{hall, 1 - cheap}
 		base := min(max(s.Base[hall], s.Scaling.Min), s.Scaling.Max)
-		wanted[other] = min(base, kinds[other])
+		wanted[other] = min(base, cheapest[other])
 		wanted[p] = min(base-wanted[other], s.maxAt(wanted, p))
 		missing += base - wanted.Hall(hall)
 	}
--- a/internal/dutycheck/dutycheck.go
+++ b/internal/dutycheck/dutycheck.go
@@ -132,7 +132,7 @@
 	return ""
 }
 
-// findSharedToken reports a token that two nodes have used.
+// findSharedToken reports a token that two nodes have used, on any subject.
 func findSharedToken(calls []*Call) string {
 	owner := map[duty.Token]string{}
 	for _, c := range calls {
@@ -145,7 +145,7 @@
 }
 
 // findInterleaving reports applied calls of nodes in the order A, B, A within one
-// lease.
+// lease, on any subjects: one node holds the duty for all of them.
 func findInterleaving(calls []*Call, lease time.Duration) string {
 	last := map[string]time.Time{} // time of each node's last call
 	between := map[string]string{} // another node that has called since then
--- a/internal/dutycheck/dutycheck_test.go
+++ b/internal/dutycheck/dutycheck_test.go
@@ -12,8 +12,8 @@
 
 // newCall returns a call that was written the given number of milliseconds after the
 // epoch.
-func newCall(ms int, node string, token duty.Token, content string) *Call {
-	return &Call{Node: node, Subject: "s", Token: token, Content: content, Written: time.UnixMilli(int64(ms))}
+func newCall(writtenMS int, node string, token duty.Token, content string) *Call {
+	return &Call{Node: node, Subject: "s", Token: token, Content: content, Written: time.UnixMilli(int64(writtenMS))}
 }
 
 // platformWith returns a platform that applied the calls in order.
--- a/internal/memfs/memfs.go
+++ b/internal/memfs/memfs.go
@@ -18,6 +18,7 @@
 	epoch     int // incremented by Crash and Wipe; handles of earlier epochs are closed
 }
 
+// content is the data of a file.
 type content struct {
 	data   []byte
 	synced int // bytes that survive a crash
--- a/internal/memnet/memnet.go
+++ b/internal/memnet/memnet.go
@@ -16,7 +16,7 @@
 // Network connects named hosts.
 type Network struct {
 	// Delay returns the one-way latency between two hosts; nil means zero. It must
-	// be set before the first connection, and if Rate is set.
+	// be set before the first connection. Without it, Rate has no effect.
 	Delay func(a, b string) time.Duration
 	// Rate returns the bandwidth of a host's link in each direction, in bytes per
 	// second; nil means unlimited. It must be set before the first connection.
@@ -133,6 +133,7 @@
 	n.drop(func(c *conn) bool { return c.hosts[0] == host || c.hosts[1] == host })
 }
 
+// drop closes the connections that match.
 func (n *Network) drop(match func(*conn) bool) {
 	n.mu.Lock()
 	var matched []*conn
@@ -147,6 +148,7 @@
 	}
 }
 
+// pair returns two hosts in sorted order.
 func pair(a, b string) [2]string {
 	if a > b {
 		a, b = b, a
--- a/internal/site/site.go
+++ b/internal/site/site.go
@@ -80,7 +80,7 @@
 	Callers string // address for clients
 	Peers   string // address for peers
 	site    *Site
-	runs    int
+	runs    int // number of starts
 
 	Disk       *memfs.FS // nil if the node has none
 	SentBefore int64     // bytes sent to peers before the last restart
@@ -91,7 +91,7 @@
 	*standin.Engine
 	Target bundle.Target
 	site   *Site
-	runs   int
+	runs   int // number of starts
 
 	DecodedBefore int // tokens decoded before the last restart
 }
@@ -182,6 +182,7 @@
 	}
 }
 
+// founders returns the names of the initial control group.
 func (s *Site) founders() []walnutramp.NodeName {
 	var names []walnutramp.NodeName
 	for _, n := range s.Nodes[:s.cfg.Control] {
@@ -237,6 +238,7 @@
 	return err
 }
 
+// makeBundle returns the site's first bundle.
 func (s *Site) makeBundle() *bundle.Bundle {
 	b := &bundle.Bundle{
 		Version:    1,
--- a/internal/slownet/link.go
+++ b/internal/slownet/link.go
@@ -39,6 +39,8 @@
 // Links is the path of one direction of a connection, in order.
 type Links []*Link
 
+// transmit queues n bytes on each link in turn, and returns when they have passed the
+// last one.
 func (ls Links) transmit(n int, at time.Time) time.Time {
 	for _, l := range ls {
 		at = l.transmit(n, at)
--- a/internal/slownet/slownet.go
+++ b/internal/slownet/slownet.go
@@ -58,8 +58,8 @@
 
 func (l *channel) close() { l.once.Do(func() { close(l.done) }) }
 
-// send queues data and, if err is not nil, the end of the stream after it. It
-// retains data.
+// send queues data and, if err is not nil, the end of the stream after it. The caller
+// must not change data afterwards. It returns false if the channel was closed.
 func (l *channel) send(data []byte, err error) bool {
 	if l.inFlight == nil {
 		return l.enqueue(data, err)
@@ -90,7 +90,8 @@
 	}
 }
 
-// next waits for the next segment or the end of the stream.
+// next waits for the next segment or the end of the stream. It returns false if the
+// channel was closed first.
 func (l *channel) next() (data []byte, err error, ok bool) {
 	for {
 		l.mu.Lock()
@@ -112,6 +113,7 @@
 	}
 }
 
+// enqueue puts data in flight. It returns false if the channel was closed.
 func (l *channel) enqueue(data []byte, err error) bool {
 	due := l.links.transmit(len(data), time.Now()).Add(l.delay)
 	select {
@@ -138,7 +140,8 @@
 	}
 }
 
-// receive waits for the next packet and its arrival time.
+// receive waits until the next packet arrives. It returns false if the channel was
+// closed first.
 func (l *channel) receive() (packet, bool) {
 	select {
 	case p := <-l.packets:
@@ -190,6 +193,7 @@
 	return d.Conn.Close()
 }
 
+// delayedConn replaces the methods of the wrapped connection with delayed ones.
 type delayedConn struct {
 	*delayed
 }
--- a/load/capacity.go
+++ b/load/capacity.go
@@ -35,8 +35,8 @@
 	X      string  `json:"x_unit"`
 	Y      string  `json:"y_unit"`
 	Points []Point `json:"points"`
-	Base   float64 `json:"base"`
-	PerX   float64 `json:"per_x"`
+	Base   float64 `json:"base"`  // cost at size 0, according to the fit
+	PerX   float64 `json:"per_x"` // increase of the cost per unit of size
 	R2     float64 `json:"r2"`
 	Spread float64 `json:"spread"` // largest absolute residual
 }
@@ -82,9 +82,9 @@
 // Meter measures how the cost of a site without clients grows with its size.
 type Meter struct {
 	Duration time.Duration // duration of each measurement
-	Members  []int
-	Targets  []int
-	Changes  []int // bundle changes per second
+	Members  []int         // numbers of nodes to measure with
+	Targets  []int         // numbers of targets to measure with
+	Changes  []int         // bundle changes per second
 	Progress io.Writer
 }
 
@@ -166,6 +166,7 @@
 	settlePerNode = 150 * time.Millisecond
 )
 
+// Size of a measured site, except in the dimension that is varied.
 const (
 	capacityVoters  = 5 // members of the control group
 	capacityTargets = 4
@@ -276,6 +277,8 @@
 	return sent, received
 }
 
+// heapInUse returns the memory of the heap and the stacks in bytes, after a garbage
+// collection.
 func heapInUse() uint64 {
 	runtime.GC()
 	var stats runtime.MemStats
@@ -303,7 +306,8 @@
 	return time.Since(accepted), nil
 }
 
-// applyChanges submits bundles at a rate for the measurement duration.
+// applyChanges submits bundles for the measurement duration, at most perSecond of
+// them: each waits until the previous one is in force. At 0 it only waits.
 func (m *Meter) applyChanges(ctx context.Context, s *site.Site, perSecond int) error {
 	if perSecond == 0 {
 		pause.For(ctx, m.Duration)
@@ -350,6 +354,7 @@
 	return []Slope{parse, delta, memory}, nil
 }
 
+// parseRounds is the number of times that a delta is applied to measure the mean time.
 const parseRounds = 5
 
 // measureApply applies a delta and decodes the new bundle as a node does. It returns
--- a/load/client.go
+++ b/load/client.go
@@ -198,6 +198,7 @@
 	}
 }
 
+// recordError records an error event of the stream.
 func (f *draftReader) recordError(raw json.RawMessage) {
 	r := &Refusal{}
 	r.fill(raw)
@@ -205,6 +206,7 @@
 	f.retryAfter = r.RetryAfter
 }
 
+// apply adds an event's text to the draft and records its position.
 func (f *draftReader) apply(id string, c chunk) {
 	if id != "" {
 		f.position = id
@@ -272,6 +274,8 @@
 	return r
 }
 
+// fill sets the fields that the JSON error object has. It leaves them as they are if it
+// can't be decoded.
 func (r *Refusal) fill(raw json.RawMessage) {
 	var info struct {
 		Message      string             `json:"message"`
--- a/load/predict.go
+++ b/load/predict.go
@@ -7,17 +7,18 @@
 	"github.com/walnutramp/walnutramp/target"
 )
 
-// SystemSize is a system size with limits on the cost per node.
+// SystemSize is a system size, with limits on the cost per node and on the time
+// until a change is in force.
 type SystemSize struct {
 	Nodes          float64
-	Engines        float64 // engines
+	Engines        float64
 	RequestsPerSec float64
 	TokensPerSec   float64
 	ChangesPerDay  float64
 	CPULimit       float64 // CPU time of the control plane, in ms per second
 	MemoryLimit    float64 // MB
 	BytesLimit     float64 // bytes per second
-	InForceLimit   float64 // ms
+	InForceLimit   float64 // ms from the acceptance of a change until the last node has it in force
 }
 
 // Target returns the size that the system is designed for.
@@ -52,6 +53,8 @@
 	}
 }
 
+// predictions returns the costs at size t: by the linear fits, and for load reports by
+// the highest measured cost. The derivations name the sizes of Target whatever t is.
 func (c *Capacity) predictions(t SystemSize) []prediction {
 	extrapolate := func(name string, x float64) float64 {
 		if s, ok := c.Slope(name); ok {
--- a/load/run.go
+++ b/load/run.go
@@ -132,6 +132,8 @@
 	u.resumes[r.Generation] = append(u.resumes[r.Generation], r)
 }
 
+// peerBytes returns the bytes that all nodes have sent to each other since the start
+// of the site.
 func (u *run) peerBytes() int64 {
 	var sum int64
 	for _, n := range u.site.Nodes {
@@ -323,6 +325,8 @@
 	return gaps[len(gaps)*95/100]
 }
 
+// addGoodput computes what was served within the objectives, and the share of prompt
+// tokens found cached.
 func (u *run) addGoodput() {
 	res := &u.result
 	res.WorstAccount = 1
@@ -345,6 +349,7 @@
 	}
 }
 
+// addDraft counts a draft and why it is incomplete, if it is.
 func (r *Result) addDraft(d *Drafted) {
 	r.Drafts++
 	r.Verdict.Add(d.Verdict)
@@ -379,6 +384,7 @@
 	}
 }
 
+// addCosts computes the costs per 1,000 tokens from the CPU time by subsystem.
 func (r *Result) addCosts(cpu map[string]time.Duration) {
 	thousands := float64(r.Verdict.Tokens) / 1000
 	if thousands == 0 {
--- a/load/shape.go
+++ b/load/shape.go
@@ -22,7 +22,7 @@
 	Client   time.Duration // one-way latency between clients and the site
 	Accounts int
 	Leaning  bundle.Leaning
-	Coalesce time.Duration
+	Coalesce time.Duration // see bundle.Guard
 	Slots    int           // per engine; 0 for the default of the stand-in engine
 	Patience time.Duration // admission timeout; 0 for the node's default
 }
--- a/rollout/evidence.go
+++ b/rollout/evidence.go
@@ -37,6 +37,7 @@
 // Answered returns the number of finished requests.
 func (c *Counts) Answered() uint32 { return c.Served + c.Failed + c.Lost }
 
+// add counts a finished request.
 func (c *Counts) add(o Outcome) {
 	switch o {
 	case Served:
@@ -56,7 +57,7 @@
 	}
 }
 
-// Add adds more to c.
+// Add adds other to c.
 func (c *Counts) Add(other Counts) {
 	c.Sent += other.Sent
 	c.Served += other.Served
--- a/rollout/experiment/play.go
+++ b/rollout/experiment/play.go
@@ -21,7 +21,7 @@
 	viewDelay        = 60 * time.Millisecond // until most nodes have a new view
 	targetBoot       = 1500 * time.Millisecond
 	crashDuration    = 1200 * time.Millisecond
-	partialShare     = 0.15
+	partialShare     = 0.15 // of the targets that have partial failures, under Troubles.Grey
 	partialErrorRate = 0.4
 	partialDuration  = 5 * time.Second
 	tick             = 10 * time.Millisecond
@@ -90,15 +90,17 @@
 	revision   uint64
 
 	requests   float64
-	badAnswers int
+	badAnswers int // bad or failed answers of the new version, whatever the cause
 	out        Outcome
 }
 
+// crash is an outage of a data hall's targets that lasts crashDuration.
 type crash struct {
 	hall int
 	from time.Duration
 }
 
+// pendingView is a view that reaches the nodes at a later time.
 type pendingView struct {
 	at   time.Duration
 	view rollout.View
@@ -227,6 +229,7 @@
 	}
 }
 
+// poisson returns a random number with a Poisson distribution.
 func (sim *simulation) poisson(mean float64) int {
 	n, product := 0, sim.rng.Float64()
 	for limit := math.Exp(-mean); product > limit; product *= sim.rng.Float64() {
@@ -256,6 +259,9 @@
 	heap.Push(&sim.inFlight, a)
 }
 
+// pick selects a target of a version that the agent allows. Drawn means that the
+// request was selected for the new version, whose targets are then limited to the
+// agent's focus.
 func (sim *simulation) pick(agent *rollout.Agent, drawn bool) *target {
 	versions := agent.Versions(service, drawn)
 	if !versions.Has(newVersion) {
--- a/rollout/experiment/table.go
+++ b/rollout/experiment/table.go
@@ -89,4 +89,4 @@
 	return t.Flush()
 }
 
-func percent(n, of int) float64 { return 100 * float64(n) / float64(max(1, of)) }
+func percent(n, total int) float64 { return 100 * float64(n) / float64(max(1, total)) }
--- a/rollout/judge.go
+++ b/rollout/judge.go
@@ -141,13 +141,13 @@
 }
 
 func (r *routeEvidence) addCanary(bin int, cell Cell) {
-	u := targetKey{hall: cell.Key.DataHall, target: cell.Key.Target}
-	bins := r.canary[u]
+	key := targetKey{hall: cell.Key.DataHall, target: cell.Key.Target}
+	bins := r.canary[key]
 	if n := len(bins); n > 0 && bins[n-1].bin == bin {
 		bins[n-1].counts.Add(cell.Counts)
 		return
 	}
-	r.canary[u] = append(bins, binCounts{bin: bin, counts: cell.Counts})
+	r.canary[key] = append(bins, binCounts{bin: bin, counts: cell.Counts})
 }
 
 // samples returns the samples of a metric for the new version, by target.
@@ -165,13 +165,13 @@
 		share = baselineSlowShare(r.baseline.Pace, slow)
 	}
 	samples := map[targetKey][]sample{}
-	for u, bins := range r.canary {
+	for key, bins := range r.canary {
 		for _, b := range bins {
 			s := sample{bin: b.bin, baseline: share}
 			switch m {
 			case metricFailed:
 				s.n, s.bad = float64(b.counts.Answered()), float64(b.counts.Failed+b.counts.Lost)
-				loss := r.lossShare(u.hall, b.bin)
+				loss := r.lossShare(key.hall, b.bin)
 				if loss > hallLossShare {
 					s.n, s.bad, loss = s.n-float64(b.counts.Lost), float64(b.counts.Failed), 0
 				}
@@ -182,7 +182,7 @@
 				s.n, s.bad = b.counts.Pace.total(), b.counts.Pace.atLeast(slow)
 			}
 			if s.n > 0 {
-				samples[u] = append(samples[u], s)
+				samples[key] = append(samples[key], s)
 			}
 		}
 	}
@@ -213,8 +213,8 @@
 			if len(j.routes) > 1 {
 				v.keepWorst(fmt.Sprintf("answers %s on route %s", metricNames[m], name), j.score(byTarget))
 			}
-			for u, samples := range byTarget {
-				all[u] = append(all[u], samples...)
+			for key, samples := range byTarget {
+				all[key] = append(all[key], samples...)
 			}
 		}
 		v.keepWorst(fmt.Sprintf("answers %s on all routes", metricNames[m]), j.score(all))
@@ -235,8 +235,9 @@
 	}
 }
 
-// addCounts updates the number of answers and the excess of bad ones, leaving
-// out the worst target if there are several.
+// addCounts sets the number of answers if the metric is metricFailed, and raises the
+// excess to that of the metric. If there are several targets, the excess leaves out
+// the worst one.
 func (v *Verdict) addCounts(m metric, byTarget map[targetKey][]sample) {
 	n, excess, expected, worstTarget := 0.0, 0.0, 0.0, 0.0
 	for _, samples := range byTarget {
@@ -258,8 +259,9 @@
 	v.Excess = max(v.Excess, excess-excessSigmas*math.Sqrt(expected))
 }
 
-// score returns the test statistic of the policy. The worst of several targets
-// is discounted, because a fault of one target is not a fault of the version.
+// score returns the test statistic of the policy. Except under Threshold, the worst
+// of several targets is discounted, because a fault of one target is not a fault of
+// the version.
 func (j *Judge) score(byTarget map[targetKey][]sample) float64 {
 	if j.policy == Threshold {
 		return thresholdScore(byTarget)
--- a/rollout/judge_test.go
+++ b/rollout/judge_test.go
@@ -49,20 +49,20 @@
 const baselineLatency = 30 * time.Millisecond
 
 func TestGoodVersionIsNotDoubtful(t *testing.T) {
-	for _, fails := range []float64{0, 0.02, 0.14, 0.5} {
-		s := newGenerator(ChangePoint)
-		s.both(0, 10*time.Second, fails, fails, baselineLatency)
-		v := s.judge.Verdict()
-		require.False(t, v.Doubtful, "%v: %+v", fails, v)
+	for _, errorRate := range []float64{0, 0.02, 0.14, 0.5} {
+		g := newGenerator(ChangePoint)
+		g.both(0, 10*time.Second, errorRate, errorRate, baselineLatency)
+		v := g.judge.Verdict()
+		require.False(t, v.Doubtful, "%v: %+v", errorRate, v)
 		require.EqualValues(t, 120, v.Answers)
 	}
 }
 
 func TestErrorRateRegressionIsBad(t *testing.T) {
 	for _, policy := range Policies() {
-		s := newGenerator(policy)
-		s.both(0, 10*time.Second, 0.02, 0.3, baselineLatency)
-		v := s.judge.Verdict()
+		g := newGenerator(policy)
+		g.both(0, 10*time.Second, 0.02, 0.3, baselineLatency)
+		v := g.judge.Verdict()
 		require.True(t, v.Bad, "%s: %+v", policy, v)
 		require.Contains(t, v.Evidence, "failed")
 		require.Positive(t, v.Excess)
@@ -70,9 +70,9 @@
 }
 
 func TestLatencyRegressionIsBad(t *testing.T) {
-	s := newGenerator(ChangePoint)
-	s.both(0, 4*time.Second, 0.02, 0.02, 3*baselineLatency)
-	v := s.judge.Verdict()
+	g := newGenerator(ChangePoint)
+	g.both(0, 4*time.Second, 0.02, 0.02, 3*baselineLatency)
+	v := g.judge.Verdict()
 	require.True(t, v.Bad)
 	require.Contains(t, v.Evidence, "slow to begin")
 }
@@ -80,10 +80,10 @@
 // Guards against a late regression being masked by good answers before it.
 func TestLateRegressionIsDetected(t *testing.T) {
 	verdict := func(p Policy) Verdict {
-		s := newGenerator(p)
-		s.both(0, 8*time.Second, 0.02, 0.01, baselineLatency)
-		s.both(8*time.Second, 10*time.Second, 0.02, 0.4, baselineLatency)
-		return s.judge.Verdict()
+		g := newGenerator(p)
+		g.both(0, 8*time.Second, 0.02, 0.01, baselineLatency)
+		g.both(8*time.Second, 10*time.Second, 0.02, 0.4, baselineLatency)
+		return g.judge.Verdict()
 	}
 	require.True(t, verdict(ChangePoint).Bad)
 	require.False(t, verdict(Threshold).Bad)
@@ -92,44 +92,44 @@
 
 // Guards against rolling back a version because of one broken target.
 func TestSingleBrokenTargetIsTolerated(t *testing.T) {
-	s := newGenerator(ChangePoint)
-	s.both(0, 10*time.Second, 0.02, 0.02, baselineLatency)
+	g := newGenerator(ChangePoint)
+	g.both(0, 10*time.Second, 0.02, 0.02, baselineLatency)
 	broken := Key{Service: "s", Route: "r", Version: "v2", DataHall: "hall-1", Target: "t-broken"}
-	s.judge.Take(9*time.Second, "v2", []Cell{{Key: broken, Counts: Counts{Sent: 9, Failed: 9}}})
-	require.False(t, s.judge.Verdict().Doubtful)
+	g.judge.Take(9*time.Second, "v2", []Cell{{Key: broken, Counts: Counts{Sent: 9, Failed: 9}}})
+	require.False(t, g.judge.Verdict().Doubtful)
 }
 
 // Guards against rolling back a version because of a data hall outage, which
 // affects both versions.
 func TestDataHallOutageIsTolerated(t *testing.T) {
-	s := newGenerator(ChangePoint)
-	s.both(0, 10*time.Second, 0.02, 0.02, baselineLatency)
-	lost := func(version, target string, n uint32) {
+	g := newGenerator(ChangePoint)
+	g.both(0, 10*time.Second, 0.02, 0.02, baselineLatency)
+	loseAnswers := func(version, target string, n uint32) {
 		key := Key{Service: "s", Route: "r", Version: version, DataHall: "hall-2", Target: target}
-		s.judge.Take(9*time.Second, "v2", []Cell{{Key: key, Counts: Counts{Sent: n, Lost: n}}})
+		g.judge.Take(9*time.Second, "v2", []Cell{{Key: key, Counts: Counts{Sent: n, Lost: n}}})
 	}
-	lost("v1", "", 30)
+	loseAnswers("v1", "", 30)
 	for i := range 6 {
-		lost("v2", fmt.Sprint("t-", i), 2)
+		loseAnswers("v2", fmt.Sprint("t-", i), 2)
 	}
-	require.False(t, s.judge.Verdict().Doubtful)
+	require.False(t, g.judge.Verdict().Doubtful)
 }
 
 // Guards against a regression on a low-traffic route going undetected.
 func TestRegressionOnOneRouteIsDetected(t *testing.T) {
-	s := newGenerator(ChangePoint)
-	s.both(0, 10*time.Second, 0.02, 0.02, baselineLatency)
+	g := newGenerator(ChangePoint)
+	g.both(0, 10*time.Second, 0.02, 0.02, baselineLatency)
 	for i := range 30 {
-		old := Key{Service: "s", Route: "seldom", Version: "v1", DataHall: "hall-1"}
-		s.judge.Take(8*time.Second, "v2", []Cell{{Key: old, Counts: Counts{Sent: 3, Served: 3}}})
-		new := Key{Service: "s", Route: "seldom", Version: "v2", DataHall: "hall-1", Target: fmt.Sprint("t-", i%12)}
+		oldKey := Key{Service: "s", Route: "seldom", Version: "v1", DataHall: "hall-1"}
+		g.judge.Take(8*time.Second, "v2", []Cell{{Key: oldKey, Counts: Counts{Sent: 3, Served: 3}}})
+		newKey := Key{Service: "s", Route: "seldom", Version: "v2", DataHall: "hall-1", Target: fmt.Sprint("t-", i%12)}
 		c := Counts{Sent: 1, Served: 1}
 		if i%3 == 0 {
 			c = Counts{Sent: 1, Failed: 1}
 		}
-		s.judge.Take(8*time.Second, "v2", []Cell{{Key: new, Counts: c}})
+		g.judge.Take(8*time.Second, "v2", []Cell{{Key: newKey, Counts: c}})
 	}
-	v := s.judge.Verdict()
+	v := g.judge.Verdict()
 	require.True(t, v.Bad)
 	require.Equal(t, "answers failed on route seldom", v.Evidence)
 }
--- a/rollout/likelihood.go
+++ b/rollout/likelihood.go
@@ -75,10 +75,10 @@
 	perTarget := make([]float64, n)
 	total := 0.0
 	for b := lastBin; b >= 0; b-- {
-		for i, u := range targets[b] {
-			total -= cappedRatio(perTarget[u], n)
-			perTarget[u] += ratios[b][i]
-			total += cappedRatio(perTarget[u], n)
+		for i, target := range targets[b] {
+			total -= cappedRatio(perTarget[target], n)
+			perTarget[target] += ratios[b][i]
+			total += cappedRatio(perTarget[target], n)
 		}
 		sums[b] = total
 		sums[b] -= worstDiscount(perTarget)
--- a/scores/scores.go
+++ b/scores/scores.go
@@ -48,6 +48,8 @@
 // Broken returns the number of rules violated on the day.
 func (d *Day) Broken() int { return len(d.Rules) }
 
+// scoreCommand is the command of benchmark runs in the journal; other entries are
+// skipped.
 const scoreCommand = "score"
 
 // Site is all runs of a site, oldest first.
@@ -60,7 +62,8 @@
 const randomPrefix = "fresh-"
 
 // Days returns the names of the days that all runs of the site share, in the
-// order of the latest run. Days generated for a single run are omitted.
+// order of the latest run. Days that were generated for a single run, or have no full
+// score in the latest one, are omitted.
 func (s *Site) Days() []string {
 	var names []string
 	newest := s.Runs[len(s.Runs)-1]
--- a/standin/cache.go
+++ b/standin/cache.go
@@ -18,8 +18,8 @@
 
 // newPrefixCache returns an empty cache for the given number of tokens. With room for
 // less than one block, it caches nothing.
-func newPrefixCache(tokens int) *prefixCache {
-	return &prefixCache{limit: tokens / cacheBlock, blocks: map[uint64]*list.Element{}, order: list.New()}
+func newPrefixCache(capacity int) *prefixCache {
+	return &prefixCache{limit: capacity / cacheBlock, blocks: map[uint64]*list.Element{}, order: list.New()}
 }
 
 // lookupAndInsert returns the length of the longest prefix of the tokens that was
@@ -33,8 +33,8 @@
 		if (i+1)%cacheBlock != 0 {
 			continue
 		}
-		if el, ok := p.blocks[c.hash]; ok {
-			p.order.MoveToFront(el)
+		if element, ok := p.blocks[c.hash]; ok {
+			p.order.MoveToFront(element)
 			if !missed {
 				cached = i + 1
 			}
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -89,6 +89,7 @@
 	ImportedCache int `json:"imported_caches"`
 }
 
+// timedReport is a load report with the time at which it was recorded.
 type timedReport struct {
 	at     time.Time
 	report target.LoadReport
@@ -236,6 +237,8 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
+// serveExport stores the tokens of a stream as an exported KV cache and returns its
+// handle.
 func (e *Engine) serveExport(w http.ResponseWriter, r *http.Request) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -298,6 +301,8 @@
 	}
 }
 
+// laggedReport returns the newest report that is at least ReportLag old, else the
+// oldest one. Draining is reported without a lag. The caller must hold e.mu.
 func (e *Engine) laggedReport(now time.Time) target.LoadReport {
 	if len(e.reports) == 0 {
 		e.recordLoad(now)
--- a/standin/fault.go
+++ b/standin/fault.go
@@ -52,6 +52,7 @@
 	}()
 }
 
+// faults is the current fault of an engine.
 type faults struct {
 	mu      sync.Mutex
 	fault   Fault
--- a/standin/platform.go
+++ b/standin/platform.go
@@ -19,6 +19,7 @@
 	versions []listVersion // oldest first
 }
 
+// listVersion is a list with the time at which it was set.
 type listVersion struct {
 	at   time.Time
 	list discovery.List
--- a/standin/rest.go
+++ b/standin/rest.go
@@ -71,7 +71,7 @@
 }
 
 // exempt reports whether a request is served during an overload: those that set
-// faults, read counts or cancel streams.
+// faults, read the runs of a service or cancel streams.
 func exempt(r *http.Request) bool {
 	return strings.HasPrefix(r.URL.Path, "/fault") || r.URL.Path == "/runs" || r.Method == http.MethodDelete
 }
--- a/standin/stream.go
+++ b/standin/stream.go
@@ -22,8 +22,8 @@
 	maxTokens int
 	priority  int
 	chat      bool
-	nonce     int
-	imported  bool
+	nonce     int  // distinguishes the tokens of this stream from those of others
+	imported  bool // the KV cache of the prompt is imported, so no prefill is needed
 	fatal     bool // executing it crashes the engine
 	stop      []string
 
@@ -39,6 +39,7 @@
 	lastReaderChange time.Time // when a reader last attached or detached
 }
 
+// startStream queues a stream for a slot and starts it. An empty ID is replaced.
 func (e *Engine) startStream(id string, prompt []walnutramp.TokenID, req engineRequest, chat bool) *stream {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -84,6 +85,7 @@
 	return s.finish != ""
 }
 
+// stopStrings decodes the stop parameter: a string or a list of strings.
 func stopStrings(raw json.RawMessage) []string {
 	var one string
 	if json.Unmarshal(raw, &one) == nil && one != "" {
@@ -189,6 +191,8 @@
 	return s.sleep(time.Duration(float64(work) / e.cfg.PrefillRate * float64(time.Second)))
 }
 
+// decode generates tokens until the maximum or a stop string is reached, or the stream
+// is cancelled or abandoned by its readers.
 func (s *stream) decode() {
 	c := newChain(s.prompt)
 	base := c.outputs
@@ -261,6 +265,7 @@
 	return s.engine.faults.waitCleared(s.ctx)
 }
 
+// abandoned reports whether the stream has had no reader for KeepStream.
 func (s *stream) abandoned() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -287,6 +292,8 @@
 	return ids
 }
 
+// read returns the tokens from an offset, the finish reason, and a channel that is
+// closed when there is more.
 func (s *stream) read(from int) (tokens []walnutramp.Token, finish string, changed <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/standin/token.go
+++ b/standin/token.go
@@ -160,6 +160,7 @@
 	return v
 }
 
+// classify counts the fault of a token, if any, that was received after c.
 func (v *Verdict) classify(c chain, id walnutramp.TokenID) {
 	got := tokenOffset(id)
 	want := c.outputs & offsetMask
