--- a/control/duty_calls.go
+++ b/control/duty_calls.go
@@ -19,7 +19,8 @@
 const maxLoggedContent = 80
 
 // Do implements duty.Caller. It waits for the rate limit and for another call on the
-// same subject, makes one attempt, and returns NotSent if no call may be made now. Callers recompute what to send and retry.
+// same subject, makes one attempt, and returns NotSent if no call may be made now.
+// Callers recompute what to send and retry.
 func (h *DutyHolder) Do(ctx context.Context, c duty.Call) duty.Outcome {
 	if !h.ready() || h.limiter.Wait(ctx) != nil || !h.acquireSubject(ctx, c.Subject) {
 		return duty.NotSent
--- a/control/fleet_test.go
+++ b/control/fleet_test.go
@@ -86,7 +86,8 @@
 	inTestSiteWithPlatform(t, members, entries, nil, f)
 }
 
-// inTestSiteWithPlatform is inTestSite with metering of usage for a platform, unless that is nil.
+// inTestSiteWithPlatform is inTestSite with metering of usage for a platform, unless
+// that is nil.
 func inTestSiteWithPlatform(t *testing.T, members, entries int, platform *usagePlatform, f func(*testing.T, *testSite)) {
 	synctest.Test(t, func(t *testing.T) {
 		site := &testSite{t: t, net: memnet.New(), platform: platform}
--- a/control/relay.go
+++ b/control/relay.go
@@ -58,8 +58,8 @@
 }
 
 // awaitRelay is choose, but waits up to relayDiscoveryTimeout if the data hall has no
-// relay yet. After a full restart, entry nodes ask a new leader before its relays do, and would all
-// read the target list from the leader.
+// relay yet. After a full restart, entry nodes ask a new leader before its relays do,
+// and would all read the target list from the leader.
 func (r *relays) awaitRelay(ctx context.Context, hall, entry string) walnutramp.NodeName {
 	timer := time.NewTimer(relayDiscoveryTimeout)
 	defer timer.Stop()
@@ -224,7 +224,8 @@
 func withUnknownHall(addresses []string) []HallEntries { return []HallEntries{{Addresses: addresses}} }
 
 // applyTargets stores the target list of the leader's reply. It returns false if the
-// change does not apply to the list held here; the full list is requested next. The caller holds the mutex.
+// change does not apply to the list held here; the full list is requested next. The
+// caller holds the mutex.
 func (r *Relay) applyTargets(reply TargetListReply) bool {
 	if r.server.targets == nil || reply.Version == 0 {
 		return true
--- a/control/state.go
+++ b/control/state.go
@@ -202,8 +202,9 @@
 
 func (s *State) newest() Accepted { return s.history[len(s.history)-1] }
 
-// submit accepts a version according to the rule. Under AcceptNext, resubmitting an accepted document returns its
-// original result; a different document with an accepted version is a conflict.
+// submit accepts a version according to the rule. Under AcceptNext, resubmitting an
+// accepted document returns its original result; a different document with an accepted
+// version is a conflict.
 func (s *State) submit(c *Submit, now int64) Result {
 	if s.rule == AcceptHighest {
 		return s.submitHighest(c, now)
--- a/control/usage_controller.go
+++ b/control/usage_controller.go
@@ -62,15 +62,15 @@
 	stats    UsageStats
 }
 
-// UsageStats are the counters of a UsageController.
+// UsageStats are the counters of a UsageController. Oldest is the oldest window counted
+// by Untold; 0 for none.
 type UsageStats struct {
 	Closed   uint64 // windows closed by this member
 	Told     uint64 // windows reported to the platform by this member
 	GivenUp  uint64 // windows dropped after maxRejections
 	Failures uint64 // calls that failed or had no clear outcome
 	Untold   int    // closed windows not yet recorded as reported
-	// Oldest is the oldest window of Untold; 0 for none.
-	Oldest metering.Window
+	Oldest   metering.Window
 }
 
 // NewUsageController returns a UsageController for a member's server, whose
--- a/loadshare/borrow.go
+++ b/loadshare/borrow.go
@@ -50,7 +50,8 @@
 }
 
 // Borrow asks peers for a retry of a service, and reports whether one was granted in
-// time. After a failure it asks none for borrowBackoff. Granted retries, late ones included, are added to the service's budget.
+// time. After a failure it asks none for borrowBackoff. Granted retries, late ones
+// included, are added to the service's budget.
 func (s *Sharer) Borrow(ctx context.Context, service string) bool {
 	for range borrowAttempts {
 		peers := s.pickLenders(service)
--- a/loadshare/relaying.go
+++ b/loadshare/relaying.go
@@ -33,8 +33,8 @@
 	return s.layout
 }
 
-// updateLocation updates a sender's location from a message, if that carries one. The caller holds the
-// mutex.
+// updateLocation updates a sender's location from a message, if that carries one. The
+// caller holds the mutex.
 func (s *Sharer) updateLocation(state *sender, m *message) {
 	loc := location{dataHall: m.DataHall, disk: m.Disk}
 	if m.DataHall == "" || loc == state.location {
--- a/targetconn/targetconn.go
+++ b/targetconn/targetconn.go
@@ -24,9 +24,9 @@
 	Body   []byte
 	// HasBody sends Content-Length even if Body is empty.
 	HasBody bool
-	// Gate is called when a connection is available, just before the request is sent, and
-	// again if an idle connection turns out to be closed. If it returns an error, the request is not sent and Do fails with that cause.
-	// May be nil.
+	// Gate is called when a connection is available, just before the request is sent,
+	// and again if an idle connection turns out to be closed. If it returns an error,
+	// the request is not sent and Do fails with that cause. May be nil.
 	Gate func() error
 	// Identity is the required value of the response's identity header.
 	Identity string
