--- a/rollout/plan_test.go
+++ b/rollout/plan_test.go
@@ -9,8 +9,8 @@
 
 var testBounds = Bounds{Share: 0.1, Slack: 50, StopWithin: 5 * time.Second}
 
-// situation returns a plain service with 270 requests/s on two routes (220 and
-// 50), of which the new version gets a twentieth.
+// situation returns a plain service with 270 requests/s on two routes (217 and
+// 53), of which the new version gets 7 and 6.
 func situation(elapsed time.Duration) Situation {
 	s := elapsed.Seconds()
 	counts := func(perS float64) Counts { return Counts{Sent: uint32(perS * s)} }
