--- a/balance/balance.go
+++ b/balance/balance.go
@@ -67,9 +67,9 @@
 // WithTopology sets which data halls are in which region.
 func WithTopology(m topology.Map) Option { return func(c *Config) { c.Topology = m } }
 
-// WithFarCost sets the cost of a target in another data hall, in milliseconds of wait,
+// WithRemoteHallCost sets the cost of a target in another data hall, in milliseconds of wait,
 // for an engine and for a plain service's target.
-func WithFarCost(engine, plainService float64) Option {
+func WithRemoteHallCost(engine, plainService float64) Option {
 	return func(c *Config) { c.RemoteHallCost, c.RemoteHallSlotCost = engine, plainService }
 }
 
@@ -138,7 +138,7 @@
 
 	scans      uint64      // number of selections
 	candidates []candidate // of the latest selection; reused
-	pendingBuf []Shared    // buffer of Target.pendingPrefills
+	pendingBuf []RunReport // buffer of Target.pendingPrefills
 
 	restoredAt  time.Time     // when restored was set
 	restoredAge time.Duration // age of restored at that time
@@ -237,9 +237,9 @@
 	return removed
 }
 
-// Change applies a delta to the latest list and returns the incarnations that have
+// ApplyChange applies a delta to the latest list and returns the incarnations that have
 // ended or are no longer listed.
-func (t *Tracker) Change(c discovery.Change) (removed []string) {
+func (t *Tracker) ApplyChange(c discovery.Change) (removed []string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := uptime.Now()
@@ -314,8 +314,8 @@
 	t.delisted[target.ID] = target
 }
 
-// OpenIDs returns the IDs of a service's available targets that satisfy wanted.
-func (t *Tracker) OpenIDs(service string, wanted func(*Target) bool) []string {
+// AvailableIDs returns the IDs of a service's available targets that satisfy wanted.
+func (t *Tracker) AvailableIDs(service string, wanted func(*Target) bool) []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := uptime.Now()
--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -19,7 +19,9 @@
 	return list
 }
 
-func choice(tokens int) Choice { return Choice{Service: "s", Work: Work{Read: tokens, Hold: tokens}} }
+func choice(tokens int) Choice {
+	return Choice{Service: "s", Work: Work{PrefillTokens: tokens, MemoryTokens: tokens}}
+}
 
 func newTracker(list ...discovery.Target) *Tracker {
 	t := NewTracker(WithSeed(1), WithDataHall("north"))
@@ -34,7 +36,7 @@
 		for range 6 {
 			target := tracker.Pick(choice(8000))
 			taken[target.ID]++
-			target.Begin(Work{Read: 8000, Hold: 8000}, Trace{})
+			target.Begin(Work{PrefillTokens: 8000, MemoryTokens: 8000}, Trace{})
 		}
 		require.Equal(t, map[string]int{"1": 2, "2": 2, "3": 2}, taken)
 	})
@@ -43,9 +45,9 @@
 func TestPeerReportsExpire(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		tracker := newTracker(targetList("s", "north", "1", "2")...)
-		tracker.SetOthers("n2", []Shared{{Target: "1", Read: 30000, Hold: 30000}})
+		tracker.SetPeerRuns("n2", []RunReport{{Target: "1", PendingTokens: 30000, MemoryTokens: 30000}})
 		require.Equal(t, "2", tracker.Pick(choice(8000)).ID)
-		tracker.Pick(choice(8000)).Begin(Work{Read: 8000, Hold: 8000}, Trace{})
+		tracker.Pick(choice(8000)).Begin(Work{PrefillTokens: 8000, MemoryTokens: 8000}, Trace{})
 		require.Equal(t, "2", tracker.Pick(choice(8000)).ID, "30,000 pending tokens outweigh 8,000")
 		time.Sleep(peerReportTTL + time.Millisecond)
 		require.Equal(t, "1", tracker.Pick(choice(8000)).ID, "the peer's report has expired")
@@ -55,8 +57,8 @@
 func TestPeerReportsExpireDuringSuspension(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		tracker := newTracker(targetList("s", "north", "1", "2")...)
-		tracker.SetOthers("n2", []Shared{{Target: "1", Read: 30000, Hold: 30000}})
-		tracker.Pick(choice(8000)).Begin(Work{Read: 8000, Hold: 8000}, Trace{})
+		tracker.SetPeerRuns("n2", []RunReport{{Target: "1", PendingTokens: 30000, MemoryTokens: 30000}})
+		tracker.Pick(choice(8000)).Begin(Work{PrefillTokens: 8000, MemoryTokens: 8000}, Trace{})
 		require.Equal(t, "2", tracker.Pick(choice(8000)).ID)
 		t.Cleanup(uptime.Pretend(peerReportTTL + time.Second))
 		require.Equal(t, "1", tracker.Pick(choice(8000)).ID)
@@ -64,7 +66,7 @@
 }
 
 func TestBudgetWindowAdvancesDuringSuspension(t *testing.T) {
-	b := NewBudget(BudgetConfig{Ratio: 0.8, Slack: 160, Window: 10 * time.Second, Part: oneSixteenth})
+	b := NewBudget(BudgetConfig{Ratio: 0.8, Slack: 160, Window: 10 * time.Second, Share: oneSixteenth})
 	for trySpend(b) {
 	}
 	t.Cleanup(uptime.Pretend(12 * time.Second))
@@ -74,10 +76,10 @@
 func TestFinishedPrefillCostsLess(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		tracker := newTracker(targetList("s", "north", "1", "2")...)
-		run := tracker.byID["1"].Begin(Work{Read: 8000, Hold: 8000}, Trace{})
+		run := tracker.byID["1"].Begin(Work{PrefillTokens: 8000, MemoryTokens: 8000}, Trace{})
 		require.Equal(t, "2", tracker.Pick(choice(8000)).ID)
 		run.FirstEvent()
-		tracker.byID["2"].Begin(Work{Read: 8000, Hold: 8000}, Trace{})
+		tracker.byID["2"].Begin(Work{PrefillTokens: 8000, MemoryTokens: 8000}, Trace{})
 		require.Equal(t, "1", tracker.Pick(choice(8000)).ID)
 	})
 }
@@ -89,11 +91,11 @@
 		tracker := newTracker(append(targetList("s", "north", "1"), targetList("s", "south", "2")...)...)
 		require.Equal(t, "1", tracker.Pick(choice(5000)).ID, "all else equal, the local data hall is preferred")
 		for range 2 {
-			tracker.byID["1"].Begin(Work{Read: 5000, Hold: 5000}, Trace{}).FirstEvent()
+			tracker.byID["1"].Begin(Work{PrefillTokens: 5000, MemoryTokens: 5000}, Trace{}).FirstEvent()
 		}
 		require.Equal(t, "2", tracker.Pick(choice(5000)).ID)
-		tracker.byID["2"].Begin(Work{Read: 5000, Hold: 5000}, Trace{}).FirstEvent()
-		tracker.byID["2"].Begin(Work{Read: 5000, Hold: 5000}, Trace{}).FirstEvent()
+		tracker.byID["2"].Begin(Work{PrefillTokens: 5000, MemoryTokens: 5000}, Trace{}).FirstEvent()
+		tracker.byID["2"].Begin(Work{PrefillTokens: 5000, MemoryTokens: 5000}, Trace{}).FirstEvent()
 		require.Equal(t, "1", tracker.Pick(choice(5000)).ID)
 	})
 }
@@ -103,12 +105,12 @@
 func TestCostOfOtherDataHallGrowsWithReportDelay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		tracker := newTracker(append(targetList("s", "north", "1"), targetList("s", "south", "2")...)...)
-		tracker.byID["1"].Begin(Work{Read: 5000, Hold: 5000}, Trace{}).FirstEvent()
+		tracker.byID["1"].Begin(Work{PrefillTokens: 5000, MemoryTokens: 5000}, Trace{}).FirstEvent()
 		require.Equal(t, "2", tracker.Pick(choice(5000)).ID)
-		tracker.SetFarLag(250 * time.Millisecond)
+		tracker.SetCrossHallLag(250 * time.Millisecond)
 		require.Equal(t, "1", tracker.Pick(choice(5000)).ID)
 		for range 3 {
-			tracker.byID["1"].Begin(Work{Read: 5000, Hold: 5000}, Trace{}).FirstEvent()
+			tracker.byID["1"].Begin(Work{PrefillTokens: 5000, MemoryTokens: 5000}, Trace{}).FirstEvent()
 		}
 		require.Equal(t, "2", tracker.Pick(choice(5000)).ID, "a far busier data hall is left nevertheless")
 	})
@@ -118,9 +120,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		tracker := newTracker(targetList("s", "north", "1", "2")...)
 		for range 9 {
-			tracker.byID["1"].Begin(Work{Hold: 9000}, Trace{})
+			tracker.byID["1"].Begin(Work{MemoryTokens: 9000}, Trace{})
 		}
-		tracker.byID["2"].Begin(Work{Read: 9000, Hold: 9000}, Trace{})
+		tracker.byID["2"].Begin(Work{PrefillTokens: 9000, MemoryTokens: 9000}, Trace{})
 		require.Equal(t, "2", tracker.Pick(choice(8000)).ID)
 	})
 }
@@ -134,7 +136,7 @@
 			c := choice(8000)
 			c.Key = fmt.Sprint("part-", i)
 			first := here.Pick(c)
-			c.Again = true
+			c.Retried = true
 			if there.Pick(c).ID == first.ID {
 				same++
 			}
@@ -147,15 +149,15 @@
 	synctest.Test(t, func(t *testing.T) {
 		tracker := newTracker(targetList("s", "north", "1", "2")...)
 		one := tracker.byID["1"]
-		one.Broke()
+		one.RecordFailure()
 		for range 20 {
 			require.Equal(t, "2", tracker.Pick(choice(8000)).ID)
 		}
 		time.Sleep(tracker.cfg.MinBackoff + time.Millisecond)
-		tracker.byID["2"].Begin(Work{Read: 8000, Hold: 8000}, Trace{})
+		tracker.byID["2"].Begin(Work{PrefillTokens: 8000, MemoryTokens: 8000}, Trace{})
 		require.Equal(t, "1", tracker.Pick(choice(8000)).ID)
 		require.False(t, one.takesCopy(tracker), "no copy at a suspect target")
-		one.Succeeded()
+		one.RecordSuccess()
 		require.True(t, one.takesCopy(tracker))
 	})
 }
@@ -163,13 +165,13 @@
 // takesCopy reports whether a copy is placed at the target although another one is less
 // suspect or less busy.
 func (t *Target) takesCopy(tracker *Tracker) bool {
-	return tracker.Pick(Choice{Service: "s", Copy: true, Work: Work{Hold: 8000}}) == t
+	return tracker.Pick(Choice{Service: "s", Copy: true, Work: Work{MemoryTokens: 8000}}) == t
 }
 
 func TestSuspectsAreExchanged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		tracker := newTracker(targetList("s", "north", "1", "2")...)
-		tracker.byID["2"].Begin(Work{Hold: 20000}, Trace{})
+		tracker.byID["2"].Begin(Work{MemoryTokens: 20000}, Trace{})
 		require.True(t, tracker.byID["1"].takesCopy(tracker))
 		tracker.SetSuspects([]string{"1", "unknown"})
 		require.False(t, tracker.byID["1"].takesCopy(tracker))
@@ -182,9 +184,9 @@
 func TestEndedTargetsAreExchangedAndExpire(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		here, there := newTracker(targetList("s", "north", "1", "2")...), newTracker(targetList("s", "north", "1", "2")...)
-		here.byID["1"].Refused()
+		here.byID["1"].RecordRefused()
 		there.SetEnded(here.Ended())
-		there.byID["2"].Begin(Work{Read: 50000, Hold: 50000}, Trace{})
+		there.byID["2"].Begin(Work{PrefillTokens: 50000, MemoryTokens: 50000}, Trace{})
 		require.Equal(t, "2", there.Pick(choice(8000)).ID)
 		time.Sleep(refusedTTL + time.Millisecond)
 		require.Equal(t, "1", there.Pick(choice(8000)).ID, "it may only have reached its connection limit")
@@ -195,15 +197,15 @@
 	synctest.Test(t, func(t *testing.T) {
 		list := append(targetList("s", "north", "1", "2", "3", "4"), targetList("s", "south", "5", "6")...)
 		tracker := newTracker(list...)
-		tracker.byID["1"].Broke()
+		tracker.byID["1"].RecordFailure()
 		tracker.SetSuspects([]string{"2"})
 		for range 3 {
-			target := tracker.Pick(Choice{Service: "s", Work: Work{Read: 1000, Hold: 1000}})
+			target := tracker.Pick(Choice{Service: "s", Work: Work{PrefillTokens: 1000, MemoryTokens: 1000}})
 			require.Equal(t, "south", target.DataHall)
-			target.Begin(Work{Read: 1000, Hold: 1000}, Trace{})
+			target.Begin(Work{PrefillTokens: 1000, MemoryTokens: 1000}, Trace{})
 		}
 		time.Sleep(hallSuspectWindow)
-		require.Equal(t, "north", tracker.Pick(Choice{Service: "s", Work: Work{Read: 1000, Hold: 1000}}).DataHall)
+		require.Equal(t, "north", tracker.Pick(Choice{Service: "s", Work: Work{PrefillTokens: 1000, MemoryTokens: 1000}}).DataHall)
 	})
 }
 
@@ -242,9 +244,9 @@
 		for i := range 60 {
 			for id, target := range tracker.byID {
 				if id == "1" && i%2 == 0 || i%8 == 0 {
-					target.Erred()
+					target.RecordErrorResponse()
 				} else {
-					target.Succeeded()
+					target.RecordSuccess()
 				}
 			}
 			if time.Now().Before(tracker.byID["1"].backoffUntil) {
@@ -260,15 +262,17 @@
 	synctest.Test(t, func(t *testing.T) {
 		list := append(targetList("s", "north", "1", "2", "3"), targetList("s", "south", "4")...)
 		tracker := newTracker(list...)
-		tracker.byID["4"].Begin(Work{Hold: 30000}, Trace{})
-		copyAt := func() string { return tracker.Pick(Choice{Service: "s", Copy: true, Work: Work{Hold: 1000}}).DataHall }
+		tracker.byID["4"].Begin(Work{MemoryTokens: 30000}, Trace{})
+		copyAt := func() string {
+			return tracker.Pick(Choice{Service: "s", Copy: true, Work: Work{MemoryTokens: 1000}}).DataHall
+		}
 		require.Equal(t, "north", copyAt())
-		tracker.byID["1"].Broke()
-		tracker.byID["2"].Broke()
+		tracker.byID["1"].RecordFailure()
+		tracker.byID["2"].RecordFailure()
 		require.Equal(t, "south", copyAt())
 		time.Sleep(hallSuspectWindow + time.Millisecond)
 		require.Equal(t, "south", copyAt(), "target 3 may have ended unnoticed")
-		tracker.byID["3"].Succeeded()
+		tracker.byID["3"].RecordSuccess()
 		require.Equal(t, "north", copyAt(), "target 3 has answered")
 	})
 }
@@ -294,7 +298,7 @@
 			}
 			for range 2 {
 				target := tracker.Pick(choice(8000))
-				target.Begin(Work{Read: 8000, Hold: 8000}, Trace{})
+				target.Begin(Work{PrefillTokens: 8000, MemoryTokens: 8000}, Trace{})
 				taken[target.ID] = true
 			}
 		}
@@ -322,10 +326,10 @@
 		place := func(waiting int, aim time.Duration) string {
 			tracker := newTracker(append(targetList("s", "north", "1"), targetList("s", "south", "2")...)...)
 			for range waiting {
-				tracker.byID["1"].Begin(Work{Read: 2000, Hold: 2000}, Trace{})
+				tracker.byID["1"].Begin(Work{PrefillTokens: 2000, MemoryTokens: 2000}, Trace{})
 			}
 			c := choice(2000)
-			c.Aim = aim
+			c.FirstEventGoal = aim
 			return tracker.Pick(c).ID
 		}
 		require.Equal(t, "1", place(0, aim))
--- a/balance/budget.go
+++ b/balance/budget.go
@@ -11,7 +11,7 @@
 // Count is the number of requests and retries within a window.
 type Count struct {
 	Requests int `msgpack:"r"`
-	Repeats  int `msgpack:"p"`
+	Retries  int `msgpack:"p"`
 }
 
 // BudgetConfig is a site's retry limit: within any window, all nodes together send at
@@ -20,13 +20,13 @@
 	Ratio  float64
 	Slack  float64
 	Window time.Duration
-	// Part returns the share of Slack, from 0 to 1, that this node may have used within
+	// Share returns the share of Slack, from 0 to 1, that this node may have used within
 	// the last TakenWithin; nil for all of it, on a single node.
-	Part func() float64
+	Share func() float64
 }
 
-// TakenWithin is the period in which retries that arrive within one window were spent.
-func (c *BudgetConfig) TakenWithin() time.Duration {
+// SpendPeriod is the period in which retries that arrive within one window were spent.
+func (c *BudgetConfig) SpendPeriod() time.Duration {
 	return c.Window * (slotsInWindow + transitSlots) / slotsInWindow
 }
 
@@ -53,8 +53,8 @@
 
 // NewBudget returns an unspent budget.
 func NewBudget(cfg BudgetConfig) *Budget {
-	if cfg.Part == nil {
-		cfg.Part = func() float64 { return 1 }
+	if cfg.Share == nil {
+		cfg.Share = func() float64 { return 1 }
 	}
 	return &Budget{cfg: cfg, own: newHistory(cfg.Window), peers: map[string]peerCount{}}
 }
@@ -66,36 +66,36 @@
 	b.own.add(uptime.Now(), Count{Requests: 1})
 }
 
-// Repeat is one retry spent from a Budget. The zero value is none.
-type Repeat struct {
+// Retry is one retry spent from a Budget. The zero value is none.
+type Retry struct {
 	At       time.Time // from when it counts as in flight
 	borrowed bool
 }
 
-// Taken reports whether a retry was spent.
-func (r Repeat) Taken() bool { return !r.At.IsZero() }
+// Spent reports whether a retry was spent.
+func (r Retry) Spent() bool { return !r.At.IsZero() }
 
 // Spend spends one retry, this node's own or a borrowed one; ok is false if none is
 // left.
-func (b *Budget) Spend() (spent Repeat, ok bool) {
-	slack := b.cfg.Slack * b.cfg.Part()
+func (b *Budget) Spend() (spent Retry, ok bool) {
+	slack := b.cfg.Slack * b.cfg.Share()
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := uptime.Now()
 	if b.spendOwn(now, slack) {
-		return Repeat{At: now}, true
+		return Retry{At: now}, true
 	}
 	b.dropExpired(now)
 	if len(b.borrowed) == 0 {
-		return Repeat{}, false
+		return Retry{}, false
 	}
-	spent = Repeat{At: b.borrowed[0], borrowed: true}
+	spent = Retry{At: b.borrowed[0], borrowed: true}
 	b.borrowed = b.borrowed[1:]
 	return spent, true
 }
 
 // Refund returns a retry that did not and will not reach its target.
-func (b *Budget) Refund(r Repeat) {
+func (b *Budget) Refund(r Retry) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if r.borrowed {
@@ -108,14 +108,14 @@
 // Lend spends one of this node's retries on behalf of a peer; false if none is left. It
 // counts here whether or not the peer uses it.
 func (b *Budget) Lend() bool {
-	slack := b.cfg.Slack * b.cfg.Part()
+	slack := b.cfg.Slack * b.cfg.Share()
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.spendOwn(uptime.Now(), slack)
 }
 
-// Borrowed adds a retry that a peer lent in answer to a request sent at asked.
-func (b *Budget) Borrowed(asked time.Time) {
+// AddBorrowed adds a retry that a peer lent in answer to a request sent at asked.
+func (b *Budget) AddBorrowed(asked time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.borrowed = append(b.borrowed, asked)
@@ -126,7 +126,7 @@
 	if !b.own.allows(now, b.cfg.Ratio, slack) {
 		return false
 	}
-	b.own.add(now, Count{Repeats: 1})
+	b.own.add(now, Count{Retries: 1})
 	return true
 }
 
@@ -136,16 +136,16 @@
 	b.borrowed = slices.DeleteFunc(b.borrowed, func(spentAt time.Time) bool { return now.Sub(spentAt) >= b.SendWithin() })
 }
 
-// Part returns the share of the slack that this node may use now.
-func (b *Budget) Part() float64 { return b.cfg.Part() }
+// Share returns the share of the slack that this node may use now.
+func (b *Budget) Share() float64 { return b.cfg.Share() }
 
 // SendWithin is how long after it was spent a retry may be sent: half of the time for
 // which it counts as in flight, which leaves the other half for transmission.
 func (b *Budget) SendWithin() time.Duration { return b.cfg.transit() / 2 }
 
-// Site returns the counts of this node and its peers within the window, and the number
+// SiteCount returns the counts of this node and its peers within the window, and the number
 // of peers that reported recently.
-func (b *Budget) Site() (total Count, peers int) {
+func (b *Budget) SiteCount() (total Count, peers int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := uptime.Now()
@@ -157,7 +157,7 @@
 		}
 		peers++
 		total.Requests += o.count.Requests
-		total.Repeats += o.count.Repeats
+		total.Retries += o.count.Retries
 	}
 	return total, peers
 }
@@ -169,8 +169,8 @@
 	return b.own.window(uptime.Now())
 }
 
-// SetOther records a peer's count.
-func (b *Budget) SetOther(node string, c Count) {
+// SetPeerCount records a peer's count.
+func (b *Budget) SetPeerCount(node string, c Count) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.peers[node] = peerCount{count: c, at: uptime.Now()}
@@ -214,9 +214,9 @@
 	return counts
 }
 
-// SetOther records a peer's counts.
-func (b *Budgets) SetOther(node string, counts map[string]Count) {
+// SetPeerCounts records a peer's counts.
+func (b *Budgets) SetPeerCounts(node string, counts map[string]Count) {
 	for service, c := range counts {
-		b.Of(service).SetOther(node, c)
+		b.Of(service).SetPeerCount(node, c)
 	}
 }
--- a/balance/budget_test.go
+++ b/balance/budget_test.go
@@ -48,8 +48,8 @@
 
 func newBudgetSite(nodes int) *budgetSite {
 	s := &budgetSite{rng: rand.New(rand.NewPCG(11, 13)), reaches: func(int) bool { return true },
-		register: quota.NewRegister(siteBudget.TakenWithin()), nodes: make([]*budgetNode, nodes)}
-	s.register.Begin()
+		register: quota.NewRegister(siteBudget.SpendPeriod()), nodes: make([]*budgetNode, nodes)}
+	s.register.BecomeLeader()
 	for i := range s.nodes {
 		s.restart(i)
 	}
@@ -59,10 +59,10 @@
 
 // restart replaces a node's state, as after a crash.
 func (s *budgetSite) restart(node int) {
-	holder := quota.NewHolder(siteBudget.TakenWithin())
+	holder := quota.NewHolder(siteBudget.SpendPeriod())
 	cfg := siteBudget
-	cfg.Part = holder.Part
-	s.nodes[node] = &budgetNode{Budgets: NewBudgets(cfg), holder: holder, self: quota.Node{Address: fmt.Sprint(node), Life: s.rng.Uint64() | 1}}
+	cfg.Share = holder.Share
+	s.nodes[node] = &budgetNode{Budgets: NewBudgets(cfg), holder: holder, self: quota.Node{Address: fmt.Sprint(node), Incarnation: s.rng.Uint64() | 1}}
 }
 
 // advance advances time while clients send requests.
@@ -83,15 +83,15 @@
 func (s *budgetSite) requestShares() {
 	for i, n := range s.nodes {
 		if s.reaches(i) {
-			s.register.Note(n.self)
+			s.register.RecordRequest(n.self)
 		}
 	}
 	s.set, _, _ = s.register.Next(s.set)
 	s.set.Open = true
-	s.register.Agreed(s.set)
+	s.register.Committed(s.set)
 	for i, n := range s.nodes {
 		if s.reaches(i) {
-			n.holder.Take(s.register.Word(s.set, n.self), uptime.Now().Add(-s.lag))
+			n.holder.Apply(s.register.Assignment(s.set, n.self), uptime.Now().Add(-s.lag))
 		}
 	}
 }
@@ -135,7 +135,7 @@
 	borrower := s.nodes[to].Of("s")
 	for _, i := range from {
 		for s.nodes[i].Of("s").Lend() {
-			borrower.Borrowed(asked)
+			borrower.AddBorrowed(asked)
 		}
 	}
 	time.Sleep(borrower.SendWithin() - time.Millisecond)
@@ -310,7 +310,7 @@
 func TestBudgetLimitHoldsInEveryWindow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const nodes = 8
-		cfg := BudgetConfig{Ratio: 0.5, Slack: 100, Window: 10 * time.Second, Part: func() float64 { return 1. / nodes }}
+		cfg := BudgetConfig{Ratio: 0.5, Slack: 100, Window: 10 * time.Second, Share: func() float64 { return 1. / nodes }}
 		budgets := make([]*Budgets, nodes)
 		for i := range budgets {
 			budgets[i] = NewBudgets(cfg)
@@ -340,13 +340,13 @@
 
 func TestBudgetOfOneNodeIsItsShareOfTheSlack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := NewBudget(BudgetConfig{Ratio: 0.8, Slack: 160, Window: 10 * time.Second, Part: oneSixteenth})
+		b := NewBudget(BudgetConfig{Ratio: 0.8, Slack: 160, Window: 10 * time.Second, Share: oneSixteenth})
 		spent := 0
 		for trySpend(b) {
 			spent++
 		}
 		require.Equal(t, 10, spent, "a sixteenth of the slack")
-		b.SetOther("other", Count{})
+		b.SetPeerCount("other", Count{})
 		require.False(t, hasRetry(b))
 		require.False(t, trySpend(b), "a peer's count does not add to the budget")
 		time.Sleep(11 * time.Second)
@@ -360,20 +360,20 @@
 // or not at all.
 func TestLentRetryExpires(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		cfg := BudgetConfig{Slack: 16, Window: 10 * time.Second, Part: oneSixteenth}
+		cfg := BudgetConfig{Slack: 16, Window: 10 * time.Second, Share: oneSixteenth}
 		lender, borrower := NewBudget(cfg), NewBudget(cfg)
 		require.True(t, trySpend(borrower))
 		require.False(t, hasRetry(borrower))
 		require.True(t, lender.Lend())
 		require.False(t, hasRetry(lender), "the lender had only one")
-		borrower.Borrowed(uptime.Now())
+		borrower.AddBorrowed(uptime.Now())
 		require.True(t, hasRetry(borrower))
 		time.Sleep(400 * time.Millisecond)
 		spent, ok := borrower.Spend()
 		require.True(t, ok)
 		require.Equal(t, 400*time.Millisecond, uptime.Since(spent.At), "it counts from when it was lent")
 		require.False(t, hasRetry(borrower), "it can be spent only once")
-		borrower.Borrowed(uptime.Now())
+		borrower.AddBorrowed(uptime.Now())
 		time.Sleep(borrower.SendWithin())
 		require.False(t, trySpend(borrower), "it might arrive after it no longer counts")
 	})
@@ -382,7 +382,7 @@
 // A retry that did not arrive is refunded to the node that it came from.
 func TestUndeliveredRetryIsRefunded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := NewBudget(BudgetConfig{Slack: 16, Window: 10 * time.Second, Part: oneSixteenth})
+		b := NewBudget(BudgetConfig{Slack: 16, Window: 10 * time.Second, Share: oneSixteenth})
 		own, ok := b.Spend()
 		require.True(t, ok)
 		require.False(t, hasRetry(b))
@@ -390,7 +390,7 @@
 		b.Refund(own)
 		require.True(t, hasRetry(b))
 		require.True(t, trySpend(b))
-		b.Borrowed(uptime.Now())
+		b.AddBorrowed(uptime.Now())
 		lent, ok := b.Spend()
 		require.True(t, ok)
 		b.Refund(lent)
--- a/balance/health.go
+++ b/balance/health.go
@@ -8,8 +8,8 @@
 	"github.com/walnutramp/walnutramp/internal/uptime"
 )
 
-// Told records the load that a response reported.
-func (t *Target) Told(l Load) {
+// RecordLoad records the load that a response reported.
+func (t *Target) RecordLoad(l Load) {
 	t.tracker.mu.Lock()
 	defer t.tracker.mu.Unlock()
 	t.load, t.loadAt, t.activeAtLoad = l, uptime.Now(), len(t.runs)
@@ -19,8 +19,8 @@
 // errorWeight is the weight of the latest response in the error rate.
 const errorWeight = 0.1
 
-// Succeeded records a complete response.
-func (t *Target) Succeeded() {
+// RecordSuccess records a complete response.
+func (t *Target) RecordSuccess() {
 	t.tracker.mu.Lock()
 	defer t.tracker.mu.Unlock()
 	t.consecutiveFailures = 0
@@ -30,10 +30,10 @@
 	t.setErrorRate(t.errorRate * (1 - errorWeight))
 }
 
-// Broke records that the target did not answer or that its response was cut off. Its
+// RecordFailure records that the target did not answer or that its response was cut off. Its
 // backoff doubles with each consecutive failure, up to a maximum. The target is suspect
 // for suspectTTL, or until Succeeded.
-func (t *Target) Broke() {
+func (t *Target) RecordFailure() {
 	t.tracker.mu.Lock()
 	cfg := &t.tracker.cfg
 	backoff := min(cfg.MinBackoff<<min(t.consecutiveFailures, 5), cfg.MaxBackoff)
@@ -78,9 +78,9 @@
 	return t.hallSuspect(now) && now.Sub(t.answeredAt) > hallSuspectWindow
 }
 
-// HallInDoubt reports whether so many targets of a target's service and data hall
+// HallSuspect reports whether so many targets of a target's service and data hall
 // failed just now that all of them may have.
-func (t *Tracker) HallInDoubt(of *Target) bool {
+func (t *Tracker) HallSuspect(of *Target) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return of.hallSuspect(uptime.Now())
@@ -133,10 +133,10 @@
 	hallSuspectMin    = 2                       // minimum number of them
 )
 
-// Erred records an error response. A target whose error rate exceeds the mean of its
+// RecordErrorResponse records an error response. A target whose error rate exceeds the mean of its
 // peers by more than ErrorMargin is put in backoff for ErrorBackoff, and its error rate
 // is halved.
-func (t *Target) Erred() {
+func (t *Target) RecordErrorResponse() {
 	t.tracker.mu.Lock()
 	defer t.tracker.mu.Unlock()
 	t.setErrorRate(t.errorRate + errorWeight*(1-t.errorRate))
@@ -155,18 +155,18 @@
 	return max(0, of.pool.errorRateSum-of.errorRate) / float64(of.pool.size-1)
 }
 
-// Gone records that the target has ended, as another target has its address.
-func (t *Target) Gone() {
+// RecordEnded records that the target has ended, as another target has its address.
+func (t *Target) RecordEnded() {
 	t.tracker.mu.Lock()
 	t.markEnded()
 	t.tracker.mu.Unlock()
 	t.tracker.onChange()
 }
 
-// Refused records that the target's address refused a connection. Most likely the
+// RecordRefused records that the target's address refused a connection. Most likely the
 // target has ended and is still listed; after refusedTTL it is tried again, as it may
 // only have reached its connection limit.
-func (t *Target) Refused() {
+func (t *Target) RecordRefused() {
 	t.tracker.mu.Lock()
 	t.refusedAt = uptime.Now()
 	t.tracker.recentlyFailed[t] = struct{}{}
@@ -223,16 +223,16 @@
 // connection: longer than an ended target stays in the target list.
 const refusedTTL = 5 * time.Second
 
-// Full records that the target rejected a request for lack of capacity. The target is in
+// RecordFull records that the target rejected a request for lack of capacity. The target is in
 // backoff for half of MinBackoff.
-func (t *Target) Full() {
+func (t *Target) RecordFull() {
 	t.tracker.mu.Lock()
 	defer t.tracker.mu.Unlock()
 	t.backoffUntil = uptime.Now().Add(t.tracker.cfg.MinBackoff / 2)
 }
 
-// Leaves reports whether the target is draining, as the list or the target itself said.
-func (t *Target) Leaves() bool {
+// Draining reports whether the target is draining, as the list or the target itself said.
+func (t *Target) Draining() bool {
 	t.tracker.mu.Lock()
 	defer t.tracker.mu.Unlock()
 	return t.State == discovery.TargetDraining
--- a/balance/history.go
+++ b/balance/history.go
@@ -40,14 +40,14 @@
 func (h *history) add(now time.Time, c Count) {
 	slot := &h.slots[h.advance(now)%slotsRetained]
 	slot.Requests += c.Requests
-	slot.Repeats += c.Repeats
+	slot.Retries += c.Retries
 }
 
 // remove removes a retry that was counted at an earlier time.
 func (h *history) remove(now, at time.Time) {
 	latest := h.advance(now)
-	if n := int64(at.Sub(h.start) / h.slot); n > latest-slotsRetained && n <= latest && h.slots[n%slotsRetained].Repeats > 0 {
-		h.slots[n%slotsRetained].Repeats--
+	if n := int64(at.Sub(h.start) / h.slot); n > latest-slotsRetained && n <= latest && h.slots[n%slotsRetained].Retries > 0 {
+		h.slots[n%slotsRetained].Retries--
 	}
 }
 
@@ -62,7 +62,7 @@
 	var sum Count
 	for n := max(0, first, h.latest-slotsRetained+1); n <= min(last, h.latest); n++ {
 		sum.Requests += h.slots[n%slotsRetained].Requests
-		sum.Repeats += h.slots[n%slotsRetained].Repeats
+		sum.Retries += h.slots[n%slotsRetained].Retries
 	}
 	return sum
 }
@@ -80,7 +80,7 @@
 // certainly fall into the window, and all retries that may.
 func (h *history) allows(now time.Time, ratio, slack float64) bool {
 	latest := h.advance(now)
-	repeats := h.prefixSums(func(c Count) int { return c.Repeats })
+	repeats := h.prefixSums(func(c Count) int { return c.Retries })
 	requests := h.prefixSums(func(c Count) int { return c.Requests })
 	for first := latest - slotsInWindow; first <= latest+transitSlots; first++ {
 		before := requests.between(first-slotsInWindow+transitSlots+1, first-1)
--- a/balance/leaving.go
+++ b/balance/leaving.go
@@ -42,9 +42,9 @@
 	return t.newScan(&c).anyEligible()
 }
 
-// WhyLeft returns why a selection chose a target in another region. It never returns
+// CrossRegionReason returns why a selection chose a target in another region. It never returns
 // ReasonCopy, which does not follow from the selection.
-func (t *Tracker) WhyLeft(c Choice) Reason {
+func (t *Tracker) CrossRegionReason(c Choice) Reason {
 	excluded := c.Exclude
 	c.Exclude = func(target *Target) bool {
 		return t.inOtherRegion(target) || excluded != nil && excluded(target)
--- a/balance/life.go
+++ b/balance/life.go
@@ -16,8 +16,8 @@
 // of consecutive failures: one that keeps crashing is backed off longer each time.
 const flapWindow = 10 * time.Second
 
-// Life returns the target's incarnation.
-func (t *Target) Life() string { return t.incarnation }
+// Incarnation returns the target's incarnation.
+func (t *Target) Incarnation() string { return t.incarnation }
 
 // resolve returns the target of a list entry: a known one, or a new one if it is new or
 // has restarted. The start times in the list tell which of two incarnations is newer;
@@ -67,7 +67,7 @@
 		if t.tracker.byAddress[t.Address] == t {
 			delete(t.tracker.byAddress, t.Address)
 		}
-		t.Target, t.incarnation = entry, entry.Life()
+		t.Target, t.incarnation = entry, entry.Incarnation()
 		if p != nil {
 			t.tracker.poolOf(t.Service).add(t)
 		}
@@ -78,7 +78,7 @@
 }
 
 func (t *Tracker) newTarget(entry discovery.Target, now time.Time) *Target {
-	return &Target{Target: entry, tracker: t, firstListedAt: now, incarnation: entry.Life()}
+	return &Target{Target: entry, tracker: t, firstListedAt: now, incarnation: entry.Incarnation()}
 }
 
 // restarted returns the successor of a target that has restarted. The caller holds the
--- a/balance/life_test.go
+++ b/balance/life_test.go
@@ -24,11 +24,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		tracker := newTracker(startedAt(map[string]int64{"1": 1000, "2": 1000})...)
 		before := tracker.byID["1"]
-		run := before.Begin(Work{Read: 90000, Hold: 90000}, Trace{Key: "k", Copy: tracker.byID["2"].Life(), CopyName: "c"})
+		run := before.Begin(Work{PrefillTokens: 90000, MemoryTokens: 90000}, Trace{Key: "k", Copy: tracker.byID["2"].Incarnation(), CopyName: "c"})
 		run.FirstEvent()
-		tracker.SetOthers("n2", []Shared{{Target: "1@1000", Read: 90000, Hold: 90000}})
+		tracker.SetPeerRuns("n2", []RunReport{{Target: "1@1000", PendingTokens: 90000, MemoryTokens: 90000}})
 		require.Equal(t, "2", tracker.Pick(choice(8000)).ID)
-		before.Broke()
+		before.RecordFailure()
 		require.Equal(t, []string{"1@1000"}, tracker.Suspects())
 
 		removed := tracker.Update(startedAt(map[string]int64{"1": 2000, "2": 1000}))
@@ -45,12 +45,12 @@
 		// Late reports of the old incarnation are ignored.
 		tracker.SetEnded([]string{"1@1000", "1"})
 		tracker.SetSuspects([]string{"1@1000"})
-		tracker.SetSilent([]string{"1@1000"})
-		tracker.SetOthers("n2", []Shared{{Target: "1@1000", Read: 90000, Hold: 90000}})
+		tracker.SetUnresponsive([]string{"1@1000"})
+		tracker.SetPeerRuns("n2", []RunReport{{Target: "1@1000", PendingTokens: 90000, MemoryTokens: 90000}})
 		require.True(t, now.Usable())
 		require.False(t, now.Lost())
 		require.Zero(t, now.occupancy)
-		require.Equal(t, []string{""}, tracker.Lives([]uint32{tracker.shortOf("1@1000")}))
+		require.Equal(t, []string{""}, tracker.Incarnations([]uint32{tracker.shortOf("1@1000")}))
 
 		// Reports of the new one are applied.
 		tracker.SetEnded([]string{"1@2000"})
@@ -70,7 +70,7 @@
 func TestCopyOfAnOldIncarnationIsNotFound(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		tracker := newTracker(startedAt(map[string]int64{"1": 1000, "2": 1000})...)
-		run := tracker.byID["1"].Begin(Work{Read: 8000, Hold: 8000}, Trace{Key: "k", Copy: "2@1000", CopyName: "c"})
+		run := tracker.byID["1"].Begin(Work{PrefillTokens: 8000, MemoryTokens: 8000}, Trace{Key: "k", Copy: "2@1000", CopyName: "c"})
 		run.FirstEvent()
 		run.End(RunEnd{})
 		at, name := tracker.FindCopy("k")
@@ -90,18 +90,18 @@
 	for _, born := range []int64{1000, 0, 2000} {
 		require.Empty(t, tracker.Update(startedAt(map[string]int64{"1": born})), "born %d", born)
 		require.Same(t, life, tracker.byID["1"])
-		require.Equal(t, "1@2000", life.Life())
+		require.Equal(t, "1@2000", life.Incarnation())
 	}
 	both := append(startedAt(map[string]int64{"1": 3000}), startedAt(map[string]int64{"1": 2000})...)
 	require.Contains(t, tracker.Update(both), "1@2000")
-	require.Equal(t, "1@3000", tracker.byID["1"].Life())
+	require.Equal(t, "1@3000", tracker.byID["1"].Incarnation())
 	require.Equal(t, 2, tracker.pools["s"].size)
 }
 
 func TestStartTimeMayBeAddedLater(t *testing.T) {
 	tracker := newTracker(startedAt(nil)...)
 	before := tracker.byID["1"]
-	require.Equal(t, "1", before.Life())
+	require.Equal(t, "1", before.Incarnation())
 	require.ElementsMatch(t, []string{"1"}, tracker.Update(startedAt(map[string]int64{"1": 1000})), "idle connections are keyed by incarnation")
 	require.Same(t, before, tracker.byID["1"])
 }
@@ -115,14 +115,14 @@
 			tracker.Update(startedAt(map[string]int64{"1": 1000 + n}))
 			life := tracker.byID["1"]
 			require.True(t, life.Usable())
-			life.Broke()
+			life.RecordFailure()
 			avoided = append(avoided, time.Until(life.backoffUntil))
 			time.Sleep(4 * time.Second)
 		}
 		require.Equal(t, []time.Duration{400 * time.Millisecond, 800 * time.Millisecond, 1600 * time.Millisecond, 3 * time.Second}, avoided)
 		time.Sleep(flapWindow)
 		tracker.Update(startedAt(map[string]int64{"1": 9000}))
-		tracker.byID["1"].Broke()
+		tracker.byID["1"].RecordFailure()
 		require.Equal(t, 400*time.Millisecond, time.Until(tracker.byID["1"].backoffUntil))
 	})
 }
--- a/balance/lives.go
+++ b/balance/lives.go
@@ -1,8 +1,8 @@
 package balance
 
-// Lives returns the incarnations whose short names (shortname.Of) are given, in the same
+// Incarnations returns the incarnations whose short names (shortname.Of) are given, in the same
 // order; an empty string for one that is not listed.
-func (t *Tracker) Lives(short []uint32) []string {
+func (t *Tracker) Incarnations(short []uint32) []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	lives := make([]string, len(short))
--- a/balance/ownership.go
+++ b/balance/ownership.go
@@ -88,9 +88,9 @@
 	}
 }
 
-// SetFarLag sets how much later reports arrive from nodes in other data halls than from
+// SetCrossHallLag sets how much later reports arrive from nodes in other data halls than from
 // nodes in this one.
-func (t *Tracker) SetFarLag(lag time.Duration) {
+func (t *Tracker) SetCrossHallLag(lag time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.crossHallLag = lag
--- a/balance/pace.go
+++ b/balance/pace.go
@@ -117,22 +117,22 @@
 
 // uncached reports whether a peer's run has its whole prompt to prefill, with no
 // cached prefix: then it holds little more than the prompt.
-func (s *Shared) uncached() bool { return 2*s.Read >= s.Hold }
+func (s *RunReport) uncached() bool { return 2*s.PendingTokens >= s.MemoryTokens }
 
 // observePeerPrefills observes the prefills that have finished since a peer's last report,
 // and returns those still pending. The caller holds the mutex and has not yet stored
 // the new report.
-func (t *Tracker) observePeerPrefills(before *peerReport, runs []Shared, now time.Time) map[uint64]peerPrefill {
+func (t *Tracker) observePeerPrefills(before *peerReport, runs []RunReport, now time.Time) map[uint64]peerPrefill {
 	pending := map[uint64]peerPrefill{}
 	pendingAt := map[string]int{} // pending prompts by target
 	for _, s := range runs {
-		if s.Read > 0 {
+		if s.PendingTokens > 0 {
 			pendingAt[s.Target]++
 		}
 	}
 	for _, s := range runs {
 		target := t.byIncarnation[s.Target]
-		if target == nil || s.Broken {
+		if target == nil || s.Failed {
 			continue
 		}
 		var known bool
@@ -141,13 +141,13 @@
 			p, known = before.pendingPrefills[s.Number]
 		}
 		switch {
-		case s.Read == 0 && known && p.sole:
+		case s.PendingTokens == 0 && known && p.sole:
 			target.observePrefill(p.tokens, s.Age, now)
-		case s.Read > 0 && known:
+		case s.PendingTokens > 0 && known:
 			pending[s.Number] = p
-		case s.Read > 0:
+		case s.PendingTokens > 0:
 			sole := pendingAt[s.Target] == 1 && s.uncached() && target.occupancy.pendingPrefills == 0
-			pending[s.Number] = peerPrefill{sole: sole, tokens: s.Read}
+			pending[s.Number] = peerPrefill{sole: sole, tokens: s.PendingTokens}
 		}
 	}
 	return pending
@@ -163,16 +163,16 @@
 	}
 }
 
-// WholeRun predicts the duration of a run on a service's engines.
-func (t *Tracker) WholeRun(service string) time.Duration {
+// RunDuration predicts the duration of a run on a service's engines.
+func (t *Tracker) RunDuration(service string) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return time.Duration(t.speedOf(service).runMS.value * float64(time.Millisecond))
 }
 
-// RunTime predicts the duration of an undisturbed run: the prefill of read prompt
+// PredictDuration predicts the duration of an undisturbed run: the prefill of read prompt
 // tokens, then out output tokens.
-func (t *Tracker) RunTime(service string, read, out int) time.Duration {
+func (t *Tracker) PredictDuration(service string, read, out int) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	ms := t.prefillMS(service, read) + float64(out)*t.speedOf(service).interTokenMS.value
--- a/balance/pace_test.go
+++ b/balance/pace_test.go
@@ -11,10 +11,10 @@
 
 // runPrefill runs a request whose prefill has the given speed.
 func runPrefill(target *Target, tokens int, perMS float64) {
-	run := target.Begin(Work{Read: tokens, Hold: tokens}, Trace{})
+	run := target.Begin(Work{PrefillTokens: tokens, MemoryTokens: tokens}, Trace{})
 	time.Sleep(time.Duration(float64(tokens) / perMS * float64(time.Millisecond)))
 	run.FirstEvent()
-	run.End(RunEnd{Whole: true})
+	run.End(RunEnd{Complete: true})
 }
 
 func TestPrefillSpeedIsEstimated(t *testing.T) {
@@ -38,14 +38,14 @@
 			runPrefill(tracker.byID["1"], 6000, 4)
 		}
 		learned := tracker.Expected(choice(6000), tracker.byID["1"])
-		first := tracker.byID["1"].Begin(Work{Read: 6000, Hold: 6000}, Trace{})
-		queued := tracker.byID["1"].Begin(Work{Read: 6000, Hold: 6000}, Trace{})
+		first := tracker.byID["1"].Begin(Work{PrefillTokens: 6000, MemoryTokens: 6000}, Trace{})
+		queued := tracker.byID["1"].Begin(Work{PrefillTokens: 6000, MemoryTokens: 6000}, Trace{})
 		time.Sleep(1500 * time.Millisecond)
 		first.FirstEvent()
 		time.Sleep(1500 * time.Millisecond)
 		queued.FirstEvent()
-		first.End(RunEnd{Whole: true})
-		queued.End(RunEnd{Whole: true})
+		first.End(RunEnd{Complete: true})
+		queued.End(RunEnd{Complete: true})
 		require.Equal(t, learned, tracker.Expected(choice(6000), tracker.byID["1"]))
 	})
 }
@@ -80,13 +80,13 @@
 
 // reportPeerPrefill reports a peer's run before and after its prefill at the given speed.
 func reportPeerPrefill(tracker *Tracker, number uint64, id string, tokens int, perMS float64) {
-	run := Shared{Number: number, Target: id, Read: tokens, Hold: tokens}
-	tracker.SetOthers("n2", []Shared{run})
+	run := RunReport{Number: number, Target: id, PendingTokens: tokens, MemoryTokens: tokens}
+	tracker.SetPeerRuns("n2", []RunReport{run})
 	took := time.Duration(float64(tokens) / perMS * float64(time.Millisecond))
 	time.Sleep(took)
-	run.Read, run.Age = 0, took
-	tracker.SetOthers("n2", []Shared{run})
-	tracker.SetOthers("n2", nil)
+	run.PendingTokens, run.Age = 0, took
+	tracker.SetPeerRuns("n2", []RunReport{run})
+	tracker.SetPeerRuns("n2", nil)
 }
 
 func TestSlowTargetIsDetectedFromPeerRuns(t *testing.T) {
@@ -115,12 +115,12 @@
 	synctest.Test(t, func(t *testing.T) {
 		tracker := newTracker(targetList("s", "north", "1")...)
 		before := tracker.Expected(choice(6000), tracker.byID["1"])
-		run := Shared{Number: 1, Target: "1", Read: 1200, Hold: 6500}
-		tracker.SetOthers("n2", []Shared{run})
+		run := RunReport{Number: 1, Target: "1", PendingTokens: 1200, MemoryTokens: 6500}
+		tracker.SetPeerRuns("n2", []RunReport{run})
 		time.Sleep(50 * time.Millisecond)
-		run.Read, run.Age = 0, 50*time.Millisecond
-		tracker.SetOthers("n2", []Shared{run})
-		tracker.SetOthers("n2", nil)
+		run.PendingTokens, run.Age = 0, 50*time.Millisecond
+		tracker.SetPeerRuns("n2", []RunReport{run})
+		tracker.SetPeerRuns("n2", nil)
 		require.Equal(t, before, tracker.Expected(choice(6000), tracker.byID["1"]))
 	})
 }
--- a/balance/pool.go
+++ b/balance/pool.go
@@ -277,9 +277,9 @@
 	}
 }
 
-// SetKept sets until when an idle connection to an incarnation is kept; zero for none. It
+// SetConnectedUntil sets until when an idle connection to an incarnation is kept; zero for none. It
 // ignores an incarnation that is not listed.
-func (t *Tracker) SetKept(incarnation string, until time.Time) {
+func (t *Tracker) SetConnectedUntil(incarnation string, until time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	target := t.byIncarnation[incarnation]
--- a/balance/pool_test.go
+++ b/balance/pool_test.go
@@ -21,14 +21,14 @@
 		sum.add(o, 1)
 		all[id] = sum
 	}
-	count := func(at string, s Shared, holder *Target) {
-		o := occupancy{runs: 1, runTokens: s.Hold}
-		if s.Read > 0 {
+	count := func(at string, s RunReport, holder *Target) {
+		o := occupancy{runs: 1, runTokens: s.MemoryTokens}
+		if s.PendingTokens > 0 {
 			o.pendingPrefills = 1
 		}
 		add(at, o)
 		if holder != nil {
-			add(holder.ID, occupancy{copyTokens: s.Hold})
+			add(holder.ID, occupancy{copyTokens: s.MemoryTokens})
 		}
 	}
 	for _, target := range slices.Concat(slices.Collect(maps.Values(t.byID)), slices.Collect(maps.Values(t.delisted))) {
@@ -62,7 +62,7 @@
 				switch rng.IntN(8) {
 				case 0, 1:
 					if target := tracker.byID[anyTarget()]; target != nil {
-						own = append(own, target.Begin(Work{Read: 100, Hold: 1 + rng.IntN(500)}, Trace{Copy: anyTarget()}))
+						own = append(own, target.Begin(Work{PrefillTokens: 100, MemoryTokens: 1 + rng.IntN(500)}, Trace{Copy: anyTarget()}))
 					}
 				case 2, 3:
 					if len(own) > 0 {
@@ -77,14 +77,14 @@
 						r.SetCopy(anyTarget(), "name")
 					}
 				case 5:
-					var runs []Shared
+					var runs []RunReport
 					for n := range rng.IntN(4) {
-						runs = append(runs, Shared{Number: uint64(n), Target: anyTarget(), Read: rng.IntN(2), Hold: rng.IntN(500), Trace: Trace{Copy: anyTarget()}})
+						runs = append(runs, RunReport{Number: uint64(n), Target: anyTarget(), PendingTokens: rng.IntN(2), MemoryTokens: rng.IntN(500), Trace: Trace{Copy: anyTarget()}})
 					}
-					tracker.SetOthers(fmt.Sprint("node-", rng.IntN(3)), runs)
+					tracker.SetPeerRuns(fmt.Sprint("node-", rng.IntN(3)), runs)
 				case 6:
 					time.Sleep(time.Duration(rng.IntN(2000)) * time.Millisecond)
-					tracker.StillThere([]string{"node-1"})
+					tracker.ConfirmPeers([]string{"node-1"})
 				case 7:
 					at := rng.IntN(len(list))
 					tracker.Update(slices.Concat(list[:at], list[min(len(list), at+2):]))
@@ -107,19 +107,19 @@
 func busyTracker(engines int, busy float64, seed uint64) *Tracker {
 	rng := rand.New(rand.NewPCG(seed, 2))
 	var list []discovery.Target
-	var runs []Shared
+	var runs []RunReport
 	for i := range engines {
 		id := fmt.Sprint(i)
 		list = append(list, targetList("s", fmt.Sprint("hall-", i%6), id)...)
 		for n := range 3 {
 			if rng.Float64() < busy {
-				runs = append(runs, Shared{Number: uint64(3*i + n), Target: id, Read: 8000 * rng.IntN(2), Hold: 8400, Age: time.Duration(rng.IntN(900)) * time.Millisecond})
+				runs = append(runs, RunReport{Number: uint64(3*i + n), Target: id, PendingTokens: 8000 * rng.IntN(2), MemoryTokens: 8400, Age: time.Duration(rng.IntN(900)) * time.Millisecond})
 			}
 		}
 	}
 	t := NewTracker(WithSeed(seed), WithDataHall("hall-0"))
 	t.Update(list)
-	t.SetOthers("n2", runs)
+	t.SetPeerRuns("n2", runs)
 	return t
 }
 
@@ -191,8 +191,8 @@
 	serve := func() *Target {
 		target := tracker.Pick(Choice{Service: "s"})
 		run := target.Begin(Work{}, Trace{})
-		run.End(RunEnd{Whole: true})
-		tracker.SetKept(target.Life(), time.Now().Add(time.Minute))
+		run.End(RunEnd{Complete: true})
+		tracker.SetConnectedUntil(target.Incarnation(), time.Now().Add(time.Minute))
 		used[target.ID] = true
 		return target
 	}
@@ -209,7 +209,7 @@
 	}
 	require.NotContains(t, slices.Collect(maps.Keys(used)), tracker.Pick(Choice{Service: "s"}).ID)
 	for id := range used {
-		tracker.SetKept(id, time.Time{})
+		tracker.SetConnectedUntil(id, time.Time{})
 	}
 	require.Empty(t, tracker.pools["s"].halls["north"].connected)
 }
--- a/balance/readplaces.go
+++ b/balance/readplaces.go
@@ -60,7 +60,7 @@
 	if target := t.prefilledAt(c, now); target != nil {
 		return target
 	}
-	if c.Again {
+	if c.Retried {
 		return t.affinityTarget(c, now)
 	}
 	return nil
--- a/balance/readplaces_test.go
+++ b/balance/readplaces_test.go
@@ -12,7 +12,7 @@
 // repeatedChoice returns the Choice of a repeated request.
 func repeatedChoice(key string) Choice {
 	c := choice(8000)
-	c.Key, c.Again = key, true
+	c.Key, c.Retried = key, true
 	return c
 }
 
@@ -34,16 +34,16 @@
 		for i := range 20 {
 			key := fmt.Sprint("part-", i)
 			at := otherTarget(here, key)
-			run := at.Begin(Work{Read: 8000, Hold: 8000}, Trace{Key: key})
+			run := at.Begin(Work{PrefillTokens: 8000, MemoryTokens: 8000}, Trace{Key: key})
 			require.NotEqual(t, at, here.Pick(repeatedChoice(key)), "the prompt is not prefilled yet")
 			run.FirstEvent()
-			there.SetOthers("here", here.Runs())
+			there.SetPeerRuns("here", here.Runs())
 			run.End(RunEnd{})
-			there.SetOthers("here", nil)
+			there.SetPeerRuns("here", nil)
 			for _, tracker := range []*Tracker{here, there} {
 				picked := tracker.Pick(repeatedChoice(key))
 				require.Equal(t, at.ID, picked.ID)
-				require.Less(t, tracker.Kept(repeatedChoice(key), picked).Read, 8000/2)
+				require.Less(t, tracker.WorkAt(repeatedChoice(key), picked).PrefillTokens, 8000/2)
 			}
 		}
 		for range 2 {
@@ -59,10 +59,10 @@
 		list := targetList("s", "north", "1", "2", "3", "4", "5", "6")
 		before, after := newTracker(list...), newTracker(list...)
 		at := otherTarget(before, "part-1")
-		at.Begin(Work{Read: 8000, Hold: 8000}, Trace{Key: "part-1", CopyName: "run-1", Copy: "2"}).FirstEvent()
+		at.Begin(Work{PrefillTokens: 8000, MemoryTokens: 8000}, Trace{Key: "part-1", CopyName: "run-1", Copy: "2"}).FirstEvent()
 		traces := before.Traces()
 
-		after.Remember(traces, copyTTL+time.Second)
+		after.RestoreTraces(traces, copyTTL+time.Second)
 		holder, _ := after.FindCopy("part-1")
 		require.Nil(t, holder, "the copy has expired")
 		time.Sleep(promptEntryTTL / 2)
@@ -84,8 +84,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		tracker := newTracker(targetList("s", "north", "1", "2", "3")...)
 		at := otherTarget(tracker, "part-1")
-		at.Begin(Work{Read: 8000, Hold: 8000}, Trace{Key: "part-1"}).FirstEvent()
-		at.Gone()
+		at.Begin(Work{PrefillTokens: 8000, MemoryTokens: 8000}, Trace{Key: "part-1"}).FirstEvent()
+		at.RecordEnded()
 		require.NotEqual(t, at, tracker.Pick(repeatedChoice("part-1")))
 	})
 }
--- a/balance/regions.go
+++ b/balance/regions.go
@@ -30,9 +30,9 @@
 	spillThreshold = 0.7
 )
 
-// SetRegionLag sets the additional delay of reports from nodes in other regions, on top
+// SetCrossRegionLag sets the additional delay of reports from nodes in other regions, on top
 // of that of other data halls.
-func (t *Tracker) SetRegionLag(lag time.Duration) {
+func (t *Tracker) SetCrossRegionLag(lag time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.crossRegionLag = lag
@@ -40,18 +40,18 @@
 
 // inOtherRegion reports whether a target is in another region than this node.
 func (t *Tracker) inOtherRegion(target *Target) bool {
-	return t.cfg.Topology.Several() && t.cfg.Topology.Distance(target.DataHall) == topology.OtherRegion
+	return t.cfg.Topology.MultiRegion() && t.cfg.Topology.Distance(target.DataHall) == topology.OtherRegion
 }
 
 // copyInRunRegion reports whether a copy at holder would be in the region of its run, on
 // a site of several regions.
 func (t *Tracker) copyInRunRegion(c *Choice, holder *Target) bool {
-	return c.Copy && c.OtherHall != "" && t.cfg.Topology.Several() &&
-		t.cfg.Topology.Between(c.OtherHall, holder.DataHall) != topology.OtherRegion
+	return c.Copy && c.AvoidHall != "" && t.cfg.Topology.MultiRegion() &&
+		t.cfg.Topology.Between(c.AvoidHall, holder.DataHall) != topology.OtherRegion
 }
 
-// NoteRoundTrip records a measured round trip to a target.
-func (t *Tracker) NoteRoundTrip(id string, took time.Duration) {
+// RecordRoundTrip records a measured round trip to a target.
+func (t *Tracker) RecordRoundTrip(id string, took time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if target := t.byIncarnation[id]; target != nil {
@@ -62,7 +62,7 @@
 // roundTripMS returns the round trip to a data hall of another region, in milliseconds.
 // The caller holds the mutex.
 func (t *Tracker) roundTripMS(hall string, now time.Time) float64 {
-	if took, known := t.roundTrips.To(hall, now); known {
+	if took, known := t.roundTrips.Mean(hall, now); known {
 		return float64(took) / float64(time.Millisecond)
 	}
 	return defaultRoundTripMS
@@ -78,22 +78,22 @@
 		return t.cfg.RemoteHallCost // the latency to a copy delays no client
 	}
 	cost := t.cfg.RemoteHallCost + reportDelayCost*float64((t.crossHallLag+t.crossRegionLag).Milliseconds())
-	return max(cost, crossRegionAimShare*float64(c.Aim.Milliseconds()))
+	return max(cost, crossRegionAimShare*float64(c.FirstEventGoal.Milliseconds()))
 }
 
 // suspectHallCost returns the cost of a target in a suspect data hall. If all halls of the
 // region are suspect, it must exceed the cost of leaving the region.
 func (t *Tracker) suspectHallCost(c *Choice) float64 {
-	if !t.cfg.Topology.Several() {
+	if !t.cfg.Topology.MultiRegion() {
 		return hallSuspectCost
 	}
-	return hallSuspectCost + crossRegionAimShare*float64(c.Aim.Milliseconds())
+	return hallSuspectCost + crossRegionAimShare*float64(c.FirstEventGoal.Milliseconds())
 }
 
 // spillRegions returns the regions that accept new runs from others: those with few
 // prefills pending per engine. Nil means no restriction. The caller holds the mutex.
 func (t *Tracker) spillRegions(c *Choice, p *pool) map[string]bool {
-	if !c.Admission || c.Work == (Work{}) || !t.cfg.Topology.Several() {
+	if !c.Admission || c.Work == (Work{}) || !t.cfg.Topology.MultiRegion() {
 		return nil
 	}
 	engines, prefilling := map[string]int{}, map[string]int{}
--- a/balance/regions_test.go
+++ b/balance/regions_test.go
@@ -38,8 +38,8 @@
 	t.Update(list)
 	t.speedOf("s").prefillPerMS.value = 8 // a prompt of 8,000 tokens takes 1 s
 	t.SetEngines(map[string]Engine{"s": {Memory: 90000, Slots: 64}})
-	t.SetFarLag(10 * time.Millisecond)
-	t.SetRegionLag(70 * time.Millisecond)
+	t.SetCrossHallLag(10 * time.Millisecond)
+	t.SetCrossRegionLag(70 * time.Millisecond)
 	return t
 }
 
@@ -48,14 +48,14 @@
 
 // regionChoice is a new stream of 8,000 tokens that should begin within 4.5 s.
 func regionChoice() Choice {
-	return Choice{Service: "s", Work: Work{Read: 8000, Hold: 8400}, Admission: true, Aim: 4500 * time.Millisecond}
+	return Choice{Service: "s", Work: Work{PrefillTokens: 8000, MemoryTokens: 8400}, Admission: true, FirstEventGoal: 4500 * time.Millisecond}
 }
 
 // fillHall begins the given number of prompts at each engine of a data hall.
 func (t *Tracker) fillHall(hall string, engines, prompts int) {
 	for i := range engines {
 		for range prompts {
-			t.byID[fmt.Sprint(hall, "-", i)].Begin(Work{Read: 8000, Hold: 8400}, Trace{})
+			t.byID[fmt.Sprint(hall, "-", i)].Begin(Work{PrefillTokens: 8000, MemoryTokens: 8400}, Trace{})
 		}
 	}
 }
@@ -104,11 +104,11 @@
 	}
 	for _, id := range []string{"mid-a-0", "mid-b-0", "west-a-0"} {
 		for range 20 {
-			tracker.NoteRoundTrip(id, 240*time.Millisecond)
+			tracker.RecordRoundTrip(id, 240*time.Millisecond)
 		}
 	}
 	require.Equal(t, "west-b", tracker.Pick(Choice{Service: "s"}).DataHall, "its round trip was not measured")
-	tracker.NoteRoundTrip("west-b-0", 240*time.Millisecond)
+	tracker.RecordRoundTrip("west-b-0", 240*time.Millisecond)
 	require.Equal(t, "east", tracker.region(tracker.Pick(Choice{Service: "s"})))
 }
 
@@ -143,7 +143,7 @@
 		regions := map[string]int{}
 		for n := range nodes {
 			tracker := regionTracker(engines, WithSeed(uint64(n)))
-			tracker.SetNewsLag(60 * time.Millisecond)
+			tracker.SetPropagationDelay(60 * time.Millisecond)
 			tracker.fillHall("east-a", engines, 5)
 			tracker.fillHall("east-b", engines, 5)
 			target := tracker.Pick(regionChoice())
@@ -167,7 +167,7 @@
 			for range 40 {
 				target := tracker.Pick(regionChoice())
 				ids = append(ids, target.ID)
-				target.Begin(Work{Read: 8000, Hold: 8400}, Trace{})
+				target.Begin(Work{PrefillTokens: 8000, MemoryTokens: 8400}, Trace{})
 			}
 		})
 		return ids
@@ -185,14 +185,14 @@
 func TestCopyIsPlacedInAnotherRegion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		tracker := regionTracker(2)
-		copyOf := Choice{Service: "s", Copy: true, OtherHall: "mid-a", Work: Work{Hold: 8400}}
+		copyOf := Choice{Service: "s", Copy: true, AvoidHall: "mid-a", Work: Work{MemoryTokens: 8400}}
 		for range 20 {
 			require.NotEqual(t, "mid", tracker.region(tracker.Pick(copyOf)))
 		}
 		for _, hall := range []string{"east-a", "east-b", "west-a", "west-b"} {
 			for i := range 2 {
 				for range 5 {
-					tracker.byID[fmt.Sprint(hall, "-", i)].Begin(Work{Hold: 16000}, Trace{})
+					tracker.byID[fmt.Sprint(hall, "-", i)].Begin(Work{MemoryTokens: 16000}, Trace{})
 				}
 			}
 		}
@@ -204,7 +204,7 @@
 // the other regions, for resumed and for new runs.
 func TestNodesSpreadAfterLossOfRegion(t *testing.T) {
 	lost := regionChoice()
-	lost.Admission, lost.Aim, lost.FailedHalls = false, 0, map[string]int{"east-a": 1}
+	lost.Admission, lost.FirstEventGoal, lost.FailedHalls = false, 0, map[string]int{"east-a": 1}
 	for name, choice := range map[string]Choice{"lost": lost, "new": regionChoice()} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -227,15 +227,15 @@
 func afterLossOfRegion(seed uint64) *Tracker {
 	const nodes, engines = 40, 20
 	tracker := regionTracker(engines, WithSeed(seed))
-	tracker.SetNewsLag(60 * time.Millisecond)
-	var runs []Shared
+	tracker.SetPropagationDelay(60 * time.Millisecond)
+	var runs []RunReport
 	for i := range nodes {
-		runs = append(runs, Shared{Number: uint64(i), Target: fmt.Sprint("east-a-", i%engines), Read: 8000, Hold: 8400})
+		runs = append(runs, RunReport{Number: uint64(i), Target: fmt.Sprint("east-a-", i%engines), PendingTokens: 8000, MemoryTokens: 8400})
 	}
-	tracker.SetOthers("others", runs)
+	tracker.SetPeerRuns("others", runs)
 	for _, hall := range []string{"east-a", "east-b"} {
 		for i := range engines / 2 {
-			tracker.byID[fmt.Sprint(hall, "-", i)].Broke()
+			tracker.byID[fmt.Sprint(hall, "-", i)].RecordFailure()
 		}
 	}
 	return tracker
--- a/balance/rest.go
+++ b/balance/rest.go
@@ -40,9 +40,9 @@
 	return r.remaining(now) > 0 || now.Sub(r.probedAt) < probeTimeout
 }
 
-// AskedForRest records that the target requested a cooldown; one that would end earlier
+// StartCooldown records that the target requested a cooldown; one that would end earlier
 // than the current one is ignored.
-func (t *Target) AskedForRest(d time.Duration) {
+func (t *Target) StartCooldown(d time.Duration) {
 	t.tracker.mu.Lock()
 	defer t.tracker.mu.Unlock()
 	if until := uptime.Now().Add(d); until.After(t.cooldown.until) {
@@ -50,9 +50,9 @@
 	}
 }
 
-// Answered records a response without a cooldown request, which clears an expired
+// RecordResponse records a response without a cooldown request, which clears an expired
 // cooldown.
-func (t *Target) Answered() {
+func (t *Target) RecordResponse() {
 	t.tracker.mu.Lock()
 	defer t.tracker.mu.Unlock()
 	if !t.cooldown.unset() && t.cooldown.remaining(uptime.Now()) <= 0 {
@@ -60,8 +60,8 @@
 	}
 }
 
-// SaidLeaving records that the target announced that it drains.
-func (t *Target) SaidLeaving() {
+// RecordDraining records that the target announced that it drains.
+func (t *Target) RecordDraining() {
 	t.tracker.mu.Lock()
 	defer t.tracker.mu.Unlock()
 	t.markDraining()
@@ -89,17 +89,17 @@
 	return true
 }
 
-// Rests reports whether the target's cooldown lasts. Unlike Admit, it disregards the
+// InCooldown reports whether the target's cooldown lasts. Unlike Admit, it disregards the
 // probe request and takes none.
-func (t *Target) Rests() bool {
+func (t *Target) InCooldown() bool {
 	t.tracker.mu.Lock()
 	defer t.tracker.mu.Unlock()
 	return !t.cooldown.unset() && t.cooldown.remaining(uptime.Now()) > 0
 }
 
-// RestLeft returns the shortest remaining cooldown of a service's targets; 0 unless all
+// CooldownLeft returns the shortest remaining cooldown of a service's targets; 0 unless all
 // that are not excluded are in cooldown. Excluded may be nil.
-func (t *Tracker) RestLeft(service string, excluded func(*Target) bool) time.Duration {
+func (t *Tracker) CooldownLeft(service string, excluded func(*Target) bool) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := uptime.Now()
@@ -119,8 +119,8 @@
 	return shortest
 }
 
-// Resting returns the number of listed targets in cooldown.
-func (t *Tracker) Resting() (n int) {
+// CountInCooldown returns the number of listed targets in cooldown.
+func (t *Tracker) CountInCooldown() (n int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := uptime.Now()
--- a/balance/rest_bench_test.go
+++ b/balance/rest_bench_test.go
@@ -10,7 +10,7 @@
 	target := tracker.byID["i-1"]
 	for b.Loop() {
 		target.Admit()
-		target.Rests()
-		target.Answered()
+		target.InCooldown()
+		target.RecordResponse()
 	}
 }
--- a/balance/rest_test.go
+++ b/balance/rest_test.go
@@ -19,7 +19,7 @@
 	}
 	tracker.Update(list)
 	cooling = tracker.byID["i-1"]
-	cooling.AskedForRest(d)
+	cooling.StartCooldown(d)
 	return tracker, cooling, list
 }
 
@@ -36,23 +36,23 @@
 
 func TestCooldownOutlastsOtherUpdates(t *testing.T) {
 	tracker, cooling, list := coolingTracker(t, time.Minute)
-	cooling.Succeeded()
-	cooling.Told(Load{Slots: 8})
-	cooling.Answered()
-	cooling.AskedForRest(time.Second)
+	cooling.RecordSuccess()
+	cooling.RecordLoad(Load{Slots: 8})
+	cooling.RecordResponse()
+	cooling.StartCooldown(time.Second)
 	tracker.Update(list)
 	require.Equal(t, map[string]bool{"i-2": true}, selectedIDs(tracker))
 	require.False(t, cooling.Admit())
 	require.InDelta(t, 60, cooling.cooldown.remaining(uptime.Now()).Seconds(), 1)
 	require.False(t, cooling.Usable())
 	require.False(t, cooling.Lost(), "its copies still exist")
-	require.Equal(t, 1, tracker.Resting())
+	require.Equal(t, 1, tracker.CountInCooldown())
 }
 
 // A corrupt entry or a stale list may lack a target for a moment.
 func TestBrieflyDelistedTargetKeepsCooldown(t *testing.T) {
 	tracker, cooling, list := coolingTracker(t, time.Minute)
-	tracker.byID["i-2"].SaidLeaving()
+	tracker.byID["i-2"].RecordDraining()
 	tracker.Update(nil)
 	tracker.Update(list)
 	require.Empty(t, selectedIDs(tracker))
@@ -69,7 +69,7 @@
 func TestRestartedTargetHasNoCooldown(t *testing.T) {
 	for _, missing := range []bool{false, true} {
 		tracker, _, list := coolingTracker(t, time.Minute)
-		tracker.byID["i-2"].SaidLeaving()
+		tracker.byID["i-2"].RecordDraining()
 		if missing {
 			tracker.Update(nil)
 		}
@@ -83,7 +83,7 @@
 	tracker, cooling, _ := coolingTracker(t, 3*time.Second)
 	t.Cleanup(uptime.Pretend(4 * time.Second))
 	require.True(t, cooling.Admit())
-	require.Zero(t, tracker.Resting())
+	require.Zero(t, tracker.CountInCooldown())
 }
 
 // After a cooldown a target must get one probe request, and others only once that was
@@ -94,14 +94,14 @@
 	require.True(t, cooling.Admit())
 	require.False(t, cooling.Admit(), "the probe is in flight")
 	require.Equal(t, map[string]bool{"i-2": true}, selectedIDs(tracker))
-	cooling.Answered()
+	cooling.RecordResponse()
 	require.True(t, cooling.Admit())
 	require.True(t, cooling.Admit())
 
-	cooling.AskedForRest(time.Second)
+	cooling.StartCooldown(time.Second)
 	t.Cleanup(uptime.Pretend(2 * time.Second))
 	require.True(t, cooling.Admit())
-	cooling.AskedForRest(time.Second)
+	cooling.StartCooldown(time.Second)
 	require.False(t, cooling.Admit(), "it requested another cooldown")
 	t.Cleanup(uptime.Pretend(2 * time.Second))
 	require.True(t, cooling.Admit())
@@ -111,12 +111,12 @@
 
 func TestRestLeftIsTheShortestCooldown(t *testing.T) {
 	tracker, _, _ := coolingTracker(t, time.Minute)
-	require.Zero(t, tracker.RestLeft("s", nil), "one target is not in cooldown")
-	require.Zero(t, tracker.RestLeft("unknown", nil))
+	require.Zero(t, tracker.CooldownLeft("s", nil), "one target is not in cooldown")
+	require.Zero(t, tracker.CooldownLeft("unknown", nil))
 	other := tracker.byID["i-2"]
-	other.AskedForRest(30 * time.Second)
-	require.InDelta(t, 30, tracker.RestLeft("s", nil).Seconds(), 1)
-	require.InDelta(t, 60, tracker.RestLeft("s", func(t *Target) bool { return t == other }).Seconds(), 1)
-	other.SaidLeaving()
-	require.InDelta(t, 60, tracker.RestLeft("s", nil).Seconds(), 1, "a draining target does not become available again")
+	other.StartCooldown(30 * time.Second)
+	require.InDelta(t, 30, tracker.CooldownLeft("s", nil).Seconds(), 1)
+	require.InDelta(t, 60, tracker.CooldownLeft("s", func(t *Target) bool { return t == other }).Seconds(), 1)
+	other.RecordDraining()
+	require.InDelta(t, 60, tracker.CooldownLeft("s", nil).Seconds(), 1, "a draining target does not become available again")
 }
--- a/balance/rivals.go
+++ b/balance/rivals.go
@@ -28,8 +28,8 @@
 	return cmp.Or(cmp.Compare(a.score, b.score), cmp.Compare(a.target.listOrder, b.target.listOrder))
 }
 
-// SetNewsLag sets how long it takes until most nodes have learned of a new run.
-func (t *Tracker) SetNewsLag(lag time.Duration) {
+// SetPropagationDelay sets how long it takes until most nodes have learned of a new run.
+func (t *Tracker) SetPropagationDelay(lag time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.propagationDelay = lag
@@ -49,7 +49,7 @@
 		}
 	}
 	lag := t.propagationDelay
-	if t.cfg.Topology.Several() && len(candidates) > 0 && t.inOtherRegion(slices.MinFunc(candidates, byScore).target) {
+	if t.cfg.Topology.MultiRegion() && len(candidates) > 0 && t.inOtherRegion(slices.MinFunc(candidates, byScore).target) {
 		lag += t.crossRegionLag
 	}
 	runsPerLag := float64(lag.Milliseconds()) / max(minRunMS, t.speedOf(s.choice.Service).runMS.value)
--- a/balance/rivals_test.go
+++ b/balance/rivals_test.go
@@ -24,18 +24,18 @@
 // maxRunsAfterHallLoss has nodes that each had one run in a failed data hall select at
 // the same time, and returns the number of runs at the most selected engine.
 func maxRunsAfterHallLoss(nodes, engines, halls int) (most int) {
-	var runs []Shared
+	var runs []RunReport
 	for i := range nodes {
-		runs = append(runs, Shared{Number: uint64(i), Target: fmt.Sprint("i-", (i*halls)%engines), Read: 8000, Hold: 8400})
+		runs = append(runs, RunReport{Number: uint64(i), Target: fmt.Sprint("i-", (i*halls)%engines), PendingTokens: 8000, MemoryTokens: 8400})
 	}
 	chosen := map[string]int{}
 	for n := range nodes {
 		t := NewTracker(WithSeed(uint64(n)), WithDataHall(fmt.Sprint("hall-", n%halls)))
 		t.Update(siteEngines(engines, halls))
-		t.SetNewsLag(100 * time.Millisecond)
-		t.SetOthers("others", runs)
+		t.SetPropagationDelay(100 * time.Millisecond)
+		t.SetPeerRuns("others", runs)
 		t.byID["i-1"].relativeEstimate, t.byID["i-1"].relativeEstimateAt = estimate{value: 1.4, samples: 9}, time.Now() // all nodes know it as the fastest
-		c := Choice{Service: "s", Work: Work{Read: 8000, Hold: 8400}, FailedHalls: map[string]int{"hall-0": 1}}
+		c := Choice{Service: "s", Work: Work{PrefillTokens: 8000, MemoryTokens: 8400}, FailedHalls: map[string]int{"hall-0": 1}}
 		id := t.Pick(c).ID
 		chosen[id]++
 		most = max(most, chosen[id])
@@ -52,10 +52,10 @@
 func TestBestEngineIsSelectedWithoutConcurrency(t *testing.T) {
 	tr := NewTracker(WithSeed(1))
 	tr.Update(siteEngines(24, 1))
-	tr.SetNewsLag(20 * time.Millisecond)
+	tr.SetPropagationDelay(20 * time.Millisecond)
 	tr.byID["i-7"].relativeEstimate, tr.byID["i-7"].relativeEstimateAt = estimate{value: 2, samples: 9}, time.Now()
 	for range 20 {
-		require.Equal(t, "i-7", tr.Pick(Choice{Service: "s", Work: Work{Read: 8000, Hold: 8400}}).ID)
+		require.Equal(t, "i-7", tr.Pick(Choice{Service: "s", Work: Work{PrefillTokens: 8000, MemoryTokens: 8400}}).ID)
 	}
 }
 
@@ -83,7 +83,7 @@
 	tr := NewTracker(WithSeed(1), WithPolicy(RoundRobin))
 	tr.Update(siteEngines(40, 4))
 	for i := range 80 {
-		require.Equal(t, fmt.Sprint("i-", i%40), tr.Pick(Choice{Service: "s", Work: Work{Read: 8000, Hold: 8400}}).ID)
+		require.Equal(t, fmt.Sprint("i-", i%40), tr.Pick(Choice{Service: "s", Work: Work{PrefillTokens: 8000, MemoryTokens: 8400}}).ID)
 	}
 }
 
@@ -92,10 +92,10 @@
 func TestZeroRunDurationDoesNotOverflow(t *testing.T) {
 	tr := NewTracker(WithSeed(1))
 	tr.Update(siteEngines(24, 1))
-	tr.SetNewsLag(20 * time.Millisecond)
-	tr.SetOthers("others", []Shared{{Number: 1, Target: "i-3", Read: 8000, Hold: 8400}})
+	tr.SetPropagationDelay(20 * time.Millisecond)
+	tr.SetPeerRuns("others", []RunReport{{Number: 1, Target: "i-3", PendingTokens: 8000, MemoryTokens: 8400}})
 	for _, runMS := range []float64{0, 1e-300} {
 		tr.speedOf("s").runMS.value = runMS
-		require.NotNil(t, tr.Pick(Choice{Service: "s", Work: Work{Read: 8000, Hold: 8400}}))
+		require.NotNil(t, tr.Pick(Choice{Service: "s", Work: Work{PrefillTokens: 8000, MemoryTokens: 8400}}))
 	}
 }
--- a/balance/room.go
+++ b/balance/room.go
@@ -35,7 +35,7 @@
 	memory := float64(t.tracker.memoryOf(t.Service))
 	used := float64(t.occupancy.runTokens + t.occupancy.copyTokens)
 	share := maxMemoryShare - reservePerRank*float64(c.Rank)
-	return used+c.meanRunTokens <= share*memory && used+float64(c.Work.Hold) <= memory
+	return used+c.meanRunTokens <= share*memory && used+float64(c.Work.MemoryTokens) <= memory
 }
 
 // meanRunTokens returns the mean memory of a service's runs in tokens, or that of c if
@@ -43,7 +43,7 @@
 func (p *pool) meanRunTokens(c *Choice) float64 {
 	total := p.total()
 	if total.runs == 0 {
-		return float64(c.Work.Hold)
+		return float64(c.Work.MemoryTokens)
 	}
 	return float64(total.runTokens) / float64(total.runs)
 }
@@ -78,14 +78,14 @@
 		memory += h.accepting * t.memoryOf(c.Service)
 	}
 	total := p.total()
-	return float64(total.copyTokens+c.Work.Hold)+runGrowthFactor*float64(total.runTokens) <= maxMemoryShare*float64(memory)
+	return float64(total.copyTokens+c.Work.MemoryTokens)+runGrowthFactor*float64(total.runTokens) <= maxMemoryShare*float64(memory)
 }
 
 // fits reports whether the target has capacity for c and would begin it in time after
 // backlog, in milliseconds. The caller holds the mutex.
 func (t *Target) fits(c *Choice, backlog float64, now time.Time) bool {
 	memory := float64(t.tracker.memoryOf(t.Service))
-	used := float64(t.occupancy.runTokens + t.occupancy.copyTokens + c.Work.Hold)
+	used := float64(t.occupancy.runTokens + t.occupancy.copyTokens + c.Work.MemoryTokens)
 	if c.Copy {
 		return used <= maxMemoryShare*memory
 	}
@@ -98,6 +98,6 @@
 	if t.occupancy.runs > 0 && !t.hasMemoryForRun(c) {
 		return false // an idle engine accepts larger runs, too
 	}
-	beginsMS := backlog + t.prefillMS(c.Work.Read, now)
-	return c.Within == 0 || beginsMS <= float64(c.Within.Milliseconds())
+	beginsMS := backlog + t.prefillMS(c.Work.PrefillTokens, now)
+	return c.MaxWait == 0 || beginsMS <= float64(c.MaxWait.Milliseconds())
 }
--- a/balance/room_test.go
+++ b/balance/room_test.go
@@ -23,15 +23,15 @@
 func TestCopyIsPlacedOnlyWithCapacity(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		tracker := trackerWithMemory(20000, "north", "south", "west")
-		tracker.byID["1"].Begin(Work{Hold: 6000}, Trace{Copy: "2"})
-		copyOf := Choice{Service: "s", Copy: true, OtherHall: "north", Work: Work{Hold: 7000}}
+		tracker.byID["1"].Begin(Work{MemoryTokens: 6000}, Trace{Copy: "2"})
+		copyOf := Choice{Service: "s", Copy: true, AvoidHall: "north", Work: Work{MemoryTokens: 7000}}
 		require.Equal(t, "3", tracker.Pick(copyOf).ID, "the other one already holds a copy")
-		tracker.byID["3"].Begin(Work{Hold: 13000}, Trace{})
+		tracker.byID["3"].Begin(Work{MemoryTokens: 13000}, Trace{})
 		require.Equal(t, "2", tracker.Pick(copyOf).ID)
-		run := tracker.byID["2"].Begin(Work{Hold: 7000}, Trace{})
+		run := tracker.byID["2"].Begin(Work{MemoryTokens: 7000}, Trace{})
 		copyOf.Exclude = func(at *Target) bool { return at.ID == "1" }
 		require.Nil(t, tracker.Pick(copyOf), "two runs and a copy leave no capacity for another")
-		run.End(RunEnd{Whole: true})
+		run.End(RunEnd{Complete: true})
 		require.Equal(t, "2", tracker.Pick(copyOf).ID)
 	})
 }
@@ -39,9 +39,9 @@
 func TestPeersCopiesUseCapacity(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		tracker := trackerWithMemory(20000, "north", "south")
-		copyOf := Choice{Service: "s", Copy: true, Work: Work{Hold: 6000}, Exclude: func(at *Target) bool { return at.ID == "1" }}
+		copyOf := Choice{Service: "s", Copy: true, Work: Work{MemoryTokens: 6000}, Exclude: func(at *Target) bool { return at.ID == "1" }}
 		require.NotNil(t, tracker.Pick(copyOf))
-		tracker.SetOthers("n2", []Shared{{Number: 1, Target: "1", Hold: 13500, Trace: Trace{Key: "k", Copy: "2"}}})
+		tracker.SetPeerRuns("n2", []RunReport{{Number: 1, Target: "1", MemoryTokens: 13500, Trace: Trace{Key: "k", Copy: "2"}}})
 		require.Nil(t, tracker.Pick(copyOf))
 	})
 }
@@ -50,11 +50,11 @@
 func TestCopiesLeaveMemoryForRunsToGrow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		tracker := trackerWithMemory(20000, "north", "south", "west")
-		tracker.byID["1"].Begin(Work{Hold: 17000}, Trace{})
-		tracker.byID["3"].Begin(Work{Hold: 7000}, Trace{})
-		copyOf := Choice{Service: "s", Copy: true, Work: Work{Hold: 7000}}
+		tracker.byID["1"].Begin(Work{MemoryTokens: 17000}, Trace{})
+		tracker.byID["3"].Begin(Work{MemoryTokens: 7000}, Trace{})
+		copyOf := Choice{Service: "s", Copy: true, Work: Work{MemoryTokens: 7000}}
 		require.NotNil(t, tracker.Pick(copyOf))
-		tracker.byID["2"].Begin(Work{Hold: 17000}, Trace{})
+		tracker.byID["2"].Begin(Work{MemoryTokens: 17000}, Trace{})
 		require.Nil(t, tracker.Pick(copyOf), "the third engine has capacity, but the site does not")
 	})
 }
@@ -62,7 +62,7 @@
 // admissionChoice returns the Choice of a new request.
 func admissionChoice(tokens int, within time.Duration) Choice {
 	c := choice(tokens)
-	c.Admission, c.Within = true, within
+	c.Admission, c.MaxWait = true, within
 	return c
 }
 
@@ -71,17 +71,17 @@
 		tracker := trackerWithMemory(40000, "north")
 		require.NotNil(t, tracker.Pick(admissionChoice(50000, 0)), "an idle engine accepts even a run larger than its memory")
 		for range 3 {
-			tracker.byID["1"].Begin(Work{Hold: 8000}, Trace{})
+			tracker.byID["1"].Begin(Work{MemoryTokens: 8000}, Trace{})
 		}
 		require.NotNil(t, tracker.Pick(admissionChoice(8000, 0)))
 		lessUrgent := admissionChoice(8000, 0)
 		lessUrgent.Rank = 4
 		require.Nil(t, tracker.Pick(lessUrgent), "some memory is reserved for more urgent requests")
 		require.Nil(t, tracker.Pick(admissionChoice(17000, 0)), "it exceeds the remaining memory")
-		run := tracker.byID["1"].Begin(Work{Hold: 8000}, Trace{})
+		run := tracker.byID["1"].Begin(Work{MemoryTokens: 8000}, Trace{})
 		require.Nil(t, tracker.Pick(admissionChoice(8000, 0)))
 		require.NotNil(t, tracker.Pick(choice(8000)), "a run that has begun is resumed")
-		run.End(RunEnd{Whole: true})
+		run.End(RunEnd{Complete: true})
 		require.NotNil(t, tracker.Pick(admissionChoice(8000, 0)))
 	})
 }
@@ -93,7 +93,7 @@
 		for runs := range 5 {
 			small, large := tracker.Pick(admissionChoice(1000, 0)), tracker.Pick(admissionChoice(14000, 0))
 			require.Equal(t, small, large, "%d runs", runs)
-			tracker.byID["1"].Begin(Work{Hold: 8000}, Trace{})
+			tracker.byID["1"].Begin(Work{MemoryTokens: 8000}, Trace{})
 		}
 	})
 }
@@ -103,7 +103,7 @@
 		tracker := trackerWithMemory(90000, "north", "south")
 		for range 2 {
 			for _, target := range tracker.byID {
-				target.Begin(Work{Read: 5000, Hold: 5000}, Trace{})
+				target.Begin(Work{PrefillTokens: 5000, MemoryTokens: 5000}, Trace{})
 			}
 		}
 		require.NotNil(t, tracker.Pick(admissionChoice(5000, 4*time.Second)))
@@ -117,7 +117,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		tracker := trackerWithMemory(90000, "north")
 		for range 8 {
-			tracker.byID["1"].Begin(Work{Hold: 100}, Trace{})
+			tracker.byID["1"].Begin(Work{MemoryTokens: 100}, Trace{})
 		}
 		require.Nil(t, tracker.Pick(admissionChoice(100, 0)))
 	})
--- a/balance/run.go
+++ b/balance/run.go
@@ -9,8 +9,8 @@
 
 // Work is what one request requires of a target.
 type Work struct {
-	Read int // prompt tokens to prefill before the first event
-	Hold int // tokens of memory for the whole run
+	PrefillTokens int // prompt tokens to prefill before the first event
+	MemoryTokens  int // tokens of memory for the whole run
 	// Cached says that most of the prompt is expected in the target's prefix cache;
 	// Read is the remainder.
 	Cached bool
@@ -65,8 +65,8 @@
 	if sign > 0 {
 		r.copyHolder = r.target.tracker.byIncarnation[r.trace.Copy]
 	}
-	r.target.addOccupancy(occupancyOf(r.work.Hold, r.work.Read > 0 && !r.begun), sign)
-	r.target.countCopy(r.copyHolder, r.work.Hold, sign)
+	r.target.addOccupancy(occupancyOf(r.work.MemoryTokens, r.work.PrefillTokens > 0 && !r.begun), sign)
+	r.target.countCopy(r.copyHolder, r.work.MemoryTokens, sign)
 }
 
 // countCopy adds or removes a copy of one of the target's runs from the occupancy of
@@ -89,7 +89,7 @@
 	r.target.tracker.mu.Lock()
 	r.update(func() { r.begun, r.begunAt = true, uptime.Now() })
 	if r.solePrefill {
-		r.target.observePrefill(r.work.Read, r.begunAt.Sub(r.startedAt), r.begunAt)
+		r.target.observePrefill(r.work.PrefillTokens, r.begunAt.Sub(r.startedAt), r.begunAt)
 	}
 	r.trace.ReadAt = r.target.incarnation
 	r.target.tracker.prompts.record(r.trace.Key, r.target.incarnation, r.begunAt)
@@ -114,8 +114,8 @@
 
 // RunEnd is the outcome of a run.
 type RunEnd struct {
-	Whole  bool // the response was complete
-	Tokens int  // output tokens, 0 if unknown
+	Complete bool // the response was complete
+	Tokens   int  // output tokens, 0 if unknown
 }
 
 // End stops tracking the request. A run that failed after its first event is remembered,
@@ -126,12 +126,12 @@
 	r.count(-1)
 	delete(r.target.runs, r)
 	delete(tracker.activeRuns, r)
-	fromStart := r.work.Read > 0 || r.work == (Work{}) // rather than from a copy
-	if end.Whole && fromStart {
+	fromStart := r.work.PrefillTokens > 0 || r.work == (Work{}) // rather than from a copy
+	if end.Complete && fromStart {
 		r.observeDuration(uptime.Now(), end.Tokens)
 	}
 	tracker.expireFailedRuns(uptime.Now())
-	if !end.Whole && r.trace.Key != "" && r.begun {
+	if !end.Complete && r.trace.Key != "" && r.begun {
 		r.failedAt = uptime.Now()
 		tracker.failedRuns = append(tracker.failedRuns, r)
 	}
@@ -149,15 +149,15 @@
 	t.failedRuns = slices.DeleteFunc(t.failedRuns, func(r *Run) bool { return now.Sub(r.failedAt) > copyTTL })
 }
 
-// Shared is the state of a run that nodes exchange.
-type Shared struct {
-	Number uint64        // identifies the run on its node
-	Target string        // its incarnation
-	Read   int           // prompt tokens pending when it began; 0 after the first event
-	Hold   int           // tokens of memory
-	Age    time.Duration // since it began; after the first event, the time to it
-	Trace  Trace
-	Broken bool // it failed: it holds no memory, but its copy may exist
+// RunReport is the state of a run that nodes exchange.
+type RunReport struct {
+	Number        uint64        // identifies the run on its node
+	Target        string        // its incarnation
+	PendingTokens int           // prompt tokens pending when it began; 0 after the first event
+	MemoryTokens  int           // tokens of memory
+	Age           time.Duration // since it began; after the first event, the time to it
+	Trace         Trace
+	Failed        bool // it failed: it holds no memory, but its copy may exist
 }
 
 // peerReport is a peer's latest report.
@@ -173,8 +173,8 @@
 // peerRuns holds a peer's runs at one target.
 type peerRuns struct {
 	report      *peerReport
-	runs        []Shared  // ages are as of report.receivedAt
-	copyHolders []*Target // targets at which their copies are counted
+	runs        []RunReport // ages are as of report.receivedAt
+	copyHolders []*Target   // targets at which their copies are counted
 }
 
 // count adds or removes the runs from the occupancy of their target and of their
@@ -182,8 +182,8 @@
 func (o *peerRuns) count(at *Target, sign int) {
 	var sum occupancy
 	for i, s := range o.runs {
-		sum.add(occupancyOf(s.Hold, s.Read > 0), 1)
-		at.countCopy(o.copyHolders[i], s.Hold, sign)
+		sum.add(occupancyOf(s.MemoryTokens, s.PendingTokens > 0), 1)
+		at.countCopy(o.copyHolders[i], s.MemoryTokens, sign)
 	}
 	at.addOccupancy(sum, sign)
 }
@@ -247,11 +247,11 @@
 // Runs returns this node's active runs with nonzero Work at listed targets, its runs
 // that failed within copyTTL and, for copyTTL after Remember, the restored traces as
 // failed runs.
-func (t *Tracker) Runs() []Shared {
+func (t *Tracker) Runs() []RunReport {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := uptime.Now()
-	var all []Shared
+	var all []RunReport
 	for r := range t.activeRuns {
 		if r.target.hall != nil {
 			all = append(all, r.summary(now))
@@ -259,11 +259,11 @@
 	}
 	t.expireFailedRuns(now)
 	for _, r := range t.failedRuns {
-		all = append(all, Shared{Number: r.number, Target: r.target.incarnation, Trace: r.trace, Broken: true})
+		all = append(all, RunReport{Number: r.number, Target: r.target.incarnation, Trace: r.trace, Failed: true})
 	}
 	if now.Sub(t.restoredAt) < copyTTL {
 		for _, m := range t.restored {
-			all = append(all, Shared{Number: m.number, Target: m.trace.ReadAt, Trace: m.trace, Broken: true})
+			all = append(all, RunReport{Number: m.number, Target: m.trace.ReadAt, Trace: m.trace, Failed: true})
 		}
 	}
 	return all
@@ -296,9 +296,9 @@
 	at    time.Time
 }
 
-// NoteTrace records the trace of a peer's run. It is valid for as long as a copy may be
+// AddPeerTrace records the trace of a peer's run. It is valid for as long as a copy may be
 // kept, unless it is received again.
-func (t *Tracker) NoteTrace(trace Trace) {
+func (t *Tracker) AddPeerTrace(trace Trace) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := uptime.Now()
@@ -336,9 +336,9 @@
 	return trace, trace.ReadAt != "" || trace.Copy != ""
 }
 
-// Remember restores the traces that this node saved before it restarted; age is the time
+// RestoreTraces restores the traces that this node saved before it restarted; age is the time
 // since they were saved. Of traces older than copyTTL it omits the copy.
-func (t *Tracker) Remember(traces []Trace, age time.Duration) {
+func (t *Tracker) RestoreTraces(traces []Trace, age time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.restored, t.restoredAt, t.restoredAge = map[string]restoredTrace{}, uptime.Now(), age
@@ -387,10 +387,10 @@
 	return at, name
 }
 
-func (r *Run) summary(now time.Time) Shared {
-	s := Shared{Number: r.number, Target: r.target.incarnation, Read: r.work.Read, Hold: r.work.Hold, Age: now.Sub(r.startedAt), Trace: r.trace}
+func (r *Run) summary(now time.Time) RunReport {
+	s := RunReport{Number: r.number, Target: r.target.incarnation, PendingTokens: r.work.PrefillTokens, MemoryTokens: r.work.MemoryTokens, Age: now.Sub(r.startedAt), Trace: r.trace}
 	if r.begun {
-		s.Read, s.Age = 0, r.begunAt.Sub(r.startedAt)
+		s.PendingTokens, s.Age = 0, r.begunAt.Sub(r.startedAt)
 	}
 	return s
 }
@@ -407,16 +407,16 @@
 	return t.lastRunNumber
 }
 
-// SetOthers replaces a peer's reported runs.
-func (t *Tracker) SetOthers(node string, runs []Shared) {
-	byTarget := map[string][]Shared{}
+// SetPeerRuns replaces a peer's reported runs.
+func (t *Tracker) SetPeerRuns(node string, runs []RunReport) {
+	byTarget := map[string][]RunReport{}
 	now := uptime.Now()
 	report := &peerReport{receivedAt: now, aliveAt: now, traces: map[string]Trace{}}
 	for _, s := range runs {
 		if s.Trace.Key != "" {
 			report.traces[s.Trace.Key] = s.Trace
 		}
-		if !s.Broken {
+		if !s.Failed {
 			byTarget[s.Target] = append(byTarget[s.Target], s)
 		}
 	}
@@ -447,8 +447,8 @@
 	t.scheduleExpiry(report)
 }
 
-// StillThere records that nodes are alive and that their last reports are still current.
-func (t *Tracker) StillThere(nodes []string) {
+// ConfirmPeers records that nodes are alive and that their last reports are still current.
+func (t *Tracker) ConfirmPeers(nodes []string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := uptime.Now()
@@ -475,17 +475,17 @@
 
 // pendingPrefills returns the target's known runs with prefills pending. The result is
 // valid until the next call. The caller holds the mutex.
-func (t *Target) pendingPrefills(now time.Time) []Shared {
+func (t *Target) pendingPrefills(now time.Time) []RunReport {
 	pending := t.tracker.pendingBuf[:0]
 	for r := range t.runs {
-		if s := r.summary(now); s.Read > 0 {
+		if s := r.summary(now); s.PendingTokens > 0 {
 			pending = append(pending, s)
 		}
 	}
 	for _, o := range t.peerRuns {
 		age := now.Sub(o.report.receivedAt)
 		for _, s := range o.runs {
-			if s.Read > 0 && o.report.counted {
+			if s.PendingTokens > 0 && o.report.counted {
 				s.Age += age
 				pending = append(pending, s)
 			}
--- a/balance/score.go
+++ b/balance/score.go
@@ -17,8 +17,8 @@
 	// Key identifies the request or the prefix that it shares with others; a repeated
 	// request is best sent to the same target.
 	Key string
-	// Again says that a request with this key was sent before.
-	Again bool
+	// Retried says that a request with this key was sent before.
+	Retried bool
 	// Exclude filters out targets, such as those already tried.
 	Exclude func(*Target) bool
 	// Copy selects a target to hold a copy of a run, rather than to run the request.
@@ -26,16 +26,16 @@
 	// Admission marks a new request: only a target with capacity for it is selected,
 	// predicted to begin it within Within.
 	Admission bool
-	Within    time.Duration // 0 for no limit
-	// Aim is the objective for the time to the first event of a new request; 0 for as
+	MaxWait   time.Duration // 0 for no limit
+	// FirstEventGoal is the objective for the time to the first event of a new request; 0 for as
 	// soon as possible.
-	Aim time.Duration
+	FirstEventGoal time.Duration
 	// Rank is the number of more urgent ranks, for which memory is reserved.
 	Rank int
 	// FailedHalls counts the targets by data hall that failed this request.
 	FailedHalls map[string]int
-	// OtherHall is a data hall that the target should not be in, if possible.
-	OtherHall string
+	// AvoidHall is a data hall that the target should not be in, if possible.
+	AvoidHall string
 
 	meanRunTokens float64 // mean memory of the service's runs, in tokens
 }
@@ -80,7 +80,7 @@
 		return nil
 	}
 	candidates := s.candidates()
-	best := t.sampleBest(candidates, t.concurrentSelections(s, candidates), t.prefillMS(c.Service, c.Work.Read))
+	best := t.sampleBest(candidates, t.concurrentSelections(s, candidates), t.prefillMS(c.Service, c.Work.PrefillTokens))
 	if best != nil {
 		t.roundRobinSeq++
 		best.roundRobinSeq = t.roundRobinSeq
@@ -106,21 +106,21 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := uptime.Now()
-	read := at.prefillMS(c.Work.Read, now)
+	read := at.prefillMS(c.Work.PrefillTokens, now)
 	if t.likelyCacheHolder(c, now) == at {
 		read *= cachedReadShare
 	}
 	return time.Duration((at.backlog(now) + read) * float64(time.Millisecond))
 }
 
-// Kept returns the work of c at a target, less the part of the prompt that is expected
+// WorkAt returns the work of c at a target, less the part of the prompt that is expected
 // in its cache.
-func (t *Tracker) Kept(c Choice, at *Target) Work {
+func (t *Tracker) WorkAt(c Choice, at *Target) Work {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	work := c.Work
 	if t.likelyCacheHolder(c, uptime.Now()) == at {
-		work.Read = int(float64(work.Read) * cachedReadShare)
+		work.PrefillTokens = int(float64(work.PrefillTokens) * cachedReadShare)
 		work.Cached = true
 	}
 	return work
@@ -168,7 +168,7 @@
 		return t.cfg.RemoteHallSlotCost
 	}
 	cost := t.cfg.RemoteHallCost + reportDelayCost*float64(t.crossHallLag.Milliseconds())
-	return max(cost, crossHallAimShare*float64(choice.Aim.Milliseconds()))
+	return max(cost, crossHallAimShare*float64(choice.FirstEventGoal.Milliseconds()))
 }
 
 // score returns the predicted wait at a target with the given prefill backlog, plus
@@ -204,7 +204,7 @@
 // addCommonCosts adds the costs that apply under every policy. The caller holds the mutex.
 func (t *Target) addCommonCosts(c *Choice, now time.Time, score float64) float64 {
 	score += failedHallCost * float64(c.FailedHalls[t.DataHall])
-	if c.OtherHall != "" && t.DataHall == c.OtherHall {
+	if c.AvoidHall != "" && t.DataHall == c.AvoidHall {
 		score += sameHallCost
 	}
 	if t.suspect(now) || c.Copy && t.unconfirmed(now) {
@@ -253,17 +253,17 @@
 // runs there, in milliseconds.
 func (t *Target) engineWait(s *scan, backlog float64) float64 {
 	c := s.choice
-	prefill := t.prefillMS(c.Work.Read, s.now)
+	prefill := t.prefillMS(c.Work.PrefillTokens, s.now)
 	if t == s.cacheHolder {
 		prefill *= cachedReadShare
 	}
 	interference := (requestCost + interferenceWeight*prefill) * float64(t.occupancy.runs)
-	if t == s.affine && !c.Again {
+	if t == s.affine && !c.Retried {
 		prefill -= affinityBonus
 	}
 	wait := backlog + prefill + interference - t.ownershipBonus()
 	softLimit := softMemoryShare * float64(t.tracker.memoryOf(t.Service))
-	if excess := float64(t.occupancy.runTokens+t.occupancy.copyTokens+c.Work.Hold) - softLimit; excess > 0 {
+	if excess := float64(t.occupancy.runTokens+t.occupancy.copyTokens+c.Work.MemoryTokens) - softLimit; excess > 0 {
 		wait += memoryCost * excess / 1000
 	}
 	return wait
@@ -276,12 +276,12 @@
 		return 0
 	}
 	runs := t.pendingPrefills(now)
-	slices.SortFunc(runs, func(a, b Shared) int { return cmp.Compare(b.Age, a.Age) })
+	slices.SortFunc(runs, func(a, b RunReport) int { return cmp.Compare(b.Age, a.Age) })
 	finish := math.Inf(-1) // relative to now
 	for _, r := range runs {
 		start := -float64(r.Age.Milliseconds())
 		// An overdue prefill is assumed to need a while longer.
-		finish = math.Max(math.Max(finish, start)+t.prefillMS(r.Read, now), overduePrefillMS)
+		finish = math.Max(math.Max(finish, start)+t.prefillMS(r.PendingTokens, now), overduePrefillMS)
 	}
 	return math.Max(0, finish)
 }
--- a/balance/silence.go
+++ b/balance/silence.go
@@ -10,12 +10,12 @@
 // detect this within half a second; runs waiting for their first event, and other
 // nodes, do not. So nodes report unresponsive targets to each other.
 
-// OnSilence sets the function called when a target becomes unresponsive.
-func (t *Tracker) OnSilence(f func()) { t.onUnresponsive = f }
+// OnUnresponsive sets the function called when a target becomes unresponsive.
+func (t *Tracker) OnUnresponsive(f func()) { t.onUnresponsive = f }
 
-// FellSilent records that the target does not answer, and implies Broke. unreachable says
+// RecordUnresponsive records that the target does not answer, and implies Broke. unreachable says
 // that the target answers nothing at all; otherwise the run may only have been preempted.
-func (t *Target) FellSilent(unreachable bool) {
+func (t *Target) RecordUnresponsive(unreachable bool) {
 	t.tracker.mu.Lock()
 	t.addUnresponsive()
 	t.ownUnresponsiveAt = uptime.Now()
@@ -24,13 +24,13 @@
 		t.unreachableAt = t.ownUnresponsiveAt
 	}
 	t.tracker.mu.Unlock()
-	t.Broke()
+	t.RecordFailure()
 	t.tracker.onUnresponsive()
 }
 
-// SilentTargets returns the incarnations that recently became unresponsive to this
+// UnresponsiveTargets returns the incarnations that recently became unresponsive to this
 // node.
-func (t *Tracker) SilentTargets() []string {
+func (t *Tracker) UnresponsiveTargets() []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := uptime.Now()
@@ -43,8 +43,8 @@
 	return incarnations
 }
 
-// SetSilent records a peer's report of unresponsive targets.
-func (t *Tracker) SetSilent(incarnations []string) {
+// SetUnresponsive records a peer's report of unresponsive targets.
+func (t *Tracker) SetUnresponsive(incarnations []string) {
 	if len(incarnations) == 0 {
 		return
 	}
@@ -60,10 +60,10 @@
 	t.onUnresponsive()
 }
 
-// SilentSince reports whether, since a time, this node found the target unreachable or
+// UnresponsiveSince reports whether, since a time, this node found the target unreachable or
 // most likely its whole data hall became unresponsive. It is false if the target has
 // answered this node after that time.
-func (t *Target) SilentSince(since time.Time) bool {
+func (t *Target) UnresponsiveSince(since time.Time) bool {
 	t.tracker.mu.Lock()
 	defer t.tracker.mu.Unlock()
 	if t.answeredAt.After(since) {
--- a/balance/silence_test.go
+++ b/balance/silence_test.go
@@ -12,24 +12,24 @@
 	synctest.Test(t, func(t *testing.T) {
 		tracker := newTracker(append(targetList("s", "north", "1", "2", "3", "4", "5", "6", "7", "8"), targetList("s", "south", "9")...)...)
 		notified := 0
-		tracker.OnSilence(func() { notified++ })
+		tracker.OnUnresponsive(func() { notified++ })
 		began := time.Now()
 		time.Sleep(time.Second)
 		last, remote := tracker.byID["8"], tracker.byID["9"]
-		tracker.byID["1"].FellSilent(false)
-		require.False(t, last.SilentSince(began), "one of eight may have preempted its run")
-		require.False(t, tracker.byID["1"].SilentSince(began))
-		tracker.SetSilent([]string{"2", "unknown"})
-		require.True(t, last.SilentSince(began))
-		require.False(t, remote.SilentSince(began), "the other data hall is healthy")
-		require.False(t, last.SilentSince(time.Now()), "a run that began later is unaffected")
+		tracker.byID["1"].RecordUnresponsive(false)
+		require.False(t, last.UnresponsiveSince(began), "one of eight may have preempted its run")
+		require.False(t, tracker.byID["1"].UnresponsiveSince(began))
+		tracker.SetUnresponsive([]string{"2", "unknown"})
+		require.True(t, last.UnresponsiveSince(began))
+		require.False(t, remote.UnresponsiveSince(began), "the other data hall is healthy")
+		require.False(t, last.UnresponsiveSince(time.Now()), "a run that began later is unaffected")
 		require.Equal(t, 2, notified)
-		require.Equal(t, []string{"1"}, tracker.SilentTargets(), "peers' reports are not relayed")
+		require.Equal(t, []string{"1"}, tracker.UnresponsiveTargets(), "peers' reports are not relayed")
 
-		last.Told(Load{})
-		require.False(t, last.SilentSince(began), "it has answered")
+		last.RecordLoad(Load{})
+		require.False(t, last.UnresponsiveSince(began), "it has answered")
 		time.Sleep(2 * hallSuspectWindow)
-		require.Empty(t, tracker.SilentTargets())
+		require.Empty(t, tracker.UnresponsiveTargets())
 	})
 }
 
@@ -38,8 +38,8 @@
 		tracker := newTracker(targetList("s", "north", "1", "2", "3", "4")...)
 		began := time.Now()
 		time.Sleep(time.Second)
-		tracker.byID["1"].FellSilent(true)
-		require.True(t, tracker.byID["1"].SilentSince(began))
-		require.False(t, tracker.byID["2"].SilentSince(began))
+		tracker.byID["1"].RecordUnresponsive(true)
+		require.True(t, tracker.byID["1"].UnresponsiveSince(began))
+		require.False(t, tracker.byID["2"].UnresponsiveSince(began))
 	})
 }
--- a/balance/update_bench_test.go
+++ b/balance/update_bench_test.go
@@ -40,8 +40,8 @@
 			tracker := newTracker(list...)
 			for n := 0; b.Loop(); n++ {
 				at := n % engines
-				tracker.Change(discovery.Change{Removed: []string{list[at].ID}})
-				tracker.Change(discovery.Change{Put: list[at : at+1]})
+				tracker.ApplyChange(discovery.Change{Removed: []string{list[at].ID}})
+				tracker.ApplyChange(discovery.Change{Put: list[at : at+1]})
 			}
 		})
 	}
--- a/bundle/bundle.go
+++ b/bundle/bundle.go
@@ -19,14 +19,14 @@
 	KindService Kind = "service"
 )
 
-// Leaning is a site's trade-off between latency and cost when it resumes
+// ResumePreference is a site's trade-off between latency and cost when it resumes
 // generations.
-type Leaning string
+type ResumePreference string
 
-// LeanLatency resumes sooner at a higher cost; LeanCost does the reverse.
+// PreferLatency resumes sooner at a higher cost; PreferCost does the reverse.
 const (
-	LeanLatency Leaning = "latency"
-	LeanCost    Leaning = "cost"
+	PreferLatency ResumePreference = "latency"
+	PreferCost    ResumePreference = "cost"
 )
 
 // Bundle is a parsed configuration document.
@@ -128,7 +128,7 @@
 
 // Resume configures how interrupted generations are resumed.
 type Resume struct {
-	Leaning Leaning `yaml:"leaning"`
+	Leaning ResumePreference `yaml:"leaning"`
 }
 
 // Objective is a service-level objective for an account and model; an empty
--- a/bundle/check.go
+++ b/bundle/check.go
@@ -155,7 +155,7 @@
 		c.add("must be 1 or more", "say how many loads the weight store bears at once", "placement", "loads")
 	}
 	l := c.bundle.Resume.Leaning
-	if l != LeanLatency && l != LeanCost {
+	if l != PreferLatency && l != PreferCost {
 		c.add(fmt.Sprintf("%q is no leaning", l), "use latency or cost", "resume", "leaning")
 	}
 }
--- a/bundle/parse.go
+++ b/bundle/parse.go
@@ -106,7 +106,7 @@
 		b.Guard.Replicas = defaultReplicas
 	}
 	if b.Resume.Leaning == "" {
-		b.Resume.Leaning = LeanLatency
+		b.Resume.Leaning = PreferLatency
 	}
 	for i := range b.Targets {
 		if b.Targets[i].Slots == 0 {
--- a/caller/caller.go
+++ b/caller/caller.go
@@ -48,9 +48,9 @@
 	Answered(code walnutramp.Code)
 	// FirstToken reports the time to first token of a generation.
 	FirstToken(account walnutramp.ClientAccount, model walnutramp.ModelName, d time.Duration)
-	// Silence reports the time between two releases of tokens to a caller, and the number
+	// TokenGap reports the time between two releases of tokens to a caller, and the number
 	// of tokens in the second release.
-	Silence(account walnutramp.ClientAccount, model walnutramp.ModelName, d time.Duration, tokens int)
+	TokenGap(account walnutramp.ClientAccount, model walnutramp.ModelName, d time.Duration, tokens int)
 	// Failed reports a generation that failed after its first token.
 	Failed(account walnutramp.ClientAccount, model walnutramp.ModelName)
 }
@@ -64,7 +64,7 @@
 	Ledger          Ledger
 	Observe         Observer
 	Stopping        func() bool
-	Quarantine      *quarantine.Witness // detects requests that crash the targets that run them
+	Quarantine      *quarantine.CrashDetector // detects requests that crash the targets that run them
 	MaxBody         int64
 	BodyTimeout     time.Duration // for reading a request's body
 	ServiceTimeout  time.Duration // for one call of a service
@@ -92,7 +92,7 @@
 func WithObserver(o Observer) Option { return func(c *Config) { c.Observe = o } }
 
 // WithQuarantine sets the detector of requests that crash targets.
-func WithQuarantine(w *quarantine.Witness) Option { return func(c *Config) { c.Quarantine = w } }
+func WithQuarantine(w *quarantine.CrashDetector) Option { return func(c *Config) { c.Quarantine = w } }
 
 // WithStopping sets the check for whether the node rejects new work.
 func WithStopping(f func() bool) Option { return func(c *Config) { c.Stopping = f } }
@@ -105,7 +105,7 @@
 	return Config{
 		Stopping:       func() bool { return false },
 		Observe:        noopObserver{},
-		Quarantine:     quarantine.NewWitness(quarantine.New(), nil),
+		Quarantine:     quarantine.NewCrashDetector(quarantine.New(), nil),
 		MaxBody:        4 << 20,
 		BodyTimeout:    10 * time.Second,
 		ServiceTimeout: 15 * time.Second,
@@ -114,10 +114,10 @@
 
 type noopObserver struct{}
 
-func (noopObserver) Answered(walnutramp.Code)                                                   {}
-func (noopObserver) FirstToken(walnutramp.ClientAccount, walnutramp.ModelName, time.Duration)   {}
-func (noopObserver) Silence(walnutramp.ClientAccount, walnutramp.ModelName, time.Duration, int) {}
-func (noopObserver) Failed(walnutramp.ClientAccount, walnutramp.ModelName)                      {}
+func (noopObserver) Answered(walnutramp.Code)                                                    {}
+func (noopObserver) FirstToken(walnutramp.ClientAccount, walnutramp.ModelName, time.Duration)    {}
+func (noopObserver) TokenGap(walnutramp.ClientAccount, walnutramp.ModelName, time.Duration, int) {}
+func (noopObserver) Failed(walnutramp.ClientAccount, walnutramp.ModelName)                       {}
 
 // Handler serves the HTTP API.
 type Handler struct {
--- a/caller/complete.go
+++ b/caller/complete.go
@@ -74,7 +74,7 @@
 	if h.cfg.Stopping() {
 		return nil, walnutramp.NewError(walnutramp.CodeStopping, walnutramp.NotRun, "this node is stopping").WithRetryAfter(time.Second)
 	}
-	if held := h.cfg.Quarantine.Refuse(req.spec.Content); held != nil {
+	if held := h.cfg.Quarantine.CheckNew(req.spec.Content); held != nil {
 		return nil, held
 	}
 	return h.cfg.Generations.Open(ctx, req.spec)
@@ -164,7 +164,7 @@
 		v.h.cfg.Observe.FirstToken(v.g.Account(), v.g.Model(), d)
 		return
 	}
-	v.h.cfg.Observe.Silence(v.g.Account(), v.g.Model(), d, tokens)
+	v.h.cfg.Observe.TokenGap(v.g.Account(), v.g.Model(), d, tokens)
 }
 
 func (v *responder) failStream(out *eventWriter, err error) {
--- a/caller/ends.go
+++ b/caller/ends.go
@@ -15,7 +15,7 @@
 
 // recordConnectionLoss records that a service's target closed the connection during a call.
 func (s *serviceCall) recordConnectionLoss(grant *route.Grant, sent time.Time) {
-	s.crashProbe = s.h.cfg.Quarantine.Broke(quarantine.Break{
+	s.crashProbe = s.h.cfg.Quarantine.StartProbe(quarantine.BrokenConn{
 		Request: s.key, Content: s.fingerprint, Target: string(grant.Target.Name), Address: grant.Target.Address,
 		Standing: quarantine.Begun, Sent: sent,
 	})
--- a/caller/service.go
+++ b/caller/service.go
@@ -23,10 +23,10 @@
 	Digest  string // of method, path and body
 }
 
-// Held is the ledger's state of a claim. Token identifies a claim that is Mine, for Settle.
+// ClaimState is the ledger's state of a claim. Token identifies a claim that is Mine, for Settle.
 // Digest and Outcome are those of the recorded claim; Outcome is final once Settled is set.
-type Held struct {
-	Mine    bool // the claim is new, and its owner may send the request once
+type ClaimState struct {
+	Granted bool // the claim is new, and its owner may send the request once
 	Token   uint64
 	Outcome walnutramp.Outcome // of an earlier claim; Unknown while it runs
 	Settled bool
@@ -38,7 +38,7 @@
 // means that no claim is known to be recorded.
 type Ledger interface {
 	// Claim records a claim durably, or returns an earlier one with the same key.
-	Claim(ctx context.Context, c Claim) (Held, error)
+	Claim(ctx context.Context, c Claim) (ClaimState, error)
 	// Settle records the outcome of the caller's own claim.
 	Settle(ctx context.Context, c Claim, token uint64, outcome walnutramp.Outcome, a target.Answer) error
 }
@@ -63,7 +63,7 @@
 	}
 	s := &serviceCall{h: h, account: account, service: svc, call: call, key: r.Header.Get(headerKey),
 		fingerprint: fingerprintOf(body, account, svc.Name, call.Method, call.Path)}
-	if held := h.cfg.Quarantine.Refuse(s.fingerprint); held != nil {
+	if held := h.cfg.Quarantine.CheckNew(s.fingerprint); held != nil {
 		h.writeError(w, held)
 		return
 	}
@@ -111,7 +111,7 @@
 	call        target.Call
 	key         string
 	fingerprint quarantine.Fingerprint
-	crashProbe  *quarantine.Look // checks whether the target whose connection broke last has crashed
+	crashProbe  *quarantine.Probe // checks whether the target whose connection broke last has crashed
 }
 
 func (s *serviceCall) pick(ctx context.Context, avoid []walnutramp.TargetName) (*route.Grant, error) {
@@ -131,7 +131,7 @@
 	var last error
 	for i := range maxAttempts {
 		if i > 0 {
-			if stop := s.h.cfg.Quarantine.Stop(s.crashProbe, s.fingerprint); stop != nil {
+			if stop := s.h.cfg.Quarantine.CheckRetry(s.crashProbe, s.fingerprint); stop != nil {
 				return target.Answer{}, stop
 			}
 			if !s.h.cfg.Router.SpendRetry() {
@@ -176,7 +176,7 @@
 		return a, err
 	}
 	grant.Done(route.Finished)
-	s.h.cfg.Quarantine.Sound(s.fingerprint)
+	s.h.cfg.Quarantine.RecordSuccess(s.fingerprint)
 	return a, nil
 }
 
@@ -190,7 +190,7 @@
 		return target.Answer{}, walnutramp.NewError(walnutramp.CodeBadRequest, walnutramp.NotRun, "%s is longer than %d bytes", headerKey, maxKeyBytes)
 	}
 	if s.h.cfg.Ledger == nil {
-		return target.Answer{}, walnutramp.NewError(walnutramp.CodeLedgerAway, walnutramp.NotRun, "this node has no ledger")
+		return target.Answer{}, walnutramp.NewError(walnutramp.CodeLedgerUnavailable, walnutramp.NotRun, "this node has no ledger")
 	}
 	claim := Claim{Account: s.account.Name, Key: s.key, Digest: s.digest()}
 	if s.h.cfg.SendBeforeClaim {
@@ -200,7 +200,7 @@
 	if err != nil {
 		return target.Answer{}, err
 	}
-	if !held.Mine {
+	if !held.Granted {
 		return answerDuplicate(claim, held)
 	}
 	return s.sendClaimed(ctx, claim, held.Token)
@@ -214,11 +214,11 @@
 
 // claim claims the call. If an earlier claim has no outcome yet, it polls the ledger until
 // there is one or duplicateTimeout has passed.
-func (s *serviceCall) claim(ctx context.Context, c Claim) (Held, error) {
+func (s *serviceCall) claim(ctx context.Context, c Claim) (ClaimState, error) {
 	began := time.Now()
 	for {
 		held, err := s.h.cfg.Ledger.Claim(ctx, c)
-		open := err == nil && !held.Mine && !held.Settled && held.Digest == c.Digest
+		open := err == nil && !held.Granted && !held.Settled && held.Digest == c.Digest
 		if !open || time.Since(began) > duplicateTimeout || !pause.For(ctx, duplicatePollInterval) {
 			return held, err
 		}
@@ -230,7 +230,7 @@
 }
 
 // answerDuplicate returns the answer to a request whose key was claimed before.
-func answerDuplicate(c Claim, held Held) (target.Answer, error) {
+func answerDuplicate(c Claim, held ClaimState) (target.Answer, error) {
 	if held.Digest != c.Digest {
 		return target.Answer{}, walnutramp.NewError(walnutramp.CodeKeyReused, walnutramp.NotRun, "the key was used with another request")
 	}
--- a/cmd/walnutramp/bundle.go
+++ b/cmd/walnutramp/bundle.go
@@ -285,7 +285,7 @@
 	if err := os.MkdirAll(c.Data, 0o700); err != nil {
 		return err
 	}
-	if err := control.FoundIdentity(wal.Dir(c.Data)); err != nil {
+	if err := control.WriteFounderIdentity(wal.Dir(c.Data)); err != nil {
 		return &settingError{"--data", c.Data, "an unused data directory (" + err.Error() + ")"}
 	}
 	fmt.Fprintln(c.out, "founded:", c.Data)
--- a/cmd/walnutramp/experiment.go
+++ b/cmd/walnutramp/experiment.go
@@ -40,7 +40,7 @@
 	for _, site := range sites {
 		for _, policy := range c.Policies {
 			for _, v := range c.versions() {
-				rows = append(rows, experiment.Measure(site, v, experiment.Troubles{Crashes: true, Grey: true}, rollout.Policy(policy), c.Plays, c.Seed))
+				rows = append(rows, experiment.Measure(site, v, experiment.Faults{Crashes: true, Grey: true}, rollout.Policy(policy), c.Plays, c.Seed))
 			}
 		}
 	}
@@ -71,7 +71,7 @@
 // versions returns a good version, and bad ones for each kind of defect.
 func (c *rolloutsCommand) versions() []experiment.Version {
 	versions := []experiment.Version{{}}
-	for _, way := range experiment.Ways() {
+	for _, way := range experiment.FailureConditions() {
 		for _, fails := range c.Fails {
 			versions = append(versions, experiment.Version{Fails: fails, When: way})
 		}
--- a/code.go
+++ b/code.go
@@ -24,35 +24,35 @@
 	CodeBodyTimeout       Code = 2011
 	CodeHeaderTooLarge    Code = 2012
 
-	CodeOverloaded    Code = 3001
-	CodeAccountLimit  Code = 3002
-	CodeNoTarget      Code = 3003
-	CodeQueueDeadline Code = 3004
-	CodeStopping      Code = 3005
-	CodeNotInForce    Code = 3006
-	CodeHeldBack      Code = 3007
-	CodeTargetsRest   Code = 3008
-	CodeClientSlow    Code = 3009
+	CodeOverloaded      Code = 3001
+	CodeAccountLimit    Code = 3002
+	CodeNoTarget        Code = 3003
+	CodeQueueDeadline   Code = 3004
+	CodeStopping        Code = 3005
+	CodeNotInForce      Code = 3006
+	CodeQuarantined     Code = 3007
+	CodeTargetsCooldown Code = 3008
+	CodeClientSlow      Code = 3009
 
 	CodeGenerationUnknown Code = 4001
 	CodeNotProvable       Code = 4002
 	CodeMoved             Code = 4003
-	CodeSeamRefused       Code = 4004
+	CodeResumeRefused     Code = 4004
 	CodeEngineRefused     Code = 4005
 	CodeOutOfTargets      Code = 4006
 
-	CodeOutcomeUnknown Code = 5001
-	CodeStillRunning   Code = 5002
-	CodeTargetFailed   Code = 5003
-	CodeLedgerAway     Code = 5004
-	CodeTargetSlow     Code = 5005
-	CodeEndsTargets    Code = 5006
+	CodeOutcomeUnknown    Code = 5001
+	CodeStillRunning      Code = 5002
+	CodeTargetFailed      Code = 5003
+	CodeLedgerUnavailable Code = 5004
+	CodeTargetSlow        Code = 5005
+	CodeCrashesTargets    Code = 5006
 
 	CodeStaleEpoch       Code = 6001
 	CodeWrongIncarnation Code = 6002
 	CodeNotHeld          Code = 6003
 	CodeNoQuorum         Code = 6004
-	CodeStranger         Code = 6005
+	CodeUnknownPeer      Code = 6005
 
 	CodeBundleInvalid   Code = 7001
 	CodeBundleSignature Code = 7002
@@ -105,26 +105,26 @@
 	{CodeQueueDeadline, "queue-deadline", 503, "The request waited as long as it may and was not started."},
 	{CodeStopping, "stopping", 503, "This node is stopping; another node will take the request."},
 	{CodeNotInForce, "not-in-force", 503, "This node cannot tell whether its bundle is the newest and takes no new work."},
-	{CodeHeldBack, "held-back", 503, "Targets end when they run this request, so it is kept from them; come back after Retry-After."},
-	{CodeTargetsRest, "targets-rest", 503, "All targets that serve this asked to be left alone for a while; come back after Retry-After."},
+	{CodeQuarantined, "held-back", 503, "Targets end when they run this request, so it is kept from them; come back after Retry-After."},
+	{CodeTargetsCooldown, "targets-rest", 503, "All targets that serve this asked to be left alone for a while; come back after Retry-After."},
 	{CodeClientSlow, "client-slow", 503, "The client read its answer too slowly for what may be held of it; it can come again with its last event."},
 	{CodeGenerationUnknown, "generation-unknown", 404, "No reachable node holds that generation."},
 	{CodeNotProvable, "not-provable", 503, "Too few replicas answer to prove where the generation stands."},
 	{CodeMoved, "moved", 503, "Another node now owns the generation; reconnect with Last-Event-ID."},
-	{CodeSeamRefused, "seam-refused", 502, "The engine is gone and the request's options do not allow another to go on exactly."},
+	{CodeResumeRefused, "seam-refused", 502, "The engine is gone and the request's options do not allow another to go on exactly."},
 	{CodeEngineRefused, "engine-refused", 502, "The engine refused the request."},
 	{CodeOutOfTargets, "out-of-targets", 503, "Every target of the model is gone; reconnect with Last-Event-ID after Retry-After."},
 	{CodeOutcomeUnknown, "outcome-unknown", 502, "The request was sent and its outcome is not known; it will not be sent again."},
 	{CodeStillRunning, "still-running", 409, "The request with this key is still running."},
 	{CodeTargetFailed, "target-failed", 502, "The target failed before it answered."},
-	{CodeLedgerAway, "ledger-away", 503, "The ledger cannot be reached, so the request was not started."},
+	{CodeLedgerUnavailable, "ledger-away", 503, "The ledger cannot be reached, so the request was not started."},
 	{CodeTargetSlow, "target-slow", 504, "The target did not answer in the time that the request may take."},
-	{CodeEndsTargets, "ends-targets", 502, "Targets ended when they ran this request; it is not sent to another."},
+	{CodeCrashesTargets, "ends-targets", 502, "Targets ended when they ran this request; it is not sent to another."},
 	{CodeStaleEpoch, "stale-epoch", 409, "A newer epoch holds the generation."},
 	{CodeWrongIncarnation, "wrong-incarnation", 409, "The node restarted since and knows nothing of this."},
 	{CodeNotHeld, "not-held", 404, "This node does not hold the generation, or what a piece was asked of."},
 	{CodeNoQuorum, "no-quorum", 503, "No majority answered."},
-	{CodeStranger, "stranger", 403, "The peer is not a node of this site."},
+	{CodeUnknownPeer, "stranger", 403, "The peer is not a node of this site."},
 	{CodeBundleInvalid, "bundle-invalid", 400, "The bundle has mistakes."},
 	{CodeBundleSignature, "bundle-signature", 403, "The bundle is not signed by a known operator."},
 	{CodeBundleConflict, "bundle-conflict", 409, "Another bundle won this version."},
--- a/consensus/commit_test.go
+++ b/consensus/commit_test.go
@@ -33,7 +33,7 @@
 	group := Group{Voters: []Voter{{Node: "a", Identity: Founder}}}
 	fs := memfs.New()
 	machine := &recorder{applied: make(chan string, 8)}
-	m, err := New("a", Founder, fs, group, unreachablePeers{}, machine, WithTiming(5*time.Millisecond, 20*time.Millisecond), WithCommitNotes())
+	m, err := New("a", Founder, fs, group, unreachablePeers{}, machine, WithTiming(5*time.Millisecond, 20*time.Millisecond), WithPersistedCommits())
 	require.NoError(t, err)
 	m.Start()
 	require.Eventually(t, m.Leads, 5*time.Second, time.Millisecond)
@@ -44,7 +44,7 @@
 
 	// With an election timeout of an hour no leader is elected.
 	restarted := &recorder{applied: make(chan string, 8)}
-	m, err = New("a", Founder, fs, group, unreachablePeers{}, restarted, WithTiming(time.Hour, time.Hour), WithCommitNotes())
+	m, err = New("a", Founder, fs, group, unreachablePeers{}, restarted, WithTiming(time.Hour, time.Hour), WithPersistedCommits())
 	require.NoError(t, err)
 	m.Start()
 	defer m.Close()
--- a/consensus/handover.go
+++ b/consensus/handover.go
@@ -41,13 +41,13 @@
 	return TimeoutNowReply{Term: term, Taken: taken}
 }
 
-// HandOver transfers leadership to a follower whose log is up to date, and
+// TransferLeadership transfers leadership to a follower whose log is up to date, and
 // reports whether this member has stopped leading. It fails if this member does
 // not lead, another transfer is in progress, no voter answers, or the transfer
 // takes longer than an election timeout. Proposals that arrive
 // meanwhile block and are then rejected with CodeNoLeader; entries appended
 // before are committed and acknowledged first.
-func (m *Member) HandOver(ctx context.Context) bool { return m.handOverTo(ctx, "") }
+func (m *Member) TransferLeadership(ctx context.Context) bool { return m.handOverTo(ctx, "") }
 
 // handOverTo transfers leadership to the preferred member, or to any if it is
 // empty.
--- a/consensus/handover_test.go
+++ b/consensus/handover_test.go
@@ -37,7 +37,7 @@
 			time.Sleep(300 * time.Millisecond)
 			old := c.awaitLeader()
 			term := old.Status().Term
-			require.True(t, old.HandOver(t.Context()))
+			require.True(t, old.TransferLeadership(t.Context()))
 			require.False(t, old.Leads())
 			require.Eventually(t, func() bool { m := c.leader(); return m != nil && m != old }, time.Second, time.Millisecond)
 			require.Equal(t, term+1, c.leader().Status().Term, "one election")
@@ -86,7 +86,7 @@
 		}
 		c.mu.Unlock()
 		time.Sleep(5 * time.Second)
-		require.True(t, old.HandOver(t.Context()))
+		require.True(t, old.TransferLeadership(t.Context()))
 		require.Equal(t, near, c.awaitLeader().node)
 	})
 }
@@ -98,7 +98,7 @@
 		c.mu.Lock()
 		c.drop = func(_, _ walnutramp.NodeName, method string) bool { return method == Service+".TimeoutNow" }
 		c.mu.Unlock()
-		require.False(t, old.HandOver(t.Context()))
+		require.False(t, old.TransferLeadership(t.Context()))
 		require.True(t, old.Leads())
 		require.Equal(t, walnutramp.CodeOK, old.Propose(t.Context(), []byte("command")).Code)
 	})
@@ -109,7 +109,7 @@
 	inCluster(t, 3, 4, time.Millisecond, func(t *testing.T, c *cluster) {
 		old := c.awaitLeader()
 		term := old.Status().Term
-		require.True(t, old.HandOver(t.Context()))
+		require.True(t, old.TransferLeadership(t.Context()))
 		next := c.awaitLeader()
 		for _, name := range c.names {
 			var reply TimeoutNowReply
--- a/consensus/placement_test.go
+++ b/consensus/placement_test.go
@@ -37,7 +37,7 @@
 		time.Sleep(3 * handOverInterval)
 		require.Equal(t, next.node, c.awaitLeader().node)
 		require.Equal(t, term+1, next.Status().Term, "no further transfer")
-		require.Equal(t, uint64(1), c.member(c.names[4]).Stats().HandedNearer)
+		require.Equal(t, uint64(1), c.member(c.names[4]).Stats().PlacementTransfers)
 		require.Zero(t, c.member(c.names[4]).Stats().Deposed)
 	})
 }
--- a/consensus/propose.go
+++ b/consensus/propose.go
@@ -179,9 +179,9 @@
 
 // FollowerStatus is a leader's view of another member.
 type FollowerStatus struct {
-	Voter  Voter
-	Silent time.Duration // time since the newest answered call was sent
-	Behind uint64        // entries not known to be replicated to it
+	Voter        Voter
+	Unresponsive time.Duration // time since the newest answered call was sent
+	Lag          uint64        // entries not known to be replicated to it
 }
 
 // Followers returns the leader's view of the other members; nil on a member
@@ -194,7 +194,7 @@
 	}
 	var all []FollowerStatus
 	for _, p := range m.followers {
-		all = append(all, FollowerStatus{Voter: p.voter, Silent: time.Since(p.lastAnswered), Behind: m.store.lastIndex() - p.match})
+		all = append(all, FollowerStatus{Voter: p.voter, Unresponsive: time.Since(p.lastAnswered), Lag: m.store.lastIndex() - p.match})
 	}
 	return all
 }
--- a/consensus/stats.go
+++ b/consensus/stats.go
@@ -2,11 +2,11 @@
 
 // Stats counts leadership events since the member's start.
 type Stats struct {
-	Elected       uint64 // elections won
-	Deposed       uint64 // leaderships lost while no transfer was in progress, also by Close or a disk failure
-	HandedOver    uint64 // completed transfers requested through HandOver
-	HandedNearer  uint64 // completed transfers to a better placed member
-	HandOverFails uint64 // transfers that failed
+	Elected            uint64 // elections won
+	Deposed            uint64 // leaderships lost while no transfer was in progress, also by Close or a disk failure
+	Transfers          uint64 // completed transfers requested through HandOver
+	PlacementTransfers uint64 // completed transfers to a better placed member
+	FailedTransfers    uint64 // transfers that failed
 }
 
 // Stats returns the member's counters.
@@ -21,10 +21,10 @@
 func (s *Stats) countHandOver(done, toBetterPlaced bool) {
 	switch {
 	case !done:
-		s.HandOverFails++
+		s.FailedTransfers++
 	case toBetterPlaced:
-		s.HandedNearer++
+		s.PlacementTransfers++
 	default:
-		s.HandedOver++
+		s.Transfers++
 	}
 }
--- a/consensus/trip.go
+++ b/consensus/trip.go
@@ -89,8 +89,8 @@
 	m.election.Store(int64(max(m.cfg.Election, min(d, maxElectionTimeout))))
 }
 
-// Trips returns the known mean round trips to the other members.
-func (m *Member) Trips() map[walnutramp.NodeName]time.Duration {
+// RoundTrips returns the known mean round trips to the other members.
+func (m *Member) RoundTrips() map[walnutramp.NodeName]time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	known := map[walnutramp.NodeName]time.Duration{}
--- a/consensus/trip_test.go
+++ b/consensus/trip_test.go
@@ -43,7 +43,7 @@
 			for _, m := range c.members {
 				require.Equal(t, testElection, m.electionTimeout())
 			}
-			for _, trip := range leader.Trips() {
+			for _, trip := range leader.RoundTrips() {
 				require.InDelta(t, 2*oneWayDelay, trip, float64(time.Millisecond))
 			}
 		})
--- a/consensus/types.go
+++ b/consensus/types.go
@@ -210,9 +210,9 @@
 // WithCallBytes sets the maximum payload bytes in one call to a follower.
 func WithCallBytes(n int) Option { return func(c *Config) { c.CallBytes = n } }
 
-// WithCommitNotes persists the commit index, so that a restarted member applies
+// WithPersistedCommits persists the commit index, so that a restarted member applies
 // committed entries before a leader is elected.
-func WithCommitNotes() Option { return func(c *Config) { c.PersistCommits = true } }
+func WithPersistedCommits() Option { return func(c *Config) { c.PersistCommits = true } }
 
 // WithUncheckedChanges disables the safety checks of group changes, for tests.
 func WithUncheckedChanges() Option { return func(c *Config) { c.UncheckedChanges = true } }
--- a/control/calls.go
+++ b/control/calls.go
@@ -48,7 +48,7 @@
 			c.switchNode(reply.Leader)
 		}
 		if !pause.For(ctx, retryDelay) {
-			return Result{}, retried, walnutramp.NewError(walnutramp.CodeLedgerAway, walnutramp.NotRun,
+			return Result{}, retried, walnutramp.NewError(walnutramp.CodeLedgerUnavailable, walnutramp.NotRun,
 				"the control group did not answer in %v", commandTimeout).WithRetryAfter(time.Second)
 		}
 	}
@@ -57,16 +57,16 @@
 // Claim implements caller.Ledger. If the call fails, the claim may still be
 // recorded. A background call then settles it as not run, since this node never sends
 // the request.
-func (c *Client) Claim(ctx context.Context, claim caller.Claim) (caller.Held, error) {
+func (c *Client) Claim(ctx context.Context, claim caller.Claim) (caller.ClaimState, error) {
 	token := rand.Uint64()
 	cmd := Command{Claim: &Claim{Account: claim.Account, Key: claim.Key, Digest: claim.Digest, Token: token}}
 	r, err := c.do(ctx, ".Do", DoArgs{Command: cmd})
 	if err != nil {
 		c.abandonClaim(claim, token)
-		return caller.Held{}, err
+		return caller.ClaimState{}, err
 	}
-	return caller.Held{
-		Mine: r.Mine, Token: r.Entry.Token, Outcome: r.Entry.Outcome, Settled: r.Entry.Settled,
+	return caller.ClaimState{
+		Granted: r.Mine, Token: r.Entry.Token, Outcome: r.Entry.Outcome, Settled: r.Entry.Settled,
 		Digest: r.Entry.Digest, Answer: r.Entry.Answer,
 	}, nil
 }
--- a/control/client.go
+++ b/control/client.go
@@ -48,14 +48,14 @@
 type Client struct {
 	peers             Peers
 	adopt             AdoptFunc
-	self              EntryPlace   // this node as an entry node; without an address if it is none
-	onEntryNodes      SeenFunc     // receives the directory of entry nodes
-	entryNodes        []EntryPlace // as last received
-	entryNodesVersion uint64       // version of entryNodes; 0 requests all of them
-	onTargets         TargetsFunc  // receives the target list
-	targetsVersion    uint64       // version of the target list; 0 requests the full list
-	dynamicMembers    bool         // members change, so timeouts are short
-	needFull          bool         // an update did not apply: request the full document
+	self              EntryNode      // this node as an entry node; without an address if it is none
+	onEntryNodes      EntryNodesFunc // receives the directory of entry nodes
+	entryNodes        []EntryNode    // as last received
+	entryNodesVersion uint64         // version of entryNodes; 0 requests all of them
+	onTargets         TargetsFunc    // receives the target list
+	targetsVersion    uint64         // version of the target list; 0 requests the full list
+	dynamicMembers    bool           // members change, so timeouts are short
+	needFull          bool           // an update did not apply: request the full document
 	contact           contactMonitor
 	agent             *rollout.Agent       // of roll-outs; nil if unused
 	clock             *groupclock.Follower // of the group's time; nil if unused
@@ -189,7 +189,7 @@
 		c.switchNode("")
 		return false
 	}
-	c.LearnGroup(reply.Group)
+	c.SetMembers(reply.Group)
 	c.observeTime(reply.Time, askedAt)
 	c.applyEntryNodes(&reply)
 	if reply.Code != walnutramp.CodeOK {
@@ -245,8 +245,8 @@
 	c.leader = node
 }
 
-// LearnGroup records the members as named by a node of the group.
-func (c *Client) LearnGroup(group []walnutramp.NodeName) {
+// SetMembers records the members as named by a node of the group.
+func (c *Client) SetMembers(group []walnutramp.NodeName) {
 	if len(group) == 0 {
 		return
 	}
--- a/control/clock.go
+++ b/control/clock.go
@@ -131,7 +131,7 @@
 func (k *Timekeeper) recordTime(member walnutramp.NodeName, unix, askedAt time.Duration) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.agreement.Heard(string(member), unix, askedAt)
+	k.agreement.AddSample(string(member), unix, askedAt)
 }
 
 // updateAgreement recomputes the group's time and reports whether the members'
@@ -141,9 +141,9 @@
 	defer k.mu.Unlock()
 	before := k.latest
 	k.latest = k.agreement.Result(memberCount)
-	k.follower.Agreed(k.latest)
+	k.follower.SetResult(k.latest)
 	if k.latest.Agreed != before.Agreed {
-		klog.InfoS("Members' times of day", "agreed", k.latest.Agreed, "heard", k.latest.Heard, "of", memberCount,
+		klog.InfoS("Members' times of day", "agreed", k.latest.Agreed, "heard", k.latest.Samples, "of", memberCount,
 			"spread_ms", k.latest.Spread.Milliseconds(), "within_us", k.latest.Within.Microseconds())
 	}
 	return k.latest.Agreed
@@ -180,7 +180,7 @@
 		return
 	}
 	_, _, known := f.Now()
-	f.Heard(*stamp, f.Steady()-uptime.Since(askedAt))
+	f.AddSample(*stamp, f.Steady()-uptime.Since(askedAt))
 	if !known {
 		_, within, _ := f.Now()
 		klog.InfoS("Synchronized with the group's time", "within_us", within.Microseconds())
--- a/control/directory.go
+++ b/control/directory.go
@@ -11,16 +11,16 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// EntryPlace is an entry node and its location.
-type EntryPlace struct {
+// EntryNode is an entry node and its location.
+type EntryNode struct {
 	Address  string // for calls by other entry nodes
 	DataHall string // empty if unknown
 	Disk     bool   // its files survive a power loss
 }
 
-func entryAddress(e EntryPlace) string { return e.Address }
+func entryAddress(e EntryNode) string { return e.Address }
 
-func compareAddresses(a, b EntryPlace) int { return cmp.Compare(a.Address, b.Address) }
+func compareAddresses(a, b EntryNode) int { return cmp.Compare(a.Address, b.Address) }
 
 // DirectoryReply lists the entry nodes, or the changes since the version that the
 // requester holds.
@@ -40,7 +40,7 @@
 }
 
 // groupByHall groups entry nodes by data hall.
-func groupByHall(nodes []EntryPlace) []HallEntries {
+func groupByHall(nodes []EntryNode) []HallEntries {
 	var groups []HallEntries
 	index := map[string]int{}
 	for _, e := range nodes {
@@ -60,14 +60,14 @@
 }
 
 // joinedNodes returns the entry nodes in Joined.
-func (r *DirectoryReply) joinedNodes() []EntryPlace {
-	var nodes []EntryPlace
+func (r *DirectoryReply) joinedNodes() []EntryNode {
+	var nodes []EntryNode
 	for _, h := range r.Joined {
 		for _, a := range h.Addresses {
-			nodes = append(nodes, EntryPlace{Address: a, DataHall: h.DataHall})
+			nodes = append(nodes, EntryNode{Address: a, DataHall: h.DataHall})
 		}
 		for _, a := range h.Disks {
-			nodes = append(nodes, EntryPlace{Address: a, DataHall: h.DataHall, Disk: true})
+			nodes = append(nodes, EntryNode{Address: a, DataHall: h.DataHall, Disk: true})
 		}
 	}
 	return nodes
@@ -75,7 +75,7 @@
 
 // apply applies the reply to the entry nodes held at a version; the result is not
 // sorted. It returns false if the changes apply to another version.
-func (r *DirectoryReply) apply(version uint64, nodes []EntryPlace) ([]EntryPlace, bool) {
+func (r *DirectoryReply) apply(version uint64, nodes []EntryNode) ([]EntryNode, bool) {
 	if r.From == 0 {
 		return r.joinedNodes(), true
 	}
@@ -88,13 +88,13 @@
 // directoryVersion is one immutable version of the directory, sorted by address.
 type directoryVersion struct {
 	version uint64 // hash of the entries
-	entries []EntryPlace
+	entries []EntryNode
 	// changes caches the replies by the version that the requester holds; 0 is the full
 	// list.
 	changes map[uint64]*DirectoryReply
 }
 
-func newDirectoryVersion(nodes []EntryPlace) directoryVersion {
+func newDirectoryVersion(nodes []EntryNode) directoryVersion {
 	hash := xxhash.New()
 	for _, e := range nodes {
 		fmt.Fprintln(hash, e.Address, e.DataHall, e.Disk)
@@ -165,13 +165,13 @@
 }
 
 type registeredNode struct {
-	EntryPlace
+	EntryNode
 	lastSeen time.Time
 }
 
 // register records a request by an entry node; one without an address is ignored. A
 // data hall and disk reported earlier are kept if the data hall is now unknown.
-func (e *entryRegistry) register(node EntryPlace) {
+func (e *entryRegistry) register(node EntryNode) {
 	if node.Address == "" {
 		return
 	}
@@ -182,10 +182,10 @@
 	}
 	previous, registered := e.nodes[node.Address]
 	if registered && node.DataHall == "" {
-		node = previous.EntryPlace
+		node = previous.EntryNode
 	}
-	e.changed = e.changed || !registered || previous.EntryPlace != node
-	e.nodes[node.Address] = registeredNode{EntryPlace: node, lastSeen: time.Now()}
+	e.changed = e.changed || !registered || previous.EntryNode != node
+	e.nodes[node.Address] = registeredNode{EntryNode: node, lastSeen: time.Now()}
 }
 
 // current returns the directory, brought up to date. The caller holds the mutex.
@@ -196,9 +196,9 @@
 	}
 	if e.changed {
 		e.changed = false
-		live := make([]EntryPlace, 0, len(e.nodes))
+		live := make([]EntryNode, 0, len(e.nodes))
 		for _, node := range e.nodes {
-			live = append(live, node.EntryPlace)
+			live = append(live, node.EntryNode)
 		}
 		slices.SortFunc(live, compareAddresses)
 		e.directory.add(newDirectoryVersion(live))
@@ -228,7 +228,7 @@
 	return addressesOf(e.current().newest().entries)
 }
 
-func addressesOf(nodes []EntryPlace) []string {
+func addressesOf(nodes []EntryNode) []string {
 	addresses := make([]string, len(nodes))
 	for i, e := range nodes {
 		addresses[i] = e.Address
@@ -240,7 +240,7 @@
 func (e *entryRegistry) diskAddresses() []string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	withDisk := slices.DeleteFunc(slices.Clone(e.current().newest().entries), func(p EntryPlace) bool { return !p.Disk })
+	withDisk := slices.DeleteFunc(slices.Clone(e.current().newest().entries), func(p EntryNode) bool { return !p.Disk })
 	return addressesOf(withDisk)
 }
 
--- a/control/disk.go
+++ b/control/disk.go
@@ -13,19 +13,19 @@
 
 const identityFile = "identity"
 
-// FoundIdentity marks an empty data directory as that of a founding member; it fails if
+// WriteFounderIdentity marks an empty data directory as that of a founding member; it fails if
 // the directory has an identity. It is called once, when a site is set up. A directory
 // that was emptied later must not be marked again, since the member's votes are lost.
-func FoundIdentity(fs wal.FS) error {
+func WriteFounderIdentity(fs wal.FS) error {
 	if _, err := fs.ReadFile(identityFile); err == nil {
 		return errors.New("data directory is already in use")
 	}
 	return writeIdentity(fs, consensus.Founder)
 }
 
-// ReadIdentity returns the identity stored in a data directory. An empty directory
+// LoadOrCreateIdentity returns the identity stored in a data directory. An empty directory
 // gets a new identity, which no group knows.
-func ReadIdentity(fs wal.FS) (consensus.Identity, error) {
+func LoadOrCreateIdentity(fs wal.FS) (consensus.Identity, error) {
 	b, err := fs.ReadFile(identityFile)
 	if err == nil && len(b) > 0 {
 		return consensus.Identity(b), nil
--- a/control/duty_calls.go
+++ b/control/duty_calls.go
@@ -75,7 +75,7 @@
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.gate.Pause(uptime.Now()) == 0
+	return h.gate.BackoffLeft(uptime.Now()) == 0
 }
 
 // permissionFor returns the permission for a call. It takes a new grant if the
@@ -126,7 +126,7 @@
 func (h *DutyHolder) recordOutcome(c duty.Call, p duty.Permission, o duty.Outcome, sent time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.gate.Note(c, p, o, sent, uptime.Now())
+	h.gate.RecordOutcome(c, p, o, sent, uptime.Now())
 }
 
 // resolveConflict tells whether a Conflict was Fenced or Rejected. If a majority
--- a/control/duty_holder.go
+++ b/control/duty_holder.go
@@ -43,7 +43,7 @@
 
 // leaderTransfer transfers leadership to another member.
 type leaderTransfer interface {
-	HandOver(ctx context.Context) bool
+	TransferLeadership(ctx context.Context) bool
 }
 
 // memberGroup implements dutyGroup with the member in this process.
--- a/control/duty_holder_test.go
+++ b/control/duty_holder_test.go
@@ -69,9 +69,9 @@
 	return g.record
 }
 
-// HandOver implements leaderTransfer. The group goes on reporting that this
+// TransferLeadership implements leaderTransfer. The group goes on reporting that this
 // member leads.
-func (g *fakeGroup) HandOver(context.Context) bool {
+func (g *fakeGroup) TransferLeadership(context.Context) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.transfers = append(g.transfers, time.Now())
--- a/control/duty_release.go
+++ b/control/duty_release.go
@@ -41,7 +41,7 @@
 	h.release(ctx, false)
 	h.logState()
 	if h.transfer != nil {
-		h.transfer.HandOver(ctx)
+		h.transfer.TransferLeadership(ctx)
 	}
 }
 
@@ -98,7 +98,7 @@
 	for range h.lease.Record().Unreachable {
 		transferDelay = min(2*transferDelay, maxTransferDelay)
 	}
-	return transferDelay, h.gate.Silent(uptime.Now())
+	return transferDelay, h.gate.Unresponsive(uptime.Now())
 }
 
 // transferLeadership releases the duty and transfers leadership, since this
@@ -109,7 +109,7 @@
 	h.release(ctx, true)
 	ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
 	defer cancel()
-	ok := h.transfer.HandOver(ctx)
+	ok := h.transfer.TransferLeadership(ctx)
 	klog.InfoS("Platform unresponsive, transferring leadership", "silent_ms", unresponsive.Milliseconds(), "handedOver", ok)
 }
 
--- a/control/feed.go
+++ b/control/feed.go
@@ -7,10 +7,10 @@
 
 // TargetsFunc receives the leader's target list or a change of it. It returns false
 // if a change does not apply; the full list is requested then.
-type TargetsFunc func(discovery.Feed) bool
+type TargetsFunc func(discovery.FeedUpdate) bool
 
-// FeedTargets sets the receiver of the target list. It must be called before Start.
-func (c *Client) FeedTargets(onTargets TargetsFunc) { c.onTargets = onTargets }
+// OnTargets sets the receiver of the target list. It must be called before Start.
+func (c *Client) OnTargets(onTargets TargetsFunc) { c.onTargets = onTargets }
 
 // applyTargets passes the target list of a reply to the receiver.
 func (c *Client) applyTargets(r TargetListReply) {
@@ -28,13 +28,15 @@
 	c.targetsVersion = r.Version
 }
 
-// SeenFunc receives the entry nodes of the site. If same is true, they have not
+// EntryNodesFunc receives the entry nodes of the site. If same is true, they have not
 // changed and entries is nil. It must not modify entries.
-type SeenFunc func(entries []EntryPlace, same bool)
+type EntryNodesFunc func(entries []EntryNode, same bool)
 
-// AsEntry registers this node as an entry node and sets the receiver of the
+// RegisterEntryNode registers this node as an entry node and sets the receiver of the
 // directory. It must be called before Start.
-func (c *Client) AsEntry(self EntryPlace, f SeenFunc) { c.self, c.onEntryNodes = self, f }
+func (c *Client) RegisterEntryNode(self EntryNode, f EntryNodesFunc) {
+	c.self, c.onEntryNodes = self, f
+}
 
 // applyEntryNodes passes the entry nodes of a reply to the receiver.
 func (c *Client) applyEntryNodes(r *NewestReply) {
--- a/control/fetch_test.go
+++ b/control/fetch_test.go
@@ -138,7 +138,7 @@
 
 // An update can be read to its end after newer versions were accepted.
 func TestUpdateRemainsReadableAfterNewerVersions(t *testing.T) {
-	s := NewOpenServer(nil, NewState(WithRule(AcceptHighest)), nil, NewRoster())
+	s := NewUnsignedServer(nil, NewState(WithRule(AcceptHighest)), nil, NewTargetList())
 	accept(s.state, 1)
 	submitRandom(s.state, 2)
 	var first NewestReply
@@ -168,7 +168,7 @@
 func TestChunksAreRateLimited(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const link = 12.5e6 // bytes per second
-		s := NewOpenServer(nil, NewState(WithRule(AcceptHighest)), nil, NewRoster(), WithLink(link))
+		s := NewUnsignedServer(nil, NewState(WithRule(AcceptHighest)), nil, NewTargetList(), WithLink(link))
 		submitRandom(s.state, 1)
 		var first NewestReply
 		s.fill(NewestArgs{}, &first)
--- a/control/fleet_controller.go
+++ b/control/fleet_controller.go
@@ -35,7 +35,7 @@
 	member   *consensus.Member
 	server   *Server
 	state    *State
-	roster   *Roster
+	roster   *TargetList
 	caller   duty.Caller
 	scaler   fleet.Scaler
 	services FleetServices
@@ -43,7 +43,7 @@
 	// Used only by Run.
 	version      uint64 // of the document that was last read
 	scalable     map[string]fleet.Service
-	movers       map[string]*fleet.Mover // by service
+	movers       map[string]*fleet.Reconciler // by service
 	forecasts    map[string]*fleet.Forecast
 	calls        sync.WaitGroup
 	baseRaisedAt map[string]time.Time  // by service, when the base last grew
@@ -51,7 +51,7 @@
 	loggedAt     map[string]time.Time  // by service
 
 	mu        sync.Mutex
-	tally     *fleet.Tally
+	tally     *fleet.Aggregator
 	completed []completedCall
 	inFlight  map[string]map[string]bool // data halls with a call in flight, by service
 
@@ -87,21 +87,21 @@
 	}
 }
 
-// Take adds the demand that a node reports; incarnation identifies the node's
+// RecordDemand adds the demand that a node reports; incarnation identifies the node's
 // process.
-func (c *FleetController) Take(node string, incarnation uint64, rows []fleet.Demand) {
+func (c *FleetController) RecordDemand(node string, incarnation uint64, rows []fleet.Demand) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.tally.Take(node, incarnation, rows)
+	c.tally.Merge(node, incarnation, rows)
 }
 
 // reset drops the state that this member collected as the leader.
 func (c *FleetController) reset() {
-	c.movers, c.forecasts, c.baseRaisedAt = map[string]*fleet.Mover{}, map[string]*fleet.Forecast{}, map[string]time.Time{}
+	c.movers, c.forecasts, c.baseRaisedAt = map[string]*fleet.Reconciler{}, map[string]*fleet.Forecast{}, map[string]time.Time{}
 	c.plans, c.loggedAt = map[string]cachedPlan{}, map[string]time.Time{}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.tally = fleet.NewTally()
+	c.tally = fleet.NewAggregator()
 	c.completed, c.inFlight, c.stats = nil, map[string]map[string]bool{}, map[string]*fleetStats{}
 }
 
@@ -130,7 +130,7 @@
 	record, _ := c.state.fleetRecord(service)
 	// Once there are requests, the list may show crashed targets beside their
 	// replacements.
-	mayRecordBase := len(record.Base) == 0 || record.Untouched() && !c.hasRequests(service)
+	mayRecordBase := len(record.Base) == 0 || record.NoOnDemandOrders() && !c.hasRequests(service)
 	if mayRecordBase && !c.recordBase(ctx, service, &record, serving) {
 		return
 	}
@@ -198,7 +198,7 @@
 	service string
 	load    *fleet.Load
 	plan    fleet.Plan
-	view    fleet.View
+	view    fleet.ReconcileInput
 	stuck   fleet.Counts
 	steps   []fleet.Step
 }
@@ -209,19 +209,19 @@
 	mover := c.mover(service)
 	scalable := c.scalable[service]
 	c.applyCompleted(mover, service, scalable.Scaling.Boot)
-	view := fleet.View{
-		Scaling: scalable.Scaling, Ordered: record.Ordered(), Given: record.Given(), Serving: serving, Leaving: leaving,
-		Busy:    c.inFlightHalls(service),
-		Idle:    load == nil && !c.hasRequests(service),
-		Filling: time.Since(c.baseRaisedAt[service]) < settleTime,
+	view := fleet.ReconcileInput{
+		Scaling: scalable.Scaling, Ordered: record.Ordered(), Explicit: record.OrderCounts(), Serving: serving, Draining: leaving,
+		Busy:           c.inFlightHalls(service),
+		Idle:           load == nil && !c.hasRequests(service),
+		ListIncomplete: time.Since(c.baseRaisedAt[service]) < settleTime,
 	}
-	for _, p := range mover.Look(now, &view) {
+	for _, p := range mover.Observe(now, &view) {
 		klog.InfoS("Spot targets are being reclaimed", "service", service, "dataHall", p.DataHall, "leaving", leaving[p], "serving", serving[p])
 	}
-	stuck := mover.Stuck(now, serving)
-	situation := fleet.Situation{
+	stuck := mover.Exhausted(now, serving)
+	situation := fleet.PlanInput{
 		Scaling: scalable.Scaling, Engine: scalable.Engine, Risks: fleet.AssumedRisks(),
-		Base: record.BaseCounts(), Load: load, Stuck: stuck,
+		Base: record.BaseCounts(), Load: load, Exhausted: stuck,
 	}
 	plan := c.plan(service, situation)
 	c.logState(service, &view, load)
@@ -232,13 +232,13 @@
 
 // cachedPlan is a plan with its input.
 type cachedPlan struct {
-	situation fleet.Situation
+	situation fleet.PlanInput
 	plan      fleet.Plan
 }
 
 // plan returns the plan for a situation. Plans are cached, since computing one
 // takes some milliseconds and situations rarely change.
-func (c *FleetController) plan(service string, s fleet.Situation) fleet.Plan {
+func (c *FleetController) plan(service string, s fleet.PlanInput) fleet.Plan {
 	last, known := c.plans[service]
 	if !known || !reflect.DeepEqual(last.situation, s) {
 		last = cachedPlan{situation: s, plan: s.Plan()}
@@ -247,9 +247,9 @@
 	return last.plan
 }
 
-func (c *FleetController) mover(service string) *fleet.Mover {
+func (c *FleetController) mover(service string) *fleet.Reconciler {
 	if c.movers[service] == nil {
-		c.movers[service] = fleet.NewMover(service)
+		c.movers[service] = fleet.NewReconciler(service)
 	}
 	return c.movers[service]
 }
@@ -269,14 +269,14 @@
 }
 
 // applyCompleted passes the outcomes of a service's completed calls to its mover.
-func (c *FleetController) applyCompleted(mover *fleet.Mover, service string, boot time.Duration) {
+func (c *FleetController) applyCompleted(mover *fleet.Reconciler, service string, boot time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.completed = slices.DeleteFunc(c.completed, func(e completedCall) bool {
 		if e.step.Order.Service != service {
 			return false
 		}
-		mover.Sent(e.startedAt, e.step, e.outcome, boot)
+		mover.RecordOutcome(e.startedAt, e.step, e.outcome, boot)
 		c.statsOf(service).countOutcome(e.outcome)
 		delete(c.inFlight[service], e.step.Order.DataHall)
 		return true
@@ -341,16 +341,16 @@
 // log logs a decision with its inputs and the best alternative.
 func (d *decision) log() {
 	klog.InfoS("Scaling fleet", "service", d.service, "method", d.plan.Method, "load", d.load, "wanted", d.plan.Wanted,
-		"ordered", d.view.Ordered, "serving", d.view.Serving, "leaving", d.view.Leaving, "stuck", d.stuck,
+		"ordered", d.view.Ordered, "serving", d.view.Serving, "leaving", d.view.Draining, "stuck", d.stuck,
 		"costPerSecond", d.view.Scaling.Cost(d.plan.Wanted), "expectedCost", d.plan.Cost,
 		"other", d.plan.Other, "otherWanted", d.plan.OtherWanted, "otherCost", d.plan.OtherCost, "idle", d.view.Idle)
 }
 
 // logState logs the observed and ordered targets at intervals.
-func (c *FleetController) logState(service string, view *fleet.View, load *fleet.Load) {
+func (c *FleetController) logState(service string, view *fleet.ReconcileInput, load *fleet.Load) {
 	if time.Since(c.loggedAt[service]) < fleetLogInterval {
 		return
 	}
 	c.loggedAt[service] = time.Now()
-	klog.InfoS("Fleet state", "service", service, "ordered", view.Ordered, "serving", view.Serving, "leaving", view.Leaving, "load", load)
+	klog.InfoS("Fleet state", "service", service, "ordered", view.Ordered, "serving", view.Serving, "leaving", view.Draining, "load", load)
 }
--- a/control/fleet_controller_test.go
+++ b/control/fleet_controller_test.go
@@ -171,7 +171,7 @@
 		platform := newScaledPlatform()
 		for _, m := range site.members {
 			site.spawn(control.NewFleetController(m.raft, m.rpcServer, leaderCaller{m.raft}, platform, scalable).Run)
-			site.spawn(discovery.NewPoller(platform, discovery.TakerFunc(m.targets.Set), discovery.WithOnly(m.raft.Leads)).Run)
+			site.spawn(discovery.NewPoller(platform, discovery.ListHandlerFunc(m.targets.Set), discovery.WithCondition(m.raft.Leads)).Run)
 		}
 		site.offer(1, routesDocument(1, 1))
 		f(t, site, platform)
--- a/control/fleet_metrics.go
+++ b/control/fleet_metrics.go
@@ -10,7 +10,7 @@
 
 // fleetStats are the metrics of a service's latest reconciliation.
 type fleetStats struct {
-	view     fleet.View
+	view     fleet.ReconcileInput
 	method   fleet.Method
 	load     *fleet.Load // forecast
 	recent   fleet.Load  // observed over the last seconds
@@ -34,11 +34,11 @@
 	writeCounts(w, "walnutramp_fleet_wanted", service, f.view.Wanted)
 	writeCounts(w, "walnutramp_fleet_ordered", service, f.view.Ordered)
 	writeCounts(w, "walnutramp_fleet_serving", service, f.view.Serving)
-	writeCounts(w, "walnutramp_fleet_leaving", service, f.view.Leaving)
+	writeCounts(w, "walnutramp_fleet_leaving", service, f.view.Draining)
 	for _, p := range f.view.Ordered.Places() {
 		missing := max(0, f.view.Ordered[p]-f.view.Serving[p])
 		fmt.Fprintf(w, "walnutramp_fleet_missing{%s,data_hall=%q,kind=%q} %d\n", label, p.DataHall, p.Kind, missing)
-		cost := f.view.Scaling.Cost(fleet.Counts{p: f.view.Serving[p] + f.view.Leaving[p]})
+		cost := f.view.Scaling.Cost(fleet.Counts{p: f.view.Serving[p] + f.view.Draining[p]})
 		fmt.Fprintf(w, "walnutramp_fleet_cost_per_second{%s,data_hall=%q,kind=%q} %g\n", label, p.DataHall, p.Kind, cost)
 	}
 	fmt.Fprintf(w, "walnutramp_fleet_method{%s,method=%q} 1\n", label, f.method)
@@ -75,7 +75,7 @@
 	}
 }
 
-func (c *FleetController) recordStats(service string, view *fleet.View, method fleet.Method, load *fleet.Load) {
+func (c *FleetController) recordStats(service string, view *fleet.ReconcileInput, method fleet.Method, load *fleet.Load) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	f := c.statsOf(service)
--- a/control/fleet_orders_test.go
+++ b/control/fleet_orders_test.go
@@ -21,7 +21,7 @@
 	r, known := restored.fleetRecord("engines")
 	require.True(t, known)
 	require.Equal(t, fleet.Counts{{DataHall: "north"}: 4, {DataHall: "south"}: 6, {DataHall: "north", Kind: fleet.Spot}: 5}, r.Ordered())
-	require.Equal(t, fleet.Counts{{DataHall: "north", Kind: fleet.Spot}: 5}, r.Given())
+	require.Equal(t, fleet.Counts{{DataHall: "north", Kind: fleet.Spot}: 5}, r.OrderCounts())
 	require.Equal(t, &fleet.Load{Requests: 3}, r.Load)
-	require.True(t, r.Untouched())
+	require.True(t, r.NoOnDemandOrders())
 }
--- a/control/fleet_test.go
+++ b/control/fleet_test.go
@@ -43,7 +43,7 @@
 	disk    *memfs.FS
 	peers   *peer.Client
 	raft    *consensus.Member
-	targets *control.Roster
+	targets *control.TargetList
 	server  *peer.Server
 	client  *control.Client // for operator calls
 	traffic *peer.Traffic
@@ -100,7 +100,7 @@
 		defer site.close()
 		for i := range members {
 			disk := memfs.New()
-			require.NoError(t, control.FoundIdentity(disk))
+			require.NoError(t, control.WriteFounderIdentity(disk))
 			site.startMember(memberName(i), disk)
 		}
 		site.awaitLeader()
@@ -139,7 +139,7 @@
 // startMember starts a member as the program does, on an empty or existing disk.
 func (site *testSite) startMember(name walnutramp.NodeName, disk *memfs.FS) *testMember {
 	self, peers, traffic := site.peersOf(string(name))
-	identity, err := control.ReadIdentity(disk)
+	identity, err := control.LoadOrCreateIdentity(disk)
 	require.NoError(site.t, err)
 	var founding consensus.Group
 	if identity == consensus.Founder {
@@ -149,9 +149,9 @@
 	raft, err := consensus.New(name, identity, disk, founding, peers, state,
 		consensus.WithTiming(heartbeat, election), consensus.WithSeed(uint64(len(site.members)+1)), consensus.WithCompaction(compactFrom))
 	require.NoError(site.t, err)
-	keeper := control.NewKeeper(name, raft)
-	m := &testMember{name: name, disk: disk, peers: peers, raft: raft, targets: control.NewRoster(), server: peer.NewServer(self, traffic), traffic: traffic}
-	answers := control.NewOpenServer(raft, state, keeper, m.targets, control.WithLink(memberLink))
+	keeper := control.NewMembershipManager(name, raft)
+	m := &testMember{name: name, disk: disk, peers: peers, raft: raft, targets: control.NewTargetList(), server: peer.NewServer(self, traffic), traffic: traffic}
+	answers := control.NewUnsignedServer(raft, state, keeper, m.targets, control.WithLink(memberLink))
 	m.rpcServer = answers
 	hall := hallOf(len(site.members))
 	relay := control.NewRelay(peers, name, hall, raft, answers)
@@ -197,8 +197,8 @@
 	})
 	e.agent = rollout.NewAgent(uint64(i))
 	e.client.WithRollouts(e.agent)
-	e.client.AsEntry(control.EntryPlace{Address: host, DataHall: hallOf(i)}, func([]control.EntryPlace, bool) {})
-	e.client.FeedTargets(func(f discovery.Feed) bool {
+	e.client.RegisterEntryNode(control.EntryNode{Address: host, DataHall: hallOf(i)}, func([]control.EntryNode, bool) {})
+	e.client.OnTargets(func(f discovery.FeedUpdate) bool {
 		e.mu.Lock()
 		defer e.mu.Unlock()
 		if f.List != nil {
--- a/control/group_site_test.go
+++ b/control/group_site_test.go
@@ -64,7 +64,7 @@
 		name := walnutramp.NodeName(fmt.Sprintf("c%d", i+1))
 		g.names = append(g.names, name)
 		g.members[name] = &member{disk: memfs.New()}
-		require.NoError(t, control.FoundIdentity(g.members[name].disk))
+		require.NoError(t, control.WriteFounderIdentity(g.members[name].disk))
 	}
 	for _, name := range g.names {
 		require.NoError(t, g.start(name))
@@ -74,7 +74,7 @@
 
 func (g *group) start(name walnutramp.NodeName) error {
 	m := g.members[name]
-	identity, err := control.ReadIdentity(m.disk)
+	identity, err := control.LoadOrCreateIdentity(m.disk)
 	if err != nil {
 		return err
 	}
--- a/control/group_test.go
+++ b/control/group_test.go
@@ -238,7 +238,7 @@
 		a := g.names[g.random(len(g.names))]
 		g.crash(a)
 		g.members[a].disk.Wipe()
-		require.NoError(g.t, control.FoundIdentity(g.members[a].disk))
+		require.NoError(g.t, control.WriteFounderIdentity(g.members[a].disk))
 		require.NoError(g.t, g.start(a))
 	}
 	detected := 0
@@ -402,7 +402,7 @@
 		g.crash("c1")
 		g.members["c1"].disk.Wipe()
 		require.NoError(t, g.start("c1"))
-		identity, err := control.ReadIdentity(g.members["c1"].disk)
+		identity, err := control.LoadOrCreateIdentity(g.members["c1"].disk)
 		require.NoError(t, err)
 		learner := consensus.Voter{Node: "c1", Identity: identity, Learner: true}
 		g.change(func(vs []consensus.Voter) []consensus.Voter {
--- a/control/guide.go
+++ b/control/guide.go
@@ -4,67 +4,67 @@
 	"github.com/walnutramp/walnutramp"
 )
 
-// Guide redirects requests to the members of the control group. It runs in
+// Redirector redirects requests to the members of the control group. It runs in
 // processes that serve operators but have no disk and so are not members; they may
 // be seeds.
-type Guide struct {
+type Redirector struct {
 	client *Client
 }
 
-// NewGuide returns a guide that knows the group through a client.
-func NewGuide(c *Client) *Guide { return &Guide{client: c} }
+// NewRedirector returns a guide that knows the group through a client.
+func NewRedirector(c *Client) *Redirector { return &Redirector{client: c} }
 
 // Newest implements the RPC that renews a node's lease.
-func (g *Guide) Newest(_ NewestArgs, reply *NewestReply) error {
+func (g *Redirector) Newest(_ NewestArgs, reply *NewestReply) error {
 	reply.Group = g.redirect(&reply.Code, &reply.Leader)
 	return nil
 }
 
 // Join implements the RPC by which a node asks to become a member.
-func (g *Guide) Join(_ JoinArgs, reply *JoinReply) error {
+func (g *Redirector) Join(_ JoinArgs, reply *JoinReply) error {
 	reply.Group = g.redirect(&reply.Code, &reply.Leader)
 	return nil
 }
 
 // Do implements the RPC that proposes a command.
-func (g *Guide) Do(_ DoArgs, reply *DoReply) error {
+func (g *Redirector) Do(_ DoArgs, reply *DoReply) error {
 	g.redirect(&reply.Code, &reply.Leader)
 	return nil
 }
 
 // Offer implements the RPC that submits an unsigned document.
-func (g *Guide) Offer(_ OfferArgs, reply *DoReply) error {
+func (g *Redirector) Offer(_ OfferArgs, reply *DoReply) error {
 	g.redirect(&reply.Code, &reply.Leader)
 	return nil
 }
 
 // Order implements the RPC that orders a roll-out.
-func (g *Guide) Order(_ OrderArgs, reply *DoReply) error {
+func (g *Redirector) Order(_ OrderArgs, reply *DoReply) error {
 	g.redirect(&reply.Code, &reply.Leader)
 	return nil
 }
 
 // Rollout implements the RPC that returns the newest roll-out of a service.
-func (g *Guide) Rollout(_ RolloutArgs, reply *RolloutReply) error {
+func (g *Redirector) Rollout(_ RolloutArgs, reply *RolloutReply) error {
 	g.redirect(&reply.Code, &reply.Leader)
 	return nil
 }
 
 // Report implements the RPC by which nodes report observations of targets.
-func (g *Guide) Report(_ ReportArgs, reply *ReportReply) error {
+func (g *Redirector) Report(_ ReportArgs, reply *ReportReply) error {
 	g.redirect(&reply.Code, &reply.Leader)
 	return nil
 }
 
 // Tell implements the RPC by which nodes report usage and demand.
-func (g *Guide) Tell(_ TellArgs, reply *TellReply) error {
+func (g *Redirector) Tell(_ TellArgs, reply *TellReply) error {
 	g.redirect(&reply.Code, &reply.Leader)
 	return nil
 }
 
 // redirect fills a reply with CodeNoLeader and the node to ask instead: the leader or a
 // relay as last known, empty if unknown. It returns the members as last received.
-func (g *Guide) redirect(code *walnutramp.Code, leader *walnutramp.NodeName) []walnutramp.NodeName {
+func (g *Redirector) redirect(code *walnutramp.Code, leader *walnutramp.NodeName) []walnutramp.NodeName {
 	*code = walnutramp.CodeNoLeader
 	var group []walnutramp.NodeName
 	*leader, group = g.client.leaderAndMembers()
--- a/control/introducer.go
+++ b/control/introducer.go
@@ -17,18 +17,18 @@
 	introduceTimeout  = 300 * time.Millisecond
 )
 
-// Introducer sends the list of members to the seeds that are not members. Starting
+// SeedNotifier sends the list of members to the seeds that are not members. Starting
 // nodes know only the seeds, and after a full restart such a seed could not
 // redirect them.
-type Introducer struct {
+type SeedNotifier struct {
 	peers  Peers
 	member *consensus.Member
 	client *Client
 }
 
-// NewIntroducer returns an introducer for a member. The client provides the seeds.
-func NewIntroducer(peers Peers, m *consensus.Member, c *Client) *Introducer {
-	return &Introducer{peers: peers, member: m, client: c}
+// NewSeedNotifier returns an introducer for a member. The client provides the seeds.
+func NewSeedNotifier(peers Peers, m *consensus.Member, c *Client) *SeedNotifier {
+	return &SeedNotifier{peers: peers, member: m, client: c}
 }
 
 // IntroduceArgs lists the members.
@@ -40,7 +40,7 @@
 type IntroduceReply struct{}
 
 // Run sends the list of members until ctx ends.
-func (i *Introducer) Run(ctx context.Context) {
+func (i *SeedNotifier) Run(ctx context.Context) {
 	for pause.For(ctx, introduceInterval) {
 		group := i.member.Status().Group.Nodes()
 		if len(group) == 0 {
@@ -54,7 +54,7 @@
 	}
 }
 
-func (i *Introducer) introduce(ctx context.Context, seed walnutramp.NodeName, group []walnutramp.NodeName) {
+func (i *SeedNotifier) introduce(ctx context.Context, seed walnutramp.NodeName, group []walnutramp.NodeName) {
 	ctx, cancel := context.WithTimeout(ctx, introduceTimeout)
 	defer cancel()
 	if err := i.peers.Call(ctx, seed, Service+".Introduce", IntroduceArgs{Group: group}, &IntroduceReply{}); err != nil {
@@ -70,8 +70,8 @@
 }
 
 // Introduce implements the RPC by which a member sends the list of members.
-func (g *Guide) Introduce(args IntroduceArgs, _ *IntroduceReply) error {
-	g.client.LearnGroup(args.Group)
+func (g *Redirector) Introduce(args IntroduceArgs, _ *IntroduceReply) error {
+	g.client.SetMembers(args.Group)
 	return nil
 }
 
--- a/control/keeper.go
+++ b/control/keeper.go
@@ -26,13 +26,13 @@
 	sufficientVoters   = 3                       // no voter is removed without a replacement at or below this number
 )
 
-// Keeper manages the group's membership on the leader, one change at a time. No
+// MembershipManager manages the group's membership on the leader, one change at a time. No
 // change needs the vote of a failed member. A joining node is added as a learner
 // and becomes a voter once it has caught up. If a voter is silent by then, it is
 // removed first, so that the group does not accumulate failed members. A failed
 // voter above sufficientVoters is removed without a replacement. A member that was
 // only partitioned joins again as a learner.
-type Keeper struct {
+type MembershipManager struct {
 	member *consensus.Member
 	node   walnutramp.NodeName
 
@@ -45,20 +45,20 @@
 	requestedAt time.Time
 }
 
-// NewKeeper returns a keeper for a member.
-func NewKeeper(node walnutramp.NodeName, m *consensus.Member) *Keeper {
-	return &Keeper{member: m, node: node, joinRequests: map[walnutramp.NodeName]joinRequest{}}
+// NewMembershipManager returns a keeper for a member.
+func NewMembershipManager(node walnutramp.NodeName, m *consensus.Member) *MembershipManager {
+	return &MembershipManager{member: m, node: node, joinRequests: map[walnutramp.NodeName]joinRequest{}}
 }
 
 // requestJoin records a node's request to join.
-func (k *Keeper) requestJoin(args JoinArgs) {
+func (k *MembershipManager) requestJoin(args JoinArgs) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.joinRequests[args.Node] = joinRequest{identity: args.Identity, requestedAt: time.Now()}
 }
 
 // Run changes the membership while this member leads, until ctx ends.
-func (k *Keeper) Run(ctx context.Context) {
+func (k *MembershipManager) Run(ctx context.Context) {
 	for pause.For(ctx, membershipInterval) {
 		if !k.member.Leads() {
 			continue
@@ -77,7 +77,7 @@
 
 // step returns the next membership and the reason for the change, which is empty if
 // there is none to make now.
-func (k *Keeper) step(g consensus.Group, followers []consensus.FollowerStatus) (consensus.Group, string) {
+func (k *MembershipManager) step(g consensus.Group, followers []consensus.FollowerStatus) (consensus.Group, string) {
 	for node, request := range k.pendingJoins() {
 		known, ok := g.Find(node)
 		switch {
@@ -107,7 +107,7 @@
 }
 
 // pendingJoins returns the join requests that have not expired.
-func (k *Keeper) pendingJoins() map[walnutramp.NodeName]joinRequest {
+func (k *MembershipManager) pendingJoins() map[walnutramp.NodeName]joinRequest {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	pending := map[walnutramp.NodeName]joinRequest{}
@@ -124,7 +124,7 @@
 // caughtUp returns a responsive learner that holds the whole log.
 func caughtUp(followers []consensus.FollowerStatus) (consensus.Voter, bool) {
 	for _, f := range followers {
-		if f.Voter.Learner && f.Behind == 0 && f.Silent < replaceAfter/2 {
+		if f.Voter.Learner && f.Lag == 0 && f.Unresponsive < replaceAfter/2 {
 			return f.Voter, true
 		}
 	}
@@ -135,11 +135,11 @@
 func silentVoter(followers []consensus.FollowerStatus) (consensus.Voter, time.Duration) {
 	var longest consensus.FollowerStatus
 	for _, f := range followers {
-		if !f.Voter.Learner && f.Silent > longest.Silent {
+		if !f.Voter.Learner && f.Unresponsive > longest.Unresponsive {
 			longest = f
 		}
 	}
-	return longest.Voter, longest.Silent
+	return longest.Voter, longest.Unresponsive
 }
 
 // Joiner asks to join the group while this node is not a voter or hears no leader.
@@ -185,7 +185,7 @@
 	if j.peers.Call(ctx, node, Service+".Join", JoinArgs{Node: j.node, Identity: j.identity}, &reply) != nil {
 		return false
 	}
-	j.client.LearnGroup(reply.Group)
+	j.client.SetMembers(reply.Group)
 	return reply.Code == walnutramp.CodeOK
 }
 
--- a/control/keeper_test.go
+++ b/control/keeper_test.go
@@ -25,14 +25,14 @@
 func followers(g consensus.Group, silent map[string]time.Duration) []consensus.FollowerStatus {
 	var all []consensus.FollowerStatus
 	for _, v := range g.Voters[1:] {
-		all = append(all, consensus.FollowerStatus{Voter: v, Silent: silent[string(v.Node)]})
+		all = append(all, consensus.FollowerStatus{Voter: v, Unresponsive: silent[string(v.Node)]})
 	}
 	return all
 }
 
 // runSteps applies steps until none is left. It returns the final group and the
 // lowest number of counted voters on the way.
-func runSteps(t *testing.T, k *Keeper, g consensus.Group, silent map[string]time.Duration) (consensus.Group, int) {
+func runSteps(t *testing.T, k *MembershipManager, g consensus.Group, silent map[string]time.Duration) (consensus.Group, int) {
 	t.Helper()
 	minCounted := g.Counted()
 	for range 20 {
@@ -76,7 +76,7 @@
 			map[string]time.Duration{"d": 500 * time.Millisecond}, "", "", []walnutramp.NodeName{"a", "b", "c", "d"}, 4},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			k := NewKeeper("a", nil)
+			k := NewMembershipManager("a", nil)
 			if c.joining != "" {
 				id := c.identity
 				if id == "" {
@@ -95,7 +95,7 @@
 // Guards against a group that grows by failed members: a learner must not become a
 // voter while another voter may have failed.
 func TestLearnerWaitsWhileVoterMayHaveFailed(t *testing.T) {
-	k := NewKeeper("a", nil)
+	k := NewMembershipManager("a", nil)
 	g := group("a", "b", "c", "d")
 	learner := voter("e")
 	learner.Learner = true
--- a/control/kept_test.go
+++ b/control/kept_test.go
@@ -65,11 +65,11 @@
 				require.NoError(t, err)
 				require.NoError(t, f.Sync())
 			}
-			identity, err := ReadIdentity(disk)
+			identity, err := LoadOrCreateIdentity(disk)
 			require.NoError(t, err)
 			state := NewState(WithRule(AcceptHighest))
 			m, err := consensus.New("kept", identity, disk, consensus.Group{}, noPeers{}, state,
-				consensus.WithTiming(time.Hour, time.Hour), consensus.WithCommitNotes())
+				consensus.WithTiming(time.Hour, time.Hour), consensus.WithPersistedCommits())
 			require.NoError(t, err)
 			m.Start()
 			defer m.Close()
--- a/control/messages.go
+++ b/control/messages.go
@@ -92,7 +92,7 @@
 	// the leader itself.
 	Near walnutramp.NodeName
 	// Share is the requester's share of the site's retry budget.
-	Share quota.Word
+	Share quota.Assignment
 }
 
 // TimeArgs requests a member's wall clock.
--- a/control/model_site_test.go
+++ b/control/model_site_test.go
@@ -118,9 +118,9 @@
 		disk = noSyncDisk{n.disk}
 	}
 	if founder {
-		FoundIdentity(disk)
+		WriteFounderIdentity(disk)
 	}
-	identity, err := ReadIdentity(disk)
+	identity, err := LoadOrCreateIdentity(disk)
 	if err != nil {
 		panic(err)
 	}
@@ -132,7 +132,7 @@
 	n.state = NewState(WithRule(AcceptHighest))
 	opts := []consensus.Option{
 		consensus.WithTiming(100*time.Millisecond, 400*time.Millisecond), consensus.WithSeed(uint64(m.intn(1 << 30))),
-		consensus.WithCompaction(6000), consensus.WithCommitNotes(),
+		consensus.WithCompaction(6000), consensus.WithPersistedCommits(),
 	}
 	if m.seed%3 == 0 {
 		opts = append(opts, consensus.WithCallBytes(m.callBytes()))
@@ -144,12 +144,12 @@
 	if err != nil {
 		panic(err)
 	}
-	keeper := NewKeeper(name, n.member)
+	keeper := NewMembershipManager(name, n.member)
 	client := NewDocumentClient(peers, m.seeds(), func(uint64, []byte) error { return nil })
 	ctx, cancel := context.WithCancel(context.Background())
 	m.mu.Lock()
 	n.identity, n.client, n.cancel = identity, client, cancel
-	n.server = NewOpenServer(n.member, n.state, keeper, NewRoster())
+	n.server = NewUnsignedServer(n.member, n.state, keeper, NewTargetList())
 	n.up = true
 	m.mu.Unlock()
 	n.member.Start()
@@ -171,7 +171,7 @@
 
 // runTwoMemberChanges is a keeper with the twoMemberChanges defect: it replaces a silent
 // voter by a new one in one change.
-func runTwoMemberChanges(ctx context.Context, k *Keeper) {
+func runTwoMemberChanges(ctx context.Context, k *MembershipManager) {
 	for ctx.Err() == nil {
 		time.Sleep(membershipInterval)
 		if !k.member.Leads() {
--- a/control/model_test.go
+++ b/control/model_test.go
@@ -138,7 +138,7 @@
 // transferLeadership makes all members that lead transfer leadership.
 func (m *model) transferLeadership() {
 	for _, name := range m.running() {
-		m.member(name).HandOver(context.Background())
+		m.member(name).TransferLeadership(context.Background())
 	}
 }
 
@@ -200,7 +200,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	n := m.nodes[name]
-	n.client.LearnGroup(n.member.Status().Group.Nodes())
+	n.client.SetMembers(n.member.Status().Group.Nodes())
 	return n.client, n
 }
 
--- a/control/regions_test.go
+++ b/control/regions_test.go
@@ -162,7 +162,7 @@
 		site.offer(1, routesDocument(1, 40))
 		for version := uint64(2); version < 8; version++ {
 			leader := site.leader()
-			site.spawn(func(ctx context.Context) { leader.raft.HandOver(ctx) })
+			site.spawn(func(ctx context.Context) { leader.raft.TransferLeadership(ctx) })
 			start := time.Now()
 			site.offer(version, routesDocument(version, 40))
 			require.Less(t, time.Since(start), maxAckTime)
--- a/control/relay_test.go
+++ b/control/relay_test.go
@@ -36,11 +36,11 @@
 // newRelayPair returns a leader and a relay with its server.
 func newRelayPair() (*leaderPeers, *Server, *Relay) {
 	rule := WithRule(AcceptHighest)
-	peers := &leaderPeers{leader: NewOpenServer(nil, NewState(rule), nil, NewRoster())}
+	peers := &leaderPeers{leader: NewUnsignedServer(nil, NewState(rule), nil, NewTargetList())}
 	for i := range relayThreshold + 1 {
-		peers.leader.entryNodes.register(EntryPlace{Address: fmt.Sprint("e", i)})
+		peers.leader.entryNodes.register(EntryNode{Address: fmt.Sprint("e", i)})
 	}
-	member := NewOpenServer(nil, NewState(rule), nil, NewRoster())
+	member := NewUnsignedServer(nil, NewState(rule), nil, NewTargetList())
 	return peers, member, NewRelay(peers, "relay", "north", nil, member)
 }
 
@@ -172,14 +172,14 @@
 		require.True(t, relay.refresh(t.Context(), "leader"))
 		require.Equal(t, relayThreshold+1, peers.leader.entryNodes.count())
 		require.True(t, relay.enabled())
-		peers.leader.entryNodes.register(EntryPlace{Address: "elsewhere"})
+		peers.leader.entryNodes.register(EntryNode{Address: "elsewhere"})
 		require.True(t, relay.refresh(t.Context(), "leader"))
 		reply, ok := askRelay(member, NewestArgs{Entry: "e1"})
 		require.True(t, ok)
 		require.Contains(t, reply.Entries, "elsewhere")
 		reply, ok = askRelay(member, NewestArgs{Entry: "e1", DataHall: "north", Directory: true})
 		require.True(t, ok)
-		require.Contains(t, reply.Directory.joinedNodes(), EntryPlace{Address: "elsewhere"})
+		require.Contains(t, reply.Directory.joinedNodes(), EntryNode{Address: "elsewhere"})
 		peers.cut = true
 		require.False(t, relay.refresh(t.Context(), "leader"))
 	})
--- a/control/report_client.go
+++ b/control/report_client.go
@@ -167,7 +167,7 @@
 		t.acked[row.Service] = row
 	}
 	if t.client.usage != nil {
-		t.client.usage.Closed(reply.Closed)
+		t.client.usage.RemoveThrough(reply.Closed)
 	}
 }
 
--- a/control/reports.go
+++ b/control/reports.go
@@ -38,10 +38,10 @@
 // node's process runs; a report may be delivered more than once.
 type DemandFunc func(node string, incarnation uint64, rows []fleet.Demand)
 
-// Reports collects the usage and demand that nodes report to this member and
+// ReportCollector collects the usage and demand that nodes report to this member and
 // forwards them to the leader. A new leader gets all reports of windows that are
 // not closed.
-type Reports struct {
+type ReportCollector struct {
 	peers      Peers
 	member     *consensus.Member
 	state      *State
@@ -49,7 +49,7 @@
 
 	mu          sync.Mutex
 	sink        DemandFunc // receives the demand on the leader; may be nil
-	tally       *metering.Tally
+	tally       *metering.Aggregator
 	demands     map[metering.Source]*nodeDemand
 	leads       bool // as of the last check
 	leaderSince time.Time
@@ -66,11 +66,11 @@
 	reportedAt time.Time
 }
 
-// NewReports returns a Reports and registers it with a member's server.
-func NewReports(peers Peers, m *consensus.Member, s *Server) *Reports {
-	r := &Reports{
+// NewReportCollector returns a Reports and registers it with a member's server.
+func NewReportCollector(peers Peers, m *consensus.Member, s *Server) *ReportCollector {
+	r := &ReportCollector{
 		peers: peers, member: m, state: s.state, instanceID: rand.Uint64() | 1,
-		tally: metering.NewTally(), demands: map[metering.Source]*nodeDemand{},
+		tally: metering.NewAggregator(), demands: map[metering.Source]*nodeDemand{},
 	}
 	s.reports = r
 	return r
@@ -78,7 +78,7 @@
 
 // SetDemandSink sets the function that receives the demand while this member
 // leads. It must be called before Run.
-func (r *Reports) SetDemandSink(sink DemandFunc) {
+func (r *ReportCollector) SetDemandSink(sink DemandFunc) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.sink = sink
@@ -107,26 +107,26 @@
 }
 
 // receive stores reports. On the leader it also passes their demand to the sink.
-func (r *Reports) receive(reports []NodeReport) {
+func (r *ReportCollector) receive(reports []NodeReport) {
 	r.store(reports, time.Now())
 	if r.member.Leads() {
 		r.notifySink(reports)
 	}
 }
 
-func (r *Reports) store(reports []NodeReport, now time.Time) {
+func (r *ReportCollector) store(reports []NodeReport, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.tally.Closed(r.state.newestClosed())
+	r.tally.RemoveThrough(r.state.newestClosed())
 	for _, report := range reports {
-		from := metering.Source{Node: report.Node, Life: report.Life}
-		r.tally.Take(from, report.Usage, now)
+		from := metering.Source{Node: report.Node, Incarnation: report.Life}
+		r.tally.Merge(from, report.Usage, now)
 		r.storeDemand(from, report.Demand, now)
 	}
 }
 
 // notifySink passes the demand in reports to the sink.
-func (r *Reports) notifySink(reports []NodeReport) {
+func (r *ReportCollector) notifySink(reports []NodeReport) {
 	r.mu.Lock()
 	sink := r.sink
 	r.mu.Unlock()
@@ -138,7 +138,7 @@
 }
 
 // storeDemand stores a node's demand. The caller holds the mutex.
-func (r *Reports) storeDemand(from metering.Source, rows []fleet.Demand, now time.Time) {
+func (r *ReportCollector) storeDemand(from metering.Source, rows []fleet.Demand, now time.Time) {
 	if len(rows) == 0 {
 		return
 	}
@@ -156,7 +156,7 @@
 }
 
 // Run forwards reports to the leader until ctx is done.
-func (r *Reports) Run(ctx context.Context) {
+func (r *ReportCollector) Run(ctx context.Context) {
 	for pause.For(ctx, forwardInterval) {
 		r.expire()
 		leads := r.member.Leads()
@@ -171,18 +171,18 @@
 }
 
 // expire drops closed windows and the reports of nodes that are gone.
-func (r *Reports) expire() {
+func (r *ReportCollector) expire() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	cutoff := time.Now().Add(-sourceRetention)
-	r.tally.Closed(r.state.newestClosed())
+	r.tally.RemoveThrough(r.state.newestClosed())
 	r.tally.Forget(cutoff)
 	maps.DeleteFunc(r.demands, func(_ metering.Source, d *nodeDemand) bool { return d.reportedAt.Before(cutoff) })
 }
 
 // updateLeadership records whether this member leads. When it is elected, its sink
 // receives all demand that was reported to this member.
-func (r *Reports) updateLeadership(leads bool) {
+func (r *ReportCollector) updateLeadership(leads bool) {
 	r.mu.Lock()
 	elected := leads && !r.leads
 	if leads != r.leads {
@@ -200,11 +200,11 @@
 
 // collect returns the changes since the last call, or everything. Demand is returned
 // whole for each node with changes. The caller holds the mutex.
-func (r *Reports) collect(all bool) []NodeReport {
+func (r *ReportCollector) collect(all bool) []NodeReport {
 	bySource := map[metering.Source]*NodeReport{}
 	of := func(from metering.Source) *NodeReport {
 		if bySource[from] == nil {
-			bySource[from] = &NodeReport{Node: from.Node, Life: from.Life}
+			bySource[from] = &NodeReport{Node: from.Node, Life: from.Incarnation}
 		}
 		return bySource[from]
 	}
@@ -226,7 +226,7 @@
 
 // forward sends the leader the changes, or everything if this leader process has not
 // acknowledged the earlier reports. Without changes it calls every forwardKeepalive.
-func (r *Reports) forward(ctx context.Context, leader walnutramp.NodeName) {
+func (r *ReportCollector) forward(ctx context.Context, leader walnutramp.NodeName) {
 	if leader != r.leader {
 		r.leader, r.receiver = leader, 0
 	}
@@ -264,11 +264,11 @@
 }
 
 // windowStatus returns the status of a window that ended a given time ago.
-func (r *Reports) windowStatus(w metering.Window, ago time.Duration) windowStatus {
+func (r *ReportCollector) windowStatus(w metering.Window, ago time.Duration) windowStatus {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := time.Now()
-	s := windowStatus{Sum: r.tally.Sum(w), Silent: r.tally.Silent(now.Add(-silentNodeTimeout), now.Add(reportDelay-ago))}
+	s := windowStatus{Sum: r.tally.Sum(w), Silent: r.tally.Unresponsive(now.Add(-silentNodeTimeout), now.Add(reportDelay-ago))}
 	if r.leads {
 		s.Led = now.Sub(r.leaderSince)
 	}
--- a/control/reports_test.go
+++ b/control/reports_test.go
@@ -89,7 +89,7 @@
 		reporter, counter := newTestReporter(p, nil)
 		counter.Count("a", time.Now())
 		reporter.send(t.Context(), time.Second)
-		counter.Closed(math.MaxUint32)
+		counter.RemoveThrough(math.MaxUint32)
 		calls := len(p.destinations)
 		for range 10 {
 			time.Sleep(usageKeepalive)
@@ -120,10 +120,10 @@
 
 func TestMemberForwardsEverythingToNewLeader(t *testing.T) {
 	p := &fakeReceiver{instanceID: 1}
-	r := &Reports{peers: p, tally: metering.NewTally(), demands: map[metering.Source]*nodeDemand{}}
+	r := &ReportCollector{peers: p, tally: metering.NewAggregator(), demands: map[metering.Source]*nodeDemand{}}
 	receive := func(count uint64) {
 		from := metering.Source{Node: "e1"}
-		r.tally.Take(from, []metering.Row{{Window: 7, Account: "a", Count: count}}, time.Now())
+		r.tally.Merge(from, []metering.Row{{Window: 7, Account: "a", Count: count}}, time.Now())
 		r.storeDemand(from, []fleet.Demand{{Service: "s", Requests: count}}, time.Now())
 	}
 	forward := func(leader walnutramp.NodeName) []NodeReport {
--- a/control/rollout_client.go
+++ b/control/rollout_client.go
@@ -65,7 +65,7 @@
 	err := c.peers.Call(ctx, r.leader, Service+".Report", args, &reply)
 	if err != nil || reply.Code != walnutramp.CodeOK {
 		klog.V(1).InfoS("Roll-out report failed", "asked", r.leader, "code", int(reply.Code), "err", err)
-		c.agent.Unreported()
+		c.agent.ResetReport()
 		r.leader = reply.Leader
 		return
 	}
--- a/control/rollout_controller.go
+++ b/control/rollout_controller.go
@@ -30,7 +30,7 @@
 	member      *consensus.Member
 	server      *Server
 	state       *State
-	roster      *Roster
+	roster      *TargetList
 	bounds      rollout.Bounds
 	policy      rollout.Policy
 	listVersion uint64 // newest list whose services all have committed versions; used only by Run
@@ -39,14 +39,14 @@
 	judgeID     uint64    // identifies this term's evaluations; 0 while not leading
 	judgeSince  time.Time // when judgeID was set
 	confirmedAt time.Time
-	tally       *rollout.Tally
+	tally       *rollout.Aggregator
 	evaluations map[string]*evaluation // by service
 }
 
 // evaluation is the leader's state of one running roll-out.
 type evaluation struct {
 	number        uint64
-	judge         *rollout.Judge
+	judge         *rollout.Evaluator
 	step          rollout.Step
 	verdict       rollout.Verdict
 	late          map[string]time.Duration // see rollout.Permit
@@ -117,7 +117,7 @@
 func (c *RolloutController) startEvaluations() {
 	if c.judgeID == 0 {
 		c.judgeID, c.judgeSince = rand.Uint64()|1, uptime.Now()
-		c.tally, c.evaluations = rollout.NewTally(), map[string]*evaluation{}
+		c.tally, c.evaluations = rollout.NewAggregator(), map[string]*evaluation{}
 	}
 }
 
@@ -191,7 +191,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	t := c.evaluationOf(rec, elapsed)
-	t.verdict, t.late = t.judge.Verdict(), t.judge.Late()
+	t.verdict, t.late = t.judge.Verdict(), t.judge.SlowThresholds()
 	situation := c.situation(rec, t, elapsed)
 	t.step = c.bounds.Plan(situation)
 	changes = t.step.State != rollout.Running || t.step.Stage != rec.Stage || uptime.Since(t.notedAt) >= progressInterval
@@ -208,7 +208,7 @@
 func (c *RolloutController) evaluationOf(rec rollout.Record, elapsed time.Duration) *evaluation {
 	t := c.evaluations[rec.Service]
 	if t == nil || t.number != rec.Number {
-		t = &evaluation{number: rec.Number, judge: rollout.NewJudge(c.policy, rec.Duration), notedAt: uptime.Now()}
+		t = &evaluation{number: rec.Number, judge: rollout.NewEvaluator(c.policy, rec.Duration), notedAt: uptime.Now()}
 		if rec.Stage == rollout.StageShift {
 			t.shiftedAt = elapsed // a new leader knows only that it was before now
 		}
@@ -219,17 +219,17 @@
 }
 
 // situation collects the input of a plan. The caller holds the mutex.
-func (c *RolloutController) situation(rec rollout.Record, t *evaluation, elapsed time.Duration) rollout.Situation {
-	s := rollout.Situation{Record: rec, Elapsed: elapsed, ShiftedAt: t.shiftedAt, Sums: c.tally.Sums(rec.Service), Verdict: t.verdict}
+func (c *RolloutController) situation(rec rollout.Record, t *evaluation, elapsed time.Duration) rollout.PlanInput {
+	s := rollout.PlanInput{Record: rec, Elapsed: elapsed, ShiftedAt: t.shiftedAt, Sums: c.tally.Sums(rec.Service), Verdict: t.verdict}
 	_, list := c.roster.current()
 	for _, target := range list {
 		if target.Service != rec.Service || target.State == discovery.TargetDraining {
 			continue
 		}
 		if target.Version == rec.Target {
-			s.NewPlaces += target.Slots
+			s.NewSlots += target.Slots
 		} else {
-			s.OldPlaces += target.Slots
+			s.OldSlots += target.Slots
 		}
 	}
 	for _, counts := range s.Sums {
@@ -259,13 +259,13 @@
 // rolloutLogInterval is the time between log lines about an unchanged roll-out.
 const rolloutLogInterval = 1 * time.Second
 
-func (t *evaluation) logProgress(rec rollout.Record, s rollout.Situation) {
+func (t *evaluation) logProgress(rec rollout.Record, s rollout.PlanInput) {
 	if uptime.Since(t.loggedAt) < rolloutLogInterval {
 		return
 	}
 	t.loggedAt = uptime.Now()
 	klog.InfoS("Roll-out weighed", "service", rec.Service, "number", rec.Number, "version", rec.Target, "stage", rec.Stage,
-		"elapsed_ms", s.Elapsed.Milliseconds(), "duration_ms", rec.Duration.Milliseconds(), "newPlaces", s.NewPlaces, "oldPlaces", s.OldPlaces,
+		"elapsed_ms", s.Elapsed.Milliseconds(), "duration_ms", rec.Duration.Milliseconds(), "newPlaces", s.NewSlots, "oldPlaces", s.OldSlots,
 		"answers", t.verdict.Answers, "excess", t.verdict.Excess, "score", t.verdict.Score, "evidence", t.verdict.Evidence)
 }
 
@@ -283,7 +283,7 @@
 		// next time.
 		args.Cells = nil
 	}
-	newCells := c.tally.Take(args.Node, args.Life, args.Cells)
+	newCells := c.tally.Merge(args.Node, args.Life, args.Cells)
 	permitLife := rollout.PermitLife - uptime.Since(c.confirmedAt)
 	for _, rec := range view.Records {
 		if rec.State != rollout.Running {
@@ -291,7 +291,7 @@
 		}
 		elapsed := c.state.rolloutElapsed(rec)
 		t := c.evaluationOf(rec, elapsed)
-		t.judge.Take(elapsed, rec.Target, cellsOf(newCells, rec.Service))
+		t.judge.Add(elapsed, rec.Target, cellsOf(newCells, rec.Service))
 		if t.issuesPermits && permitLife > 0 {
 			permits = append(permits, rollout.Permit{
 				Service: rec.Service, Number: rec.Number, Shares: t.step.Shares, Other: t.step.Other, Focus: t.step.Focus, Late: t.late, For: permitLife,
--- a/control/rollout_fleet_test.go
+++ b/control/rollout_fleet_test.go
@@ -97,18 +97,18 @@
 // send sends one request and records it with the agent, as a gateway does.
 func (e *testEntry) send(name string, r *requests, target int, newFails bool) {
 	version := "v1"
-	if e.agent.Draw(testService, "look") || e.agent.Versions(testService, false).Has("v2") {
+	if e.agent.SelectCanary(testService, "look") || e.agent.Versions(testService, false).Has("v2") {
 		version = "v2"
 	}
 	r.note(name, version)
 	request := e.agent.Begin(rollout.Key{Service: testService, Route: "look", Version: version, DataHall: hallOf(target), Target: fmt.Sprint(version, target)})
 	time.Sleep(answerTime)
-	request.First()
+	request.RecordFirstEvent()
 	if version == "v2" && newFails {
-		request.Ended(rollout.Failed)
+		request.Finish(rollout.Failed)
 		return
 	}
-	request.Ended(rollout.Served)
+	request.Finish(rollout.Served)
 }
 
 // setTargets sets the target list of every member, as their pollers do.
@@ -301,7 +301,7 @@
 			}
 			return walnutramp.AsError(err).Code
 		}
-		require.Equal(t, walnutramp.CodeLedgerAway, order(testService, "v2", time.Second), "no target list yet")
+		require.Equal(t, walnutramp.CodeLedgerUnavailable, order(testService, "v2", time.Second), "no target list yet")
 		site.setTargets("v1")
 		time.Sleep(time.Second)
 		require.Equal(t, walnutramp.CodeRolloutInvalid, order("", "v2", time.Second))
--- a/control/roster.go
+++ b/control/roster.go
@@ -16,10 +16,10 @@
 	"github.com/walnutramp/walnutramp/internal/uptime"
 )
 
-// Roster holds the newest reading of the site's target list. Entry nodes receive it
+// TargetList holds the newest reading of the site's target list. Entry nodes receive it
 // from the leader with the newest document, so that only one node reads the list;
 // those that hold a recent version receive the changes only.
-type Roster struct {
+type TargetList struct {
 	mu       sync.Mutex
 	versions []targetListVersion // newest last
 	readAt   time.Time
@@ -39,8 +39,8 @@
 // maxTargetListVersions is how many readings are kept to compute changes from.
 const maxTargetListVersions = 24
 
-// NewRoster returns a roster without a list.
-func NewRoster() *Roster { return &Roster{changed: make(chan struct{})} }
+// NewTargetList returns a roster without a list.
+func NewTargetList() *TargetList { return &TargetList{changed: make(chan struct{})} }
 
 // TargetListReply holds the target list, or the changes since the requester's
 // version. If it holds neither, the requester's list is the newest.
@@ -62,7 +62,7 @@
 func targetID(t discovery.Target) string { return t.ID }
 
 // Set stores a reading, with the present time. The order of the targets does not matter.
-func (r *Roster) Set(list []discovery.Target) {
+func (r *TargetList) Set(list []discovery.Target) {
 	list = slices.Clone(list)
 	slices.SortFunc(list, func(a, b discovery.Target) int { return cmp.Compare(a.ID, b.ID) })
 	encoded := encodeTargets(list)
@@ -79,8 +79,8 @@
 	r.changed = make(chan struct{})
 }
 
-// SetFirst stores a reading if there is none.
-func (r *Roster) SetFirst(list []discovery.Target) {
+// SetIfEmpty stores a reading if there is none.
+func (r *TargetList) SetIfEmpty(list []discovery.Target) {
 	if version, _ := r.current(); version == 0 {
 		r.Set(list)
 	}
@@ -99,7 +99,7 @@
 
 // compressedReply returns the reply to the holder of a version, with the full list
 // as a payload.
-func (r *Roster) compressedReply(version uint64) TargetListReply {
+func (r *TargetList) compressedReply(version uint64) TargetListReply {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	reply := r.reply(version)
@@ -111,7 +111,7 @@
 }
 
 // compress returns the compressed list of a reading. The caller holds the mutex.
-func (r *Roster) compress(index int) compressed {
+func (r *TargetList) compress(index int) compressed {
 	v := &r.versions[index]
 	if v.compressed.bytes == nil {
 		v.compressed = compress(v.encoded)
@@ -121,7 +121,7 @@
 
 // awaitCompressed returns the compressed list with a hash. It waits for the list
 // until timeout, as a relay may receive it later than the leader.
-func (r *Roster) awaitCompressed(hash uint64, timeout time.Duration) (compressed, bool) {
+func (r *TargetList) awaitCompressed(hash uint64, timeout time.Duration) (compressed, bool) {
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	for {
@@ -139,7 +139,7 @@
 
 // findCompressed returns the compressed list with a hash, if held, and a channel
 // that is closed on the next new version.
-func (r *Roster) findCompressed(hash uint64) (compressed, <-chan struct{}) {
+func (r *TargetList) findCompressed(hash uint64) (compressed, <-chan struct{}) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if len(r.versions) > 0 {
@@ -164,7 +164,7 @@
 }
 
 // newest returns the newest reading. The caller holds the mutex.
-func (r *Roster) newest() targetListVersion {
+func (r *TargetList) newest() targetListVersion {
 	if len(r.versions) == 0 {
 		return targetListVersion{}
 	}
@@ -172,14 +172,14 @@
 }
 
 // current returns the newest list, which must not be modified, and its version.
-func (r *Roster) current() (version uint64, list []discovery.Target) {
+func (r *TargetList) current() (version uint64, list []discovery.Target) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.newest().version, r.newest().list
 }
 
 // setAge sets how long ago another node read the newest list.
-func (r *Roster) setAge(age time.Duration) {
+func (r *TargetList) setAge(age time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.readAt = uptime.Now().Add(-age)
@@ -187,7 +187,7 @@
 
 // reply returns the changes since a version, or the full list uncompressed. The
 // caller holds the mutex.
-func (r *Roster) reply(version uint64) TargetListReply {
+func (r *TargetList) reply(version uint64) TargetListReply {
 	newest := r.newest()
 	reply := TargetListReply{Version: newest.version, Age: uptime.Since(r.readAt)}
 	if version == newest.version {
@@ -203,7 +203,7 @@
 
 // changeSince returns the changes since a version, nil if that version is not kept.
 // The caller holds the mutex.
-func (r *Roster) changeSince(version uint64) *TargetListChange {
+func (r *TargetList) changeSince(version uint64) *TargetListChange {
 	newest := r.newest()
 	if change := newest.changes[version]; change != nil {
 		return change
@@ -220,7 +220,7 @@
 
 // watch returns a channel that is closed on the next new version, and whether there is a
 // list of another version than the given one.
-func (r *Roster) watch(version uint64) (changed <-chan struct{}, differs bool) {
+func (r *TargetList) watch(version uint64) (changed <-chan struct{}, differs bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	newest := r.newest().version
@@ -229,8 +229,8 @@
 
 // decode returns the list or the change for the holder of a version; neither if that
 // version is the newest.
-func (r *TargetListReply) decode(version uint64) (discovery.Feed, error) {
-	f := discovery.Feed{Age: r.Age}
+func (r *TargetListReply) decode(version uint64) (discovery.FeedUpdate, error) {
+	f := discovery.FeedUpdate{Age: r.Age}
 	if r.Version == version {
 		return f, nil
 	}
--- a/control/roster_test.go
+++ b/control/roster_test.go
@@ -22,7 +22,7 @@
 }
 
 // uncompressedReply returns the reply before the full list is compressed.
-func (r *Roster) uncompressedReply(version uint64) TargetListReply {
+func (r *TargetList) uncompressedReply(version uint64) TargetListReply {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.reply(version)
@@ -32,11 +32,11 @@
 // list.
 func TestClientFollowsTargetList(t *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 4))
-	r := NewRoster()
+	r := NewTargetList()
 	var received []discovery.Target
 	c := NewDocumentClient(nil, nil, nil)
 	defer c.Close()
-	c.FeedTargets(func(f discovery.Feed) bool {
+	c.OnTargets(func(f discovery.FeedUpdate) bool {
 		if f.Change != nil {
 			received = applyDiff(received, f.Change.Removed, f.Change.Put, targetID)
 		} else if f.List != nil {
@@ -65,11 +65,11 @@
 // An empty target list is delivered, too, since a node without a list does not
 // serve.
 func TestEmptyTargetListIsDelivered(t *testing.T) {
-	r := NewRoster()
+	r := NewTargetList()
 	c := NewDocumentClient(nil, nil, nil)
 	defer c.Close()
 	var lists, changes int
-	c.FeedTargets(func(f discovery.Feed) bool {
+	c.OnTargets(func(f discovery.FeedUpdate) bool {
 		if f.List != nil {
 			lists++
 		}
@@ -87,7 +87,7 @@
 }
 
 func TestTargetListChangeIsSmall(t *testing.T) {
-	r := NewRoster()
+	r := NewTargetList()
 	list := numberedTargets(0, 280)
 	r.Set(list)
 	whole := r.uncompressedReply(0)
@@ -112,7 +112,7 @@
 	var e entryRegistry
 	poll := func(entry string, version uint64) ([]string, uint64) {
 		var reply NewestReply
-		e.register(EntryPlace{Address: entry})
+		e.register(EntryNode{Address: entry})
 		e.fillReply(NewestArgs{Entry: entry, Entries: version}, &reply)
 		return reply.Entries, reply.EntriesVersion
 	}
@@ -145,13 +145,13 @@
 	synctest.Test(t, func(t *testing.T) {
 		rng := rand.New(rand.NewPCG(1, 1))
 		var e entryRegistry
-		place := func(i int) EntryPlace {
-			return EntryPlace{Address: fmt.Sprintf("10.0.0.%03d:1", i), DataHall: fmt.Sprint("hall-", i%3), Disk: i%50 == 0}
+		place := func(i int) EntryNode {
+			return EntryNode{Address: fmt.Sprintf("10.0.0.%03d:1", i), DataHall: fmt.Sprint("hall-", i%3), Disk: i%50 == 0}
 		}
 		for i := range 300 {
 			e.register(place(i))
 		}
-		client := &Client{self: place(0), onEntryNodes: func([]EntryPlace, bool) {}}
+		client := &Client{self: place(0), onEntryNodes: func([]EntryNode, bool) {}}
 		changes, polls := 0, 0
 		for range 400 {
 			time.Sleep(100 * time.Millisecond)
--- a/control/server.go
+++ b/control/server.go
@@ -27,15 +27,15 @@
 	chunkLimiter     *rate.Limiter      // rate of chunks of long payloads
 	offers           singleflight.Group // submissions in progress, by version and digest
 	operators        bundle.Operators
-	keeper           *Keeper // nil if the membership is fixed
+	keeper           *MembershipManager // nil if the membership is fixed
 	entryNodes       entryRegistry
-	targets          *Roster            // nil if nodes read the target list themselves
+	targets          *TargetList        // nil if nodes read the target list themselves
 	relays           relays             // members that relay this one's replies while it leads
 	relay            *Relay             // relays the leader's replies while another member leads; nil if unused
 	rollouts         *RolloutController // nil if there are no roll-outs
-	reports          *Reports           // of usage and demand; nil if unused
+	reports          *ReportCollector   // of usage and demand; nil if unused
 	timekeeper       *Timekeeper        // of the group's time; nil if unused
-	sharing          *Sharing           // of the retry budget; nil if unused
+	sharing          *QuotaController   // of the retry budget; nil if unused
 	orderRetryWindow time.Duration      // how long an operator resends an order that was not answered
 }
 
@@ -47,15 +47,15 @@
 	return func(s *Server) { s.chunkLimiter = newChunkLimiter(bytesPerSecond) }
 }
 
-// WithOrderPatience sets for how long operators resend a roll-out order that was
+// WithOrderRetryWindow sets for how long operators resend a roll-out order that was
 // not answered.
-func WithOrderPatience(d time.Duration) ServerOption {
+func WithOrderRetryWindow(d time.Duration) ServerOption {
 	return func(s *Server) { s.orderRetryWindow = d }
 }
 
-// NewOpenServer returns a server of a site without signatures, on which a Keeper
+// NewUnsignedServer returns a server of a site without signatures, on which a Keeper
 // manages the membership.
-func NewOpenServer(m *consensus.Member, s *State, k *Keeper, r *Roster, opts ...ServerOption) *Server {
+func NewUnsignedServer(m *consensus.Member, s *State, k *MembershipManager, r *TargetList, opts ...ServerOption) *Server {
 	server := newServer(m, s)
 	server.keeper, server.targets = k, r
 	for _, opt := range opts {
@@ -152,9 +152,9 @@
 
 // registerRequester records the requester and those that it relays to.
 func (s *Server) registerRequester(args NewestArgs) {
-	s.entryNodes.register(EntryPlace{Address: args.Entry, DataHall: args.DataHall, Disk: args.Disk})
+	s.entryNodes.register(EntryNode{Address: args.Entry, DataHall: args.DataHall, Disk: args.Disk})
 	for _, entry := range args.Relayed {
-		s.entryNodes.register(EntryPlace{Address: entry, DataHall: args.DataHall, Disk: slices.Contains(args.RelayedDisks, entry)})
+		s.entryNodes.register(EntryNode{Address: entry, DataHall: args.DataHall, Disk: slices.Contains(args.RelayedDisks, entry)})
 	}
 	s.relays.register(args.DataHall, args.Relay)
 	s.sharing.recordQuery(args)
--- a/control/sharing.go
+++ b/control/sharing.go
@@ -19,9 +19,9 @@
 	firstRequestWait = 2 * renewRetryDelay
 )
 
-// Sharing commits the set of entry nodes that share the site's retry budget, and
+// QuotaController commits the set of entry nodes that share the site's retry budget, and
 // tells each of them its share.
-type Sharing struct {
+type QuotaController struct {
 	member   *consensus.Member
 	server   *Server
 	state    *State
@@ -31,16 +31,16 @@
 	opened bool       // opening the set was proposed, successfully or not
 }
 
-// NewSharing returns a Sharing and registers it with a member's server. span is the
+// NewQuotaController returns a Sharing and registers it with a member's server. span is the
 // time window of the budget.
-func NewSharing(m *consensus.Member, s *Server, span time.Duration) *Sharing {
-	sh := &Sharing{member: m, server: s, state: s.state, register: quota.NewRegister(span)}
+func NewQuotaController(m *consensus.Member, s *Server, span time.Duration) *QuotaController {
+	sh := &QuotaController{member: m, server: s, state: s.state, register: quota.NewRegister(span)}
 	s.sharing = sh
 	return sh
 }
 
 // Run updates the set of entry nodes while this member leads, until ctx is done.
-func (sh *Sharing) Run(ctx context.Context) {
+func (sh *QuotaController) Run(ctx context.Context) {
 	var term uint64 // in which this member last led
 	for pause.For(ctx, sharingInterval) {
 		if !sh.member.Leads() {
@@ -48,7 +48,7 @@
 		}
 		if now := sh.member.Status().Term; now != term {
 			term = now
-			sh.register.Begin()
+			sh.register.BecomeLeader()
 		}
 		sh.update(ctx, sh.state.hasDocument())
 	}
@@ -57,7 +57,7 @@
 // openEarly opens the set before the site's first document is in force, with the
 // entry nodes that wait for it. Nothing is served yet, so they may use their shares
 // at once.
-func (sh *Sharing) openEarly(ctx context.Context) {
+func (sh *QuotaController) openEarly(ctx context.Context) {
 	if sh == nil || !sh.member.Leads() || sh.state.quotaSet().Open {
 		return
 	}
@@ -66,7 +66,7 @@
 }
 
 // update commits the current entry nodes, and opens the set if open is true.
-func (sh *Sharing) update(ctx context.Context, open bool) {
+func (sh *QuotaController) update(ctx context.Context, open bool) {
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
 	set := sh.state.quotaSet()
@@ -86,18 +86,18 @@
 	if _, ok := sh.server.proposeOwn(ctx, Command{Sharers: &next}); !ok {
 		return
 	}
-	sh.register.Agreed(next)
+	sh.register.Committed(next)
 	klog.InfoS("Retry budget shared among entry nodes", "in", len(in), "out", out, "entries", len(next.Lives), "open", next.Open)
 }
 
 // recordQuery registers the entry node that sent a query, and those that a relay
 // answers.
-func (sh *Sharing) recordQuery(args NewestArgs) {
+func (sh *QuotaController) recordQuery(args NewestArgs) {
 	if sh == nil {
 		return
 	}
 	for _, n := range args.quotaNodes() {
-		sh.register.Note(n)
+		sh.register.RecordRequest(n)
 	}
 }
 
@@ -105,7 +105,7 @@
 func (a *NewestArgs) quotaNodes() []quota.Node {
 	var nodes []quota.Node
 	if a.Entry != "" {
-		nodes = append(nodes, quota.Node{Address: a.Entry, Life: a.Life})
+		nodes = append(nodes, quota.Node{Address: a.Entry, Incarnation: a.Life})
 	}
 	for _, entry := range a.Relayed {
 		nodes = append(nodes, quota.Node{Address: entry})
@@ -115,11 +115,11 @@
 
 // shareFor returns the share of the query's sender, or of each of the entry nodes for
 // which a relay asks. The caller has had leadership confirmed after the query arrived.
-func (sh *Sharing) shareFor(args NewestArgs) quota.Word {
+func (sh *QuotaController) shareFor(args NewestArgs) quota.Assignment {
 	if sh == nil || !args.wantsTargets() {
-		return quota.Word{}
+		return quota.Assignment{}
 	}
-	return sh.register.Word(sh.state.quotaSet(), args.quotaNodes()...)
+	return sh.register.Assignment(sh.state.quotaSet(), args.quotaNodes()...)
 }
 
 // quotaSet returns the entry nodes that share the budget, as applied by this
@@ -135,21 +135,21 @@
 func (c *Client) WithQuota(h *quota.Holder) { c.quota = h }
 
 // applyShare applies this node's share from a reply.
-func (c *Client) applyShare(w quota.Word, requestedAt time.Time) {
+func (c *Client) applyShare(w quota.Assignment, requestedAt time.Time) {
 	if c.quota != nil {
-		c.quota.Take(w, requestedAt)
+		c.quota.Apply(w, requestedAt)
 	}
 }
 
 // relayedShare is the leader's reply about the shares of a relay's entry nodes.
 type relayedShare struct {
-	share       quota.Word
+	share       quota.Assignment
 	requestedAt time.Time
 	entries     map[string]bool // addresses the share applies to
 }
 
 // cacheShare keeps the share for the entry nodes that a query named.
-func (r *Relay) cacheShare(args NewestArgs, w quota.Word, requestedAt time.Time) {
+func (r *Relay) cacheShare(args NewestArgs, w quota.Assignment, requestedAt time.Time) {
 	if w.Nodes == 0 {
 		return
 	}
@@ -164,9 +164,9 @@
 
 // shareFor returns the share for an entry node whose query was received at a
 // given time.
-func (p *relayedShare) shareFor(entry string, receivedAt time.Time) quota.Word {
-	if !p.entries[entry] || uptime.Since(p.requestedAt) > quota.AskLimit {
-		return quota.Word{}
+func (p *relayedShare) shareFor(entry string, receivedAt time.Time) quota.Assignment {
+	if !p.entries[entry] || uptime.Since(p.requestedAt) > quota.AnswerTimeout {
+		return quota.Assignment{}
 	}
 	w := p.share
 	w.Age = max(0, receivedAt.Sub(p.requestedAt))
--- a/control/sharing_site_test.go
+++ b/control/sharing_site_test.go
@@ -22,14 +22,14 @@
 // startSharing runs a Sharing on each member.
 func (g *group) startSharing(ctx context.Context) {
 	for _, m := range g.members {
-		go control.NewSharing(m.raft, m.server, shareSpan).Run(ctx)
+		go control.NewQuotaController(m.raft, m.server, shareSpan).Run(ctx)
 	}
 }
 
 func (g *group) startEntry(i int) *sharingEntry {
 	e := &sharingEntry{holder: quota.NewHolder(shareSpan)}
 	e.Client = control.NewDocumentClient(peers{g, "client"}, g.names, func(uint64, []byte) error { return nil })
-	e.AsEntry(control.EntryPlace{Address: fmt.Sprint("e", i), DataHall: "hall"}, func([]control.EntryPlace, bool) {})
+	e.RegisterEntryNode(control.EntryNode{Address: fmt.Sprint("e", i), DataHall: "hall"}, func([]control.EntryNode, bool) {})
 	e.WithQuota(e.holder)
 	e.Start()
 	return e
@@ -55,7 +55,7 @@
 		}
 		shares := func() (parts []float64) {
 			for _, e := range entries {
-				parts = append(parts, e.holder.Part())
+				parts = append(parts, e.holder.Share())
 			}
 			return parts
 		}
--- a/control/suspend_test.go
+++ b/control/suspend_test.go
@@ -48,7 +48,7 @@
 }
 
 func TestTargetListAgesDuringSuspend(t *testing.T) {
-	r := NewRoster()
+	r := NewTargetList()
 	r.Set(numberedTargets(0, 3))
 	t.Cleanup(uptime.Pretend(21 * time.Second))
 	require.GreaterOrEqual(t, r.compressedReply(0).Age, 20*time.Second)
--- a/control/usage_controller.go
+++ b/control/usage_controller.go
@@ -65,12 +65,12 @@
 // UsageStats are the counters of a UsageController. Oldest is the oldest window counted
 // by Untold; 0 for none.
 type UsageStats struct {
-	Closed   uint64 // windows closed by this member
-	Told     uint64 // windows reported to the platform by this member
-	GivenUp  uint64 // windows dropped after maxRejections
-	Failures uint64 // calls that failed or had no clear outcome
-	Untold   int    // closed windows not yet recorded as reported
-	Oldest   metering.Window
+	Closed     uint64 // windows closed by this member
+	Reported   uint64 // windows reported to the platform by this member
+	GivenUp    uint64 // windows dropped after maxRejections
+	Failures   uint64 // calls that failed or had no clear outcome
+	Unreported int    // closed windows not yet recorded as reported
+	Oldest     metering.Window
 }
 
 // NewUsageController returns a UsageController for a member's server, whose
@@ -94,7 +94,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	stats := c.stats
-	stats.Untold = len(w.Untold)
+	stats.Unreported = len(w.Untold)
 	if len(w.Untold) > 0 {
 		stats.Oldest = w.Untold[0].Window
 	}
@@ -230,7 +230,7 @@
 	defer c.mu.Unlock()
 	c.finished = w
 	if reported {
-		c.stats.Told++
+		c.stats.Reported++
 	} else {
 		c.stats.GivenUp++
 	}
--- a/control/usage_fleet_test.go
+++ b/control/usage_fleet_test.go
@@ -90,7 +90,7 @@
 	}
 	wall := func() time.Time { return time.Now().Add(offset) }
 	m.timekeeper = control.NewTimekeeper(peers, m.name, m.raft, answers, control.WithWallClock(wall))
-	reports := control.NewReports(peers, m.raft, answers)
+	reports := control.NewReportCollector(peers, m.raft, answers)
 	controller := control.NewUsageController(m.raft, answers, usageCaller{m.raft}, site.platform, usageConfig)
 	reports.SetDemandSink(func(node string, _ uint64, rows []fleet.Demand) { site.platform.recordDemand(node, rows) })
 	return []func(context.Context){m.timekeeper.Run, reports.Run, controller.Run}
