--- a/discovery/poller.go
+++ b/discovery/poller.go
@@ -23,35 +23,35 @@
 	Put     []Target // new or changed
 }
 
-// Feed is an update of the list from another node. With neither a list nor a change, the
+// FeedUpdate is an update of the list from another node. With neither a list nor a change, the
 // list it sent last is still valid.
-type Feed struct {
+type FeedUpdate struct {
 	List   []Target      // complete list
 	Change *Change       // to the list it sent last
 	Age    time.Duration // since the other node read the list
 }
 
-// Taker receives lists of targets.
-type Taker interface {
-	// TakeList replaces the list.
-	TakeList(list []Target)
-	// TakeChange applies a change to the current list.
-	TakeChange(c Change)
+// ListHandler receives lists of targets.
+type ListHandler interface {
+	// SetList replaces the list.
+	SetList(list []Target)
+	// ApplyChange applies a change to the current list.
+	ApplyChange(c Change)
 }
 
-// TakerFunc adapts a function to a Taker that ignores changes, for pollers without a feed.
-type TakerFunc func(list []Target)
+// ListHandlerFunc adapts a function to a Taker that ignores changes, for pollers without a feed.
+type ListHandlerFunc func(list []Target)
 
-// TakeList implements Taker.
-func (f TakerFunc) TakeList(list []Target) { f(list) }
+// SetList implements Taker.
+func (f ListHandlerFunc) SetList(list []Target) { f(list) }
 
-// TakeChange implements Taker.
-func (f TakerFunc) TakeChange(Change) {}
+// ApplyChange implements Taker.
+func (f ListHandlerFunc) ApplyChange(Change) {}
 
 // Poller periodically reads a Source.
 type Poller struct {
 	source    Source
-	taker     Taker
+	taker     ListHandler
 	cfg       PollerConfig
 	pollNow   chan struct{}
 	notBefore time.Time // no reads before this time
@@ -78,24 +78,26 @@
 // PollerOption sets a field of PollerConfig.
 type PollerOption func(*PollerConfig)
 
-// WithOnly restricts reads to times when a condition holds.
-func WithOnly(condition func() bool) PollerOption {
+// WithCondition restricts reads to times when a condition holds.
+func WithCondition(condition func() bool) PollerOption {
 	return func(c *PollerConfig) { c.Condition = condition }
 }
 
-// WithPatience sets how long a new poller waits for a feed before it reads the source
+// WithInitialDelay sets how long a new poller waits for a feed before it reads the source
 // itself.
-func WithPatience(d time.Duration) PollerOption { return func(c *PollerConfig) { c.InitialDelay = d } }
+func WithInitialDelay(d time.Duration) PollerOption {
+	return func(c *PollerConfig) { c.InitialDelay = d }
+}
 
-// Paced is a Source that limits its read rate.
-type Paced interface {
+// RateLimitedSource is a Source that limits its read rate.
+type RateLimitedSource interface {
 	// Interval returns the minimum time between reads; 0 for no limit.
 	Interval() time.Duration
 }
 
 // NewPoller returns a poller that passes every list it reads, and the updates of Fed, to
 // a taker. It calls the taker with its mutex held, so the taker must not call Fed.
-func NewPoller(source Source, taker Taker, opts ...PollerOption) *Poller {
+func NewPoller(source Source, taker ListHandler, opts ...PollerOption) *Poller {
 	cfg := PollerConfig{Interval: time.Second, MinInterval: 300 * time.Millisecond, Timeout: 3 * time.Second, FeedTimeout: 1600 * time.Millisecond, MaxFeedAge: 3200 * time.Millisecond}
 	for _, opt := range opts {
 		opt(&cfg)
@@ -103,19 +105,19 @@
 	return &Poller{source: source, taker: taker, cfg: cfg, pollNow: make(chan struct{}, 1), notBefore: uptime.Now().Add(cfg.InitialDelay)}
 }
 
-// Soon requests a read before the next one is due. It has no effect while reads are
+// RequestRead requests a read before the next one is due. It has no effect while reads are
 // skipped; see readDue.
-func (p *Poller) Soon() {
+func (p *Poller) RequestRead() {
 	select {
 	case p.pollNow <- struct{}{}:
 	default:
 	}
 }
 
-// Fed applies an update from another node in place of a read. A list older than the
-// current one is not passed on. Fed returns false for a change if the current list is not
+// ApplyFeed applies an update from another node in place of a read. A list older than the
+// current one is not passed on. ApplyFeed returns false for a change if the current list is not
 // the one last sent by the feed; the complete list is needed then.
-func (p *Poller) Fed(f Feed) bool {
+func (p *Poller) ApplyFeed(f FeedUpdate) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if f.Change != nil && p.ownList {
@@ -124,10 +126,10 @@
 	newer := p.recordFeed(f)
 	switch {
 	case f.Change != nil:
-		p.taker.TakeChange(*f.Change)
+		p.taker.ApplyChange(*f.Change)
 	case f.List != nil && newer:
 		p.ownList = false
-		p.taker.TakeList(f.List)
+		p.taker.SetList(f.List)
 	case f.List != nil:
 		p.ownList = true
 	}
@@ -136,7 +138,7 @@
 
 // recordFeed records the times of a feed update, and reports whether its list is newer
 // than the current one. The caller holds the mutex.
-func (p *Poller) recordFeed(f Feed) (newer bool) {
+func (p *Poller) recordFeed(f FeedUpdate) (newer bool) {
 	readAt := uptime.Now().Add(-f.Age)
 	newer = readAt.After(p.readAt)
 	if newer {
@@ -195,13 +197,13 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.readAt, p.ownList = began, true
-	p.taker.TakeList(list)
+	p.taker.SetList(list)
 	return nil
 }
 
 // interval returns the time between reads.
 func (p *Poller) interval() time.Duration {
-	if paced, ok := p.source.(Paced); ok {
+	if paced, ok := p.source.(RateLimitedSource); ok {
 		return max(p.cfg.Interval, paced.Interval())
 	}
 	return p.cfg.Interval
--- a/discovery/poller_test.go
+++ b/discovery/poller_test.go
@@ -25,8 +25,8 @@
 // recordingTaker records the first target of each list or change.
 type recordingTaker struct{ taken *atomic.Value }
 
-func (n *recordingTaker) TakeList(list []Target) { n.taken.Store(list[0].ID) }
-func (n *recordingTaker) TakeChange(c Change)    { n.taken.Store(c.Put[0].ID) }
+func (n *recordingTaker) SetList(list []Target) { n.taken.Store(list[0].ID) }
+func (n *recordingTaker) ApplyChange(c Change)  { n.taken.Store(c.Put[0].ID) }
 
 // start runs a poller and returns the last value recorded by its taker.
 func start(t *testing.T, s Source, opts ...PollerOption) (*Poller, *atomic.Value) {
@@ -41,11 +41,11 @@
 }
 
 // feedOf returns a feed update, without the list if it is unchanged.
-func feedOf(unchanged bool, age time.Duration) Feed {
+func feedOf(unchanged bool, age time.Duration) FeedUpdate {
 	if unchanged {
-		return Feed{Age: age}
+		return FeedUpdate{Age: age}
 	}
-	return Feed{List: []Target{{ID: "fed"}}, Age: age}
+	return FeedUpdate{List: []Target{{ID: "fed"}}, Age: age}
 }
 
 func TestPollerReadsWithoutFeed(t *testing.T) {
@@ -66,7 +66,7 @@
 		require.EqualValues(t, 1, s.reads.Load())
 		for i := range 10 {
 			time.Sleep(600 * time.Millisecond)
-			p.Fed(feedOf(i > 0, 500*time.Millisecond))
+			p.ApplyFeed(feedOf(i > 0, 500*time.Millisecond))
 		}
 		require.EqualValues(t, 1, s.reads.Load())
 		require.Equal(t, "fed", taken.Load())
@@ -83,7 +83,7 @@
 		p, _ := start(t, s)
 		time.Sleep(200 * time.Millisecond)
 		for i := range 10 {
-			p.Fed(feedOf(i > 0, time.Duration(i%2)*time.Second))
+			p.ApplyFeed(feedOf(i > 0, time.Duration(i%2)*time.Second))
 			time.Sleep(time.Second)
 		}
 		require.EqualValues(t, 1, s.reads.Load())
@@ -95,7 +95,7 @@
 		s := &countingSource{}
 		p, taken := start(t, s)
 		time.Sleep(100 * time.Millisecond)
-		p.Fed(feedOf(false, 5*time.Second))
+		p.ApplyFeed(feedOf(false, 5*time.Second))
 		require.Equal(t, "own", taken.Load(), "the poller's own list is newer")
 		time.Sleep(5 * time.Second)
 		require.Greater(t, s.reads.Load(), int64(3), "a feed with an old list is ignored")
@@ -107,11 +107,11 @@
 		s := &countingSource{}
 		p, _ := start(t, s)
 		time.Sleep(400 * time.Millisecond)
-		p.Soon()
+		p.RequestRead()
 		time.Sleep(50 * time.Millisecond)
 		require.EqualValues(t, 2, s.reads.Load())
-		p.Soon()
-		p.Soon()
+		p.RequestRead()
+		p.RequestRead()
 		time.Sleep(200 * time.Millisecond)
 		require.EqualValues(t, 2, s.reads.Load(), "reads are at least MinInterval apart")
 	})
@@ -125,8 +125,8 @@
 		p, _ := start(t, s)
 		time.Sleep(200 * time.Millisecond)
 		for range 20 {
-			p.Fed(feedOf(true, 100*time.Millisecond))
-			p.Soon()
+			p.ApplyFeed(feedOf(true, 100*time.Millisecond))
+			p.RequestRead()
 			time.Sleep(500 * time.Millisecond)
 		}
 		require.EqualValues(t, 1, s.reads.Load())
@@ -137,7 +137,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := &countingSource{err: errors.New("429")}
 		var leader atomic.Bool
-		start(t, s, WithOnly(leader.Load))
+		start(t, s, WithCondition(leader.Load))
 		time.Sleep(5 * time.Second)
 		require.Zero(t, s.reads.Load())
 		leader.Store(true)
@@ -147,8 +147,8 @@
 }
 
 func TestFeedIsStaleAfterSuspend(t *testing.T) {
-	p := NewPoller(&countingSource{}, TakerFunc(func([]Target) {}))
-	p.Fed(feedOf(false, 0))
+	p := NewPoller(&countingSource{}, ListHandlerFunc(func([]Target) {}))
+	p.ApplyFeed(feedOf(false, 0))
 	require.False(t, p.readDue())
 	t.Cleanup(uptime.Pretend(5 * time.Second))
 	require.True(t, p.readDue())
@@ -158,12 +158,12 @@
 func TestPollerWaitsForFeedAfterStart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &countingSource{}
-		p, taken := start(t, s, WithPatience(4*time.Second))
+		p, taken := start(t, s, WithInitialDelay(4*time.Second))
 		alone := &countingSource{}
-		start(t, alone, WithPatience(4*time.Second))
+		start(t, alone, WithInitialDelay(4*time.Second))
 		time.Sleep(3 * time.Second)
 		for range 5 {
-			p.Fed(feedOf(false, 0))
+			p.ApplyFeed(feedOf(false, 0))
 			time.Sleep(time.Second)
 		}
 		require.Zero(t, s.reads.Load())
@@ -189,18 +189,18 @@
 // A change must be applied only to the list it is based on.
 func TestChangeToOutdatedListIsRejected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		change := Feed{Change: &Change{Put: []Target{{ID: "changed"}}}}
-		p, taken := start(t, &countingSource{}, WithPatience(3*time.Second))
-		require.True(t, p.Fed(feedOf(false, 0)))
-		require.True(t, p.Fed(change))
+		change := FeedUpdate{Change: &Change{Put: []Target{{ID: "changed"}}}}
+		p, taken := start(t, &countingSource{}, WithInitialDelay(3*time.Second))
+		require.True(t, p.ApplyFeed(feedOf(false, 0)))
+		require.True(t, p.ApplyFeed(change))
 		require.Equal(t, "changed", taken.Load())
 		time.Sleep(6 * time.Second)
 		require.Equal(t, "own", taken.Load())
-		require.False(t, p.Fed(change), "the poller has read its own list since")
-		require.True(t, p.Fed(feedOf(false, time.Hour)), "older than the own list")
-		require.False(t, p.Fed(change))
-		require.True(t, p.Fed(feedOf(false, 0)))
-		require.True(t, p.Fed(change))
+		require.False(t, p.ApplyFeed(change), "the poller has read its own list since")
+		require.True(t, p.ApplyFeed(feedOf(false, time.Hour)), "older than the own list")
+		require.False(t, p.ApplyFeed(change))
+		require.True(t, p.ApplyFeed(feedOf(false, 0)))
+		require.True(t, p.ApplyFeed(change))
 	})
 }
 
@@ -208,9 +208,9 @@
 func TestFeedOfLongListIsTrusted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &countingSource{}
-		p, _ := start(t, s, WithPatience(2*time.Second))
+		p, _ := start(t, s, WithInitialDelay(2*time.Second))
 		for i := range 20 {
-			p.Fed(feedOf(i > 0, time.Duration(i%5)*500*time.Millisecond))
+			p.ApplyFeed(feedOf(i > 0, time.Duration(i%5)*500*time.Millisecond))
 			time.Sleep(time.Second)
 		}
 		require.Zero(t, s.reads.Load())
--- a/discovery/target.go
+++ b/discovery/target.go
@@ -27,9 +27,9 @@
 	Born int64
 }
 
-// Life identifies this start of the target; it is the ID if the start time is unknown.
+// Incarnation identifies this start of the target; it is the ID if the start time is unknown.
 // State recorded for another start of the same target does not apply to it.
-func (t *Target) Life() string {
+func (t *Target) Incarnation() string {
 	if t.Born == 0 {
 		return t.ID
 	}
--- a/duty/gate.go
+++ b/duty/gate.go
@@ -49,12 +49,12 @@
 	return ok && a.token >= current && (a.refused || a.content != c.Content)
 }
 
-// Pause returns the remaining backoff.
-func (g *Gate) Pause(now time.Time) time.Duration { return max(0, g.backoffUntil.Sub(now)) }
+// BackoffLeft returns the remaining backoff.
+func (g *Gate) BackoffLeft(now time.Time) time.Duration { return max(0, g.backoffUntil.Sub(now)) }
 
-// Silent returns the time since the first of the latest consecutive unanswered
+// Unresponsive returns the time since the first of the latest consecutive unanswered
 // calls was sent; 0 if there are fewer than minUnanswered of them.
-func (g *Gate) Silent(now time.Time) time.Duration {
+func (g *Gate) Unresponsive(now time.Time) time.Duration {
 	if g.unanswered < minUnanswered {
 		return 0
 	}
@@ -73,9 +73,9 @@
 	return !g.lastUnclear.IsZero() && now.Sub(g.lastUnclear) < within
 }
 
-// Note records the outcome of a call. NotSent changes nothing, except that calls
+// RecordOutcome records the outcome of a call. NotSent changes nothing, except that calls
 // under lower tokens are forgotten.
-func (g *Gate) Note(c Call, p Permission, o Outcome, sent, now time.Time) {
+func (g *Gate) RecordOutcome(c Call, p Permission, o Outcome, sent, now time.Time) {
 	g.prune(p.Token)
 	if o == NotSent {
 		return
--- a/duty/gate_test.go
+++ b/duty/gate_test.go
@@ -10,7 +10,7 @@
 func call(subject Subject, content string) Call { return Call{Subject: subject, Content: content} }
 
 func note(g *Gate, subject Subject, content string, token Token, o Outcome, now time.Time) {
-	g.Note(call(subject, content), Permission{Token: token}, o, now, now)
+	g.RecordOutcome(call(subject, content), Permission{Token: token}, o, now, now)
 }
 
 func TestUnclearCallNeedsHigherTokenForOtherContent(t *testing.T) {
@@ -49,27 +49,27 @@
 	limits := []time.Duration{100, 200, 400, 800, 1600, 2000, 2000}
 	for _, limit := range limits {
 		note(g, "s", "x", 5, Busy, start)
-		pause := g.Pause(start)
+		pause := g.BackoffLeft(start)
 		require.GreaterOrEqual(t, pause, limit*time.Millisecond/2)
 		require.LessOrEqual(t, pause, limit*time.Millisecond)
-		require.Zero(t, g.Pause(start.Add(pause)))
+		require.Zero(t, g.BackoffLeft(start.Add(pause)))
 	}
 	note(g, "s", "x", 5, Done, start)
 	note(g, "s", "x", 5, Unclear, start)
-	require.LessOrEqual(t, g.Pause(start), minBackoff)
+	require.LessOrEqual(t, g.BackoffLeft(start), minBackoff)
 }
 
 func TestUnresponsivePlatform(t *testing.T) {
 	g := NewGate()
 	note(g, "s", "x", 5, Unclear, at(0))
 	note(g, "s", "x", 5, Unreachable, at(500))
-	require.Zero(t, g.Silent(at(9000)), "fewer than minUnanswered calls")
+	require.Zero(t, g.Unresponsive(at(9000)), "fewer than minUnanswered calls")
 	note(g, "s", "x", 5, NotSent, at(600))
 	note(g, "s", "x", 5, Unclear, at(1000))
-	require.Equal(t, 2*time.Second, g.Silent(at(2000)))
+	require.Equal(t, 2*time.Second, g.Unresponsive(at(2000)))
 	require.False(t, g.Reached())
 	note(g, "s", "x", 5, Busy, at(2000))
-	require.Zero(t, g.Silent(at(3000)), "Busy is an answer")
+	require.Zero(t, g.Unresponsive(at(3000)), "Busy is an answer")
 	require.True(t, g.Reached())
 	g.ForgetAnswers()
 	require.False(t, g.Reached())
--- a/emulator/policies_test.go
+++ b/emulator/policies_test.go
@@ -160,7 +160,7 @@
 		for i, from := range e.trackers {
 			for j, to := range e.trackers {
 				if i != j {
-					to.SetOthers(fmt.Sprint(i), from.Runs())
+					to.SetPeerRuns(fmt.Sprint(i), from.Runs())
 					to.SetEnded(from.Ended())
 					to.SetSuspects(from.Suspects())
 				}
@@ -279,8 +279,8 @@
 		"draft": {Name: "draft", Engine: true, Memory: DefaultConfig(engineNames).Memory, Slots: DefaultConfig(engineNames).Slots},
 	}}
 	table.SetRoutes([]*gateway.Route{{
-		Name: "draft", Host: "a.example", Prefix: "/draft/", Kind: gateway.Stream, Resume: true, Timeout: 25 * time.Second, Aim: firstEventObjective,
-		MaxAttempts: 5, Split: []gateway.Weighted{{Service: "draft", Weight: 1}},
+		Name: "draft", Host: "a.example", Prefix: "/draft/", Kind: gateway.Stream, Resume: true, Timeout: 25 * time.Second, LatencyObjective: firstEventObjective,
+		MaxAttempts: 5, Split: []gateway.WeightedService{{Service: "draft", Weight: 1}},
 	}})
 	return table
 }
--- a/emulator/service_test.go
+++ b/emulator/service_test.go
@@ -84,15 +84,15 @@
 			time.Sleep(2 * networkLatency)
 		}
 		for t := range probed {
-			t.Told(reportedLoad(servers[t.ID].Report()))
+			t.RecordLoad(reportedLoad(servers[t.ID].Report()))
 		}
 		at := node.Pick(balance.Choice{Service: "lookup", Exclude: func(t *balance.Target) bool { return v.probes > 0 && !probed[t] }})
 		run := at.Begin(balance.Work{}, balance.Trace{})
 		time.Sleep(networkLatency)
 		report := servers[at.ID].Work(serviceTime)
 		time.Sleep(networkLatency)
-		at.Told(reportedLoad(report))
-		run.End(balance.RunEnd{Whole: true})
+		at.RecordLoad(reportedLoad(report))
+		run.End(balance.RunEnd{Complete: true})
 		mu.Lock()
 		defer mu.Unlock()
 		latencies = append(latencies, time.Since(start))
--- a/explain/ends.go
+++ b/explain/ends.go
@@ -18,7 +18,7 @@
 // because of its quarantine, or "" for any other result.
 func quarantinedContent(last Line) string {
 	switch last.code() {
-	case walnutramp.CodeHeldBack, walnutramp.CodeEndsTargets:
+	case walnutramp.CodeQuarantined, walnutramp.CodeCrashesTargets:
 		return last.Fields["content"]
 	}
 	return ""
--- a/explain/explain.go
+++ b/explain/explain.go
@@ -349,10 +349,10 @@
 		return description, "the node had no configuration yet; look at its start and at the control group's leader"
 	case walnutramp.CodeUnknownPath, walnutramp.CodeBadKey:
 		return description, "compare the configuration in force on the node at that time (version in its log) with the client's request"
-	case walnutramp.CodeHeldBack, walnutramp.CodeEndsTargets:
+	case walnutramp.CodeQuarantined, walnutramp.CodeCrashesTargets:
 		return fmt.Sprintf("targets end when they run content %s: %s", last.Fields["content"], s.crashes(last.Fields["content"])),
 			"look at the targets' own logs of these moments; the client is told when the request may be tried again"
-	case walnutramp.CodeTargetsRest:
+	case walnutramp.CodeTargetsCooldown:
 		return description, "all targets of the service had asked this node to back off: see the lines in which they did; Retry-After tells the client when the first is available again"
 	case walnutramp.CodeNoTarget:
 		return description, "no target of the service could be asked: look at its list of targets and at what turned the request away"
--- a/fleet/cost.go
+++ b/fleet/cost.go
@@ -52,7 +52,7 @@
 
 // lossEvents lists the loss scenarios: reclaimed spot targets in up to
 // maxReclaims data halls, combined with the loss of up to one data hall.
-func (s *Situation) lossEvents() []lossEvent {
+func (s *PlanInput) lossEvents() []lossEvent {
 	halls := s.halls()
 	events := []lossEvent{{probability: 1}}
 	for _, hall := range halls {
@@ -89,7 +89,7 @@
 }
 
 // meanPrice returns the mean on-demand price over the data halls.
-func (s *Situation) meanPrice() float64 {
+func (s *PlanInput) meanPrice() float64 {
 	sum := 0.0
 	for _, hall := range s.halls() {
 		sum += s.Scaling.price(Place{hall, OnDemand})
@@ -99,11 +99,11 @@
 
 // expectedCost returns the expected cost per second: the price of the targets
 // plus the penalties.
-func (s *Situation) expectedCost(c Counts) float64 { return s.costFunc()(c) }
+func (s *PlanInput) expectedCost(c Counts) float64 { return s.costFunc()(c) }
 
 // costFunc returns expectedCost as a function, with the parts that do not
 // depend on the counts computed once.
-func (s *Situation) costFunc() func(Counts) float64 {
+func (s *PlanInput) costFunc() func(Counts) float64 {
 	normal, burst := s.Engine.needOf(*s.Load), s.Engine.needOf(s.Load.scaled(burstFactor))
 	halls, events, price := s.halls(), s.lossEvents(), s.meanPrice()
 	return func(c Counts) float64 {
@@ -127,7 +127,7 @@
 // searchLeastCost runs a local search for the lowest expected cost, starting at
 // the guess. Each change, as listed by moves, keeps the limits of apply. The result
 // never costs more than the guess, but may be a local minimum.
-func (s *Situation) searchLeastCost(guess Counts) Counts {
+func (s *PlanInput) searchLeastCost(guess Counts) Counts {
 	cost, base := s.costFunc(), s.onDemandBase()
 	best, lowest := maps.Clone(guess), cost(guess)
 	for _, step := range stepSizes {
@@ -153,7 +153,7 @@
 
 // moves lists the candidate moves of one step size: at one place, from one
 // place to another, and at all data halls.
-func (s *Situation) moves(step int) []Counts {
+func (s *PlanInput) moves(step int) []Counts {
 	var places []Place
 	kinds := []Kind{OnDemand}
 	if s.Scaling.SpotPrice > 0 {
@@ -182,7 +182,7 @@
 
 // apply returns the counts with a change applied; false if the result
 // violates a limit.
-func (s *Situation) apply(c, change, base Counts) (Counts, bool) {
+func (s *PlanInput) apply(c, change, base Counts) (Counts, bool) {
 	next := maps.Clone(c)
 	for p, n := range change {
 		next[p] += n
--- a/fleet/demand.go
+++ b/fleet/demand.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// Tally aggregates the demand reports of all nodes. Reports are cumulative, so
+// Aggregator aggregates the demand reports of all nodes. Reports are cumulative, so
 // duplicated and lost reports do not distort the totals. The first report of a
 // process only sets its baseline, since most of it predates the tally.
-type Tally struct {
+type Aggregator struct {
 	nodes map[string]*nodeDemand
 	total map[string]Demand // by service
 }
@@ -20,13 +20,13 @@
 	rows map[string]Demand // by service
 }
 
-// NewTally returns an empty tally.
-func NewTally() *Tally {
-	return &Tally{nodes: map[string]*nodeDemand{}, total: map[string]Demand{}}
+// NewAggregator returns an empty tally.
+func NewAggregator() *Aggregator {
+	return &Aggregator{nodes: map[string]*nodeDemand{}, total: map[string]Demand{}}
 }
 
-// Take merges a node's report; life identifies its process.
-func (t *Tally) Take(node string, life uint64, rows []Demand) {
+// Merge merges a node's report; life identifies its process.
+func (t *Aggregator) Merge(node string, life uint64, rows []Demand) {
 	n := t.nodes[node]
 	if n == nil || n.life != life {
 		n = &nodeDemand{life: life, rows: map[string]Demand{}}
@@ -48,7 +48,7 @@
 }
 
 // Total returns the totals, sorted by service. They never decrease.
-func (t *Tally) Total() []Demand {
+func (t *Aggregator) Total() []Demand {
 	total := make([]Demand, 0, len(t.total))
 	for _, service := range slices.Sorted(maps.Keys(t.total)) {
 		total = append(total, t.total[service])
@@ -57,7 +57,7 @@
 }
 
 // Of returns the total of a service; false if no node has reported it.
-func (t *Tally) Of(service string) (Demand, bool) {
+func (t *Aggregator) Of(service string) (Demand, bool) {
 	d, known := t.total[service]
 	return d, known
 }
--- a/fleet/demand_test.go
+++ b/fleet/demand_test.go
@@ -15,24 +15,24 @@
 }
 
 func TestTallyNeverDecreases(t *testing.T) {
-	tally := fleet.NewTally()
+	tally := fleet.NewAggregator()
 	total := func() uint64 {
 		d, _ := tally.Of("engines")
 		return d.Requests
 	}
-	tally.Take("n1", 1, rows(100))
+	tally.Merge("n1", 1, rows(100))
 	require.Zero(t, total(), "the first report only sets the baseline")
-	tally.Take("n1", 1, rows(130))
+	tally.Merge("n1", 1, rows(130))
 	require.EqualValues(t, 30, total())
-	tally.Take("n1", 1, rows(130))
+	tally.Merge("n1", 1, rows(130))
 	require.EqualValues(t, 30, total(), "duplicate report")
-	tally.Take("n1", 1, rows(120))
+	tally.Merge("n1", 1, rows(120))
 	require.EqualValues(t, 30, total(), "reordered report")
-	tally.Take("n1", 2, rows(5))
-	tally.Take("n1", 2, rows(9))
+	tally.Merge("n1", 2, rows(5))
+	tally.Merge("n1", 2, rows(9))
 	require.EqualValues(t, 34, total(), "restarted node")
-	tally.Take("n2", 7, nil)
-	tally.Take("n2", 7, rows(6))
+	tally.Merge("n2", 7, nil)
+	tally.Merge("n2", 7, rows(6))
 	require.EqualValues(t, 40, total(), "node that reported before its first request")
 	require.Equal(t, []fleet.Demand{{Service: "engines", Requests: 40, ReadMS: 400}}, tally.Total())
 }
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -222,18 +222,18 @@
 			!inRange(reading, 0, 1e6) || !inRange(running, 0, 1e6) || !inRange(held, 0, 1e12) {
 			t.Skip()
 		}
-		s := fleet.Situation{
+		s := fleet.PlanInput{
 			Scaling: fleet.Scaling{Min: minTargets, Max: maxTargets, Boot: time.Second, SpotPrice: spot, Prices: map[string]float64{"a": priceA, "b": priceB, "c": priceC}},
 			Engine:  simEngine(), Risks: fleet.AssumedRisks(), Base: map[string]int{"a": 1, "b": 2, "c": 3},
-			Load:  &fleet.Load{Requests: reading, Reading: reading, Running: running, Held: held},
-			Stuck: fleet.Counts{},
+			Load:      &fleet.Load{Requests: reading, Reading: reading, Running: running, Held: held},
+			Exhausted: fleet.Counts{},
 		}
 		room := 0
 		for i, hall := range simHalls {
 			free := false
 			for kind := range 2 {
 				if stuck>>(2*i+kind)&1 == 1 {
-					s.Stuck[fleet.Place{DataHall: hall, Kind: fleet.Kind(kind)}] = 0
+					s.Exhausted[fleet.Place{DataHall: hall, Kind: fleet.Kind(kind)}] = 0
 				} else if fleet.Kind(kind) == fleet.OnDemand || spot > 0 {
 					free = true
 				}
@@ -254,13 +254,13 @@
 
 // checkPlan checks wanted counts. Room is the number of targets that fit in the
 // places with capacity.
-func checkPlan(t *testing.T, s *fleet.Situation, wanted fleet.Counts, room int) {
+func checkPlan(t *testing.T, s *fleet.PlanInput, wanted fleet.Counts, room int) {
 	t.Helper()
 	for p, n := range wanted {
 		if n < 0 || wanted.Hall(p.DataHall) > s.Scaling.Max {
 			t.Errorf("%d of %v, want at most %d in its hall", n, p, s.Scaling.Max)
 		}
-		if available, stuck := s.Stuck[p]; stuck && n > available {
+		if available, stuck := s.Exhausted[p]; stuck && n > available {
 			t.Errorf("%d of %v, want at most the %d available", n, p, available)
 		}
 	}
--- a/fleet/mover.go
+++ b/fleet/mover.go
@@ -42,20 +42,20 @@
 	drainTime = 20 * time.Second
 )
 
-// View is the input of a Mover.
-type View struct {
-	Scaling Scaling
-	Wanted  Counts
-	Ordered Counts // desired counts: from orders, else from the initial targets
-	Given   Counts // desired counts from orders only
-	Serving Counts // targets listed as serving
-	Leaving Counts // targets listed as draining
-	Least   int    // fewest targets that can serve the load
+// ReconcileInput is the input of a Mover.
+type ReconcileInput struct {
+	Scaling  Scaling
+	Wanted   Counts
+	Ordered  Counts // desired counts: from orders, else from the initial targets
+	Explicit Counts // desired counts from orders only
+	Serving  Counts // targets listed as serving
+	Draining Counts // targets listed as draining
+	Least    int    // fewest targets that can serve the load
 	// Busy are the data halls with a call in progress.
 	Busy map[string]bool
-	// Filling means that the list may be incomplete, as after the start of a
+	// ListIncomplete means that the list may be incomplete, as after the start of a
 	// site; no targets are removed then.
-	Filling bool
+	ListIncomplete bool
 	// Idle means that no request has arrived yet, so many targets may be
 	// replaced at once.
 	Idle bool
@@ -70,10 +70,10 @@
 // Repeats reports whether the step repeats the previous order.
 func (s Step) Repeats() bool { return s.Before == s.Order.Count }
 
-// Mover reconciles a service's targets with the wanted counts. It scales up at
+// Reconciler reconciles a service's targets with the wanted counts. It scales up at
 // once and down slowly, removes targets only after their replacements serve,
 // and repeats orders that do not take effect.
-type Mover struct {
+type Reconciler struct {
 	service        string
 	places         map[Place]*placeState
 	lastScaledDown map[string]time.Time // time of the last scale-down, by data hall
@@ -100,23 +100,23 @@
 	removedAt    time.Time
 }
 
-// NewMover returns a mover for a service without any orders.
-func NewMover(service string) *Mover {
-	return &Mover{service: service, places: map[Place]*placeState{}, lastScaledDown: map[string]time.Time{}}
+// NewReconciler returns a mover for a service without any orders.
+func NewReconciler(service string) *Reconciler {
+	return &Reconciler{service: service, places: map[Place]*placeState{}, lastScaledDown: map[string]time.Time{}}
 }
 
 // at returns the state of a place, which it adds if there is none.
-func (m *Mover) at(p Place) *placeState {
+func (m *Reconciler) at(p Place) *placeState {
 	if m.places[p] == nil {
 		m.places[p] = &placeState{}
 	}
 	return m.places[p]
 }
 
-// Look compares the listed targets with the orders and returns the places where
+// Observe compares the listed targets with the orders and returns the places where
 // a reclaim of spot targets has begun. A reclaim affects the whole place, so
-// Look removes its targets from v.Serving even if they are still listed.
-func (m *Mover) Look(now time.Time, v *View) (reclaimed []Place) {
+// Observe removes its targets from v.Serving even if they are still listed.
+func (m *Reconciler) Observe(now time.Time, v *ReconcileInput) (reclaimed []Place) {
 	v.Serving = maps.Clone(v.Serving)
 	for p, ordered := range v.Ordered {
 		s := m.at(p)
@@ -125,7 +125,7 @@
 			s.refused(now, v.Scaling.Boot)
 			reclaimed = append(reclaimed, p)
 		}
-		if s.reclaimed && v.Leaving[p] == 0 && float64(v.Serving[p]) >= recoveredPart*float64(ordered) {
+		if s.reclaimed && v.Draining[p] == 0 && float64(v.Serving[p]) >= recoveredPart*float64(ordered) {
 			s.reclaimed = false
 		}
 		if s.reclaimed {
@@ -143,12 +143,12 @@
 
 // beingReclaimed reports whether more spot targets of a place are leaving than
 // were removed by orders.
-func (s *placeState) beingReclaimed(now time.Time, p Place, v *View) bool {
+func (s *placeState) beingReclaimed(now time.Time, p Place, v *ReconcileInput) bool {
 	removed := 0
 	if now.Sub(s.removedAt) < drainTime {
 		removed = s.removed
 	}
-	return p.Kind == Spot && v.Leaving[p] > removed && v.Serving[p] < v.Ordered[p]
+	return p.Kind == Spot && v.Draining[p] > removed && v.Serving[p] < v.Ordered[p]
 }
 
 // refused starts a backoff because the platform had no capacity or reclaimed
@@ -158,9 +158,9 @@
 	s.backoffUntil = now.Add(s.backoff)
 }
 
-// Stuck returns the places without further capacity at present, with the count
+// Exhausted returns the places without further capacity at present, with the count
 // that serves there.
-func (m *Mover) Stuck(now time.Time, serving Counts) Counts {
+func (m *Reconciler) Exhausted(now time.Time, serving Counts) Counts {
 	stuck := Counts{}
 	for p, s := range m.places {
 		if now.Before(s.backoffUntil) {
@@ -170,8 +170,8 @@
 	return stuck
 }
 
-// Sent records the outcome of a call that was started at the given time.
-func (m *Mover) Sent(at time.Time, step Step, outcome duty.Outcome, boot time.Duration) {
+// RecordOutcome records the outcome of a call that was started at the given time.
+func (m *Reconciler) RecordOutcome(at time.Time, step Step, outcome duty.Outcome, boot time.Duration) {
 	s := m.at(step.Order.Place())
 	s.lastSent = at
 	if step.Order.Count > step.Before {
@@ -205,7 +205,7 @@
 }
 
 // Next returns the orders to send now, at most one per data hall.
-func (m *Mover) Next(now time.Time, v *View) []Step {
+func (m *Reconciler) Next(now time.Time, v *ReconcileInput) []Step {
 	staying := v.staying()
 	m.recordWanted(now, v)
 	spare := staying.Total() - v.Wanted.Total()
@@ -229,7 +229,7 @@
 }
 
 // recordWanted stores the wanted counts for scaleDownDelay.
-func (m *Mover) recordWanted(now time.Time, v *View) {
+func (m *Reconciler) recordWanted(now time.Time, v *ReconcileInput) {
 	m.wanted = append(m.wanted, wantedAt{now, v.Wanted})
 	for now.Sub(m.wanted[0].at) > scaleDownDelay*v.Scaling.Boot {
 		m.wanted = m.wanted[1:]
@@ -238,7 +238,7 @@
 
 // maxWanted returns the highest count that was wanted in a data hall within
 // scaleDownDelay.
-func (m *Mover) maxWanted(hall string) int {
+func (m *Reconciler) maxWanted(hall string) int {
 	highest := 0
 	for _, w := range m.wanted {
 		highest = max(highest, w.counts.Hall(hall))
@@ -247,7 +247,7 @@
 }
 
 // staying returns the serving targets that are not to be removed.
-func (v *View) staying() Counts {
+func (v *ReconcileInput) staying() Counts {
 	staying := Counts{}
 	for p, n := range v.Serving {
 		staying[p] = min(n, v.Ordered[p])
@@ -255,7 +255,7 @@
 	return staying
 }
 
-func (v *View) halls() []string {
+func (v *ReconcileInput) halls() []string {
 	var halls []string
 	for _, counts := range []Counts{v.Ordered, v.Wanted} {
 		for p := range counts {
@@ -273,7 +273,7 @@
 var kinds = []Kind{Spot, OnDemand}
 
 // scaleUp returns the scale-up order for a data hall, if any.
-func (m *Mover) scaleUp(now time.Time, v *View, hall string) (Step, bool) {
+func (m *Reconciler) scaleUp(now time.Time, v *ReconcileInput, hall string) (Step, bool) {
 	for _, kind := range kinds {
 		p := Place{hall, kind}
 		before := v.Ordered[p]
@@ -295,8 +295,8 @@
 // scaleDown returns the scale-down order for a data hall, if any. Spare is the
 // number of staying targets beyond those wanted, over all data halls; scaleDown
 // deducts what it removes.
-func (m *Mover) scaleDown(now time.Time, v *View, hall string, spare *int, staying Counts) (Step, bool) {
-	if at := m.lastScaledDown[hall]; v.Filling || !v.Idle && !at.IsZero() && now.Sub(at) < v.Scaling.Boot {
+func (m *Reconciler) scaleDown(now time.Time, v *ReconcileInput, hall string, spare *int, staying Counts) (Step, bool) {
+	if at := m.lastScaledDown[hall]; v.ListIncomplete || !v.Idle && !at.IsZero() && now.Sub(at) < v.Scaling.Boot {
 		return Step{}, false
 	}
 	for _, kind := range []Kind{OnDemand, Spot} {
@@ -332,29 +332,29 @@
 }
 
 // maxScaleDown returns how many targets of a data hall one order may remove.
-func (v *View) maxScaleDown(hall string) int {
+func (v *ReconcileInput) maxScaleDown(hall string) int {
 	return max(1, int(math.Ceil(maxScaleDownPart*float64(v.Ordered.Hall(hall)))))
 }
 
 // inDeadBand reports whether a change is too small to be ordered. It returns false
 // while no request has arrived, and while fewer targets are ordered than the load
 // needs.
-func (v *View) inDeadBand(change int, hall string) bool {
+func (v *ReconcileInput) inDeadBand(change int, hall string) bool {
 	return !v.Idle && v.Ordered.Total() >= v.Least && float64(change) < deadBand*float64(v.Ordered.Hall(hall))
 }
 
 // outcomeUnclear reports whether the last call for a place had an unclear
 // outcome.
-func (m *Mover) outcomeUnclear(p Place) bool {
+func (m *Reconciler) outcomeUnclear(p Place) bool {
 	s := m.at(p)
 	return s.unclear > 0
 }
 
 // repeat returns an order that must be sent again, if any.
-func (m *Mover) repeat(now time.Time, v *View, hall string) (Step, bool) {
+func (m *Reconciler) repeat(now time.Time, v *ReconcileInput, hall string) (Step, bool) {
 	for _, kind := range kinds {
 		p := Place{hall, kind}
-		if count, given := v.Given[p]; given && m.mustRepeat(now, v, p) {
+		if count, given := v.Explicit[p]; given && m.mustRepeat(now, v, p) {
 			return m.step(p, count, count), true
 		}
 	}
@@ -364,7 +364,7 @@
 // mustRepeat reports whether the last order for a place must be sent again: its
 // outcome was unclear, or the list has not shown it for longer than the boot
 // time. A new leader repeats at once.
-func (m *Mover) mustRepeat(now time.Time, v *View, p Place) bool {
+func (m *Reconciler) mustRepeat(now time.Time, v *ReconcileInput, p Place) bool {
 	s := m.at(p)
 	switch {
 	case now.Before(s.backoffUntil):
@@ -384,6 +384,6 @@
 	return now.Sub(since) >= settle
 }
 
-func (m *Mover) step(p Place, before, count int) Step {
+func (m *Reconciler) step(p Place, before, count int) Step {
 	return Step{Order: Order{Service: m.service, DataHall: p.DataHall, Kind: p.Kind, Count: count}, Before: before}
 }
--- a/fleet/need.go
+++ b/fleet/need.go
@@ -86,7 +86,7 @@
 const minInitialPart = 0.75
 
 // Least returns the fewest targets that must serve at any time.
-func (s *Situation) Least() int {
+func (s *PlanInput) Least() int {
 	if s.Load != nil {
 		return s.Engine.Least(*s.Load)
 	}
--- a/fleet/plan.go
+++ b/fleet/plan.go
@@ -31,8 +31,8 @@
 	OtherCost   float64
 }
 
-// Situation is the input of a plan.
-type Situation struct {
+// PlanInput is the input of a plan.
+type PlanInput struct {
 	Scaling Scaling
 	Engine  Engine
 	Risks   Risks
@@ -42,12 +42,12 @@
 	// Load is the load to provision for; nil if it or the capacity of a target
 	// is unknown.
 	Load *Load
-	// Stuck are the places without further capacity, with their current counts.
-	Stuck Counts
+	// Exhausted are the places without further capacity, with their current counts.
+	Exhausted Counts
 }
 
 // halls returns the data halls, sorted.
-func (s *Situation) halls() []string {
+func (s *PlanInput) halls() []string {
 	halls := make([]string, 0, len(s.Base))
 	for hall := range s.Base {
 		halls = append(halls, hall)
@@ -58,7 +58,7 @@
 
 // Plan returns the wanted counts. In each data hall they are at most Max, and at
 // least Min as far as capacity is available.
-func (s *Situation) Plan() Plan {
+func (s *PlanInput) Plan() Plan {
 	if s.Load == nil {
 		return Plan{Wanted: s.keepCapacity(), Method: KeepCapacity}
 	}
@@ -73,7 +73,7 @@
 
 // cheapKind returns the kind with the lower price: Spot if it is offered below the
 // on-demand price, else OnDemand.
-func (s *Situation) cheapKind() Kind {
+func (s *PlanInput) cheapKind() Kind {
 	if s.Scaling.SpotPrice > 0 && s.Scaling.SpotPrice < 1 {
 		return Spot
 	}
@@ -82,9 +82,9 @@
 
 // maxAt returns the highest count of a place, given the count of the other kind
 // and any capacity shortage.
-func (s *Situation) maxAt(c Counts, p Place) int {
+func (s *PlanInput) maxAt(c Counts, p Place) int {
 	limit := max(0, s.Scaling.Max-c[Place{p.DataHall, 1 - p.Kind}])
-	if available, stuck := s.Stuck[p]; stuck {
+	if available, stuck := s.Exhausted[p]; stuck {
 		limit = min(limit, available)
 	}
 	return limit
@@ -93,7 +93,7 @@
 // keepCapacity returns the initial number of targets for each data hall, with
 // kinds chosen for the load that these targets can bear. Counts that are not
 // available in a data hall move to others.
-func (s *Situation) keepCapacity() Counts {
+func (s *PlanInput) keepCapacity() Counts {
 	bearable := *s
 	bearable.Load = s.bearableLoad()
 	cheapest := bearable.searchLeastCost(bearable.hallReserve())
@@ -117,7 +117,7 @@
 // bearableLoad returns the load that the initial targets can bear in a burst
 // after the loss of a data hall, assuming that the operator sized them for
 // that. Only Reading is set, since nothing is known of the other dimensions.
-func (s *Situation) bearableLoad() *Load {
+func (s *PlanInput) bearableLoad() *Load {
 	initial := Counts{}
 	for hall, n := range s.Base {
 		initial[Place{hall, OnDemand}] = n
@@ -127,7 +127,7 @@
 
 // spread adds up to n targets of a kind, one at a time in the data hall with
 // the fewest, and returns the number added.
-func (s *Situation) spread(wanted Counts, kind Kind, n int) int {
+func (s *PlanInput) spread(wanted Counts, kind Kind, n int) int {
 	if kind == Spot && s.Scaling.SpotPrice <= 0 {
 		return 0
 	}
@@ -152,7 +152,7 @@
 }
 
 // ensureMin raises every data hall to Scaling.Min, as far as capacity is available.
-func (s *Situation) ensureMin(wanted Counts) {
+func (s *PlanInput) ensureMin(wanted Counts) {
 	for _, hall := range s.halls() {
 		for _, kind := range []Kind{s.cheapKind(), OnDemand} {
 			p := Place{hall, kind}
@@ -164,7 +164,7 @@
 
 // hallReserve returns counts that serve the load comfortably after the loss of
 // any one data hall, of the cheaper kind where possible.
-func (s *Situation) hallReserve() Counts {
+func (s *PlanInput) hallReserve() Counts {
 	wanted := s.onDemandBase()
 	s.ensureMin(wanted)
 	comfort := int(math.Ceil(s.Engine.needOf(*s.Load).comfort))
@@ -180,7 +180,7 @@
 // targets are used. With every target busy, they can just do the prefill of the load
 // after all spot targets are reclaimed and one data hall is lost, since successive
 // reclaims may occur while the control group cannot scale.
-func (s *Situation) onDemandBase() Counts {
+func (s *PlanInput) onDemandBase() Counts {
 	base := Counts{}
 	if s.cheapKind() == OnDemand {
 		return base
@@ -195,7 +195,7 @@
 }
 
 // ensureLeast adds targets until the load can be served or no capacity is left.
-func (s *Situation) ensureLeast(wanted Counts) {
+func (s *PlanInput) ensureLeast(wanted Counts) {
 	missing := s.Engine.Least(*s.Load) - wanted.Total()
 	for _, kind := range []Kind{s.cheapKind(), 1 - s.cheapKind()} {
 		missing -= s.spread(wanted, kind, missing)
@@ -204,7 +204,7 @@
 
 // afterLoss returns the number of targets left after the loss of the largest
 // data hall, or all if there is only one.
-func (s *Situation) afterLoss(c Counts) int {
+func (s *PlanInput) afterLoss(c Counts) int {
 	halls := s.halls()
 	if len(halls) < 2 {
 		return c.Total()
--- a/fleet/record.go
+++ b/fleet/record.go
@@ -22,9 +22,9 @@
 	Load *Load
 }
 
-// Untouched reports whether no on-demand targets have been ordered, so that all
+// NoOnDemandOrders reports whether no on-demand targets have been ordered, so that all
 // existing ones belong to Base.
-func (r *Record) Untouched() bool {
+func (r *Record) NoOnDemandOrders() bool {
 	return !slices.ContainsFunc(r.Orders, func(o Order) bool { return o.Kind == OnDemand })
 }
 
@@ -40,12 +40,12 @@
 	for _, b := range r.Base {
 		ordered[Place{b.DataHall, OnDemand}] = b.Count
 	}
-	maps.Copy(ordered, r.Given())
+	maps.Copy(ordered, r.OrderCounts())
 	return ordered
 }
 
-// Given returns the counts of the latest orders.
-func (r *Record) Given() Counts {
+// OrderCounts returns the counts of the latest orders.
+func (r *Record) OrderCounts() Counts {
 	given := Counts{}
 	for _, o := range r.Orders {
 		given[o.Place()] = o.Count
--- a/fleet/simulation_test.go
+++ b/fleet/simulation_test.go
@@ -56,8 +56,8 @@
 	history  []simList
 	delayed  []simDelayed
 	record   fleet.Record
-	mover    *fleet.Mover
-	tally    *fleet.Tally
+	mover    *fleet.Reconciler
+	tally    *fleet.Aggregator
 	forecast *fleet.Forecast
 	demand   fleet.Demand
 	life     uint64 // of the only reporting process; never changes
@@ -122,7 +122,7 @@
 
 // lead starts a new leader, which knows only the record.
 func (s *simulation) lead() {
-	s.mover, s.tally, s.forecast = fleet.NewMover("engines"), fleet.NewTally(), &fleet.Forecast{}
+	s.mover, s.tally, s.forecast = fleet.NewReconciler("engines"), fleet.NewAggregator(), &fleet.Forecast{}
 }
 
 func (s *simulation) clock() time.Time { return time.Unix(0, 0).Add(s.now) }
@@ -176,7 +176,7 @@
 	if !ok {
 		return
 	}
-	s.tally.Take("node", s.life, []fleet.Demand{s.demand})
+	s.tally.Merge("node", s.life, []fleet.Demand{s.demand})
 	total, _ := s.tally.Of("engines")
 	s.forecast.Observe(s.clock(), total)
 	load := s.record.Load
@@ -184,14 +184,14 @@
 		expected := s.forecast.Expected()
 		load = &expected
 	}
-	view := fleet.View{
-		Scaling: s.scaling, Ordered: s.record.Ordered(), Given: s.record.Given(), Serving: listed.serving, Leaving: listed.leaving,
+	view := fleet.ReconcileInput{
+		Scaling: s.scaling, Ordered: s.record.Ordered(), Explicit: s.record.OrderCounts(), Serving: listed.serving, Draining: listed.leaving,
 		Idle: load == nil && s.demand.Requests == 0,
 	}
-	s.mover.Look(s.clock(), &view)
-	situation := fleet.Situation{
+	s.mover.Observe(s.clock(), &view)
+	situation := fleet.PlanInput{
 		Scaling: s.scaling, Engine: simEngine(), Risks: fleet.AssumedRisks(), Base: s.record.BaseCounts(), Load: load,
-		Stuck: s.mover.Stuck(s.clock(), listed.serving),
+		Exhausted: s.mover.Exhausted(s.clock(), listed.serving),
 	}
 	view.Wanted, view.Least = situation.Plan().Wanted, situation.Least()
 	for _, step := range s.mover.Next(s.clock(), &view) {
@@ -204,7 +204,7 @@
 			before.Count = step.Before
 			s.record.Put([]fleet.Order{before})
 		}
-		s.mover.Sent(s.clock(), step, outcome, s.scaling.Boot)
+		s.mover.RecordOutcome(s.clock(), step, outcome, s.scaling.Boot)
 	}
 }
 
--- a/gateway/ask.go
+++ b/gateway/ask.go
@@ -11,12 +11,12 @@
 	"k8s.io/klog/v2"
 )
 
-// Signs are the backpressure signals in a target's answer.
-type Signs struct {
-	// Rest is the cooldown that the target requests; 0 for none.
-	Rest time.Duration
-	// Leaves says that the target is draining: it accepts no new requests.
-	Leaves bool
+// Backpressure are the backpressure signals in a target's answer.
+type Backpressure struct {
+	// Cooldown is the cooldown that the target requests; 0 for none.
+	Cooldown time.Duration
+	// Draining says that the target is draining: it accepts no new requests.
+	Draining bool
 }
 
 // Reasons why a request is not sent to the selected target: it is draining or in
@@ -71,7 +71,7 @@
 func (g *Gateway) send(ctx context.Context, t *balance.Target, p purpose, r *targetconn.Request) (*targetconn.Answer, error) {
 	accepts := t.Admit
 	if p == purposeCopy {
-		accepts = func() bool { return !t.Rests() } // runs are copied off a target that is shutting down
+		accepts = func() bool { return !t.InCooldown() } // runs are copied off a target that is shutting down
 	}
 	if !accepts() {
 		g.counters.notSent(p)
@@ -79,7 +79,7 @@
 	}
 	charge := r.Gate
 	r.Gate = func() error {
-		if t.Rests() {
+		if t.InCooldown() {
 			return errNotAdmitted
 		}
 		if charge != nil {
@@ -101,19 +101,19 @@
 
 // applySigns applies the backpressure signals of an answer to its target.
 func (g *Gateway) applySigns(t *balance.Target, request string, a *targetconn.Answer) {
-	if g.cfg.Names.ParseSigns == nil {
+	if g.cfg.Names.ParseBackpressure == nil {
 		return
 	}
-	signs := g.cfg.Names.ParseSigns(a.Status, a.Header)
-	if signs.Rest > 0 {
-		t.AskedForRest(signs.Rest)
+	signs := g.cfg.Names.ParseBackpressure(a.Status, a.Header)
+	if signs.Cooldown > 0 {
+		t.StartCooldown(signs.Cooldown)
 		g.counters.cooldowns.Inc()
-		klog.InfoS("Target asks for rest", "request", request, "target", t.ID, "status", a.Status, "rest_ms", signs.Rest.Milliseconds())
+		klog.InfoS("Target asks for rest", "request", request, "target", t.ID, "status", a.Status, "rest_ms", signs.Cooldown.Milliseconds())
 	} else {
-		t.Answered()
+		t.RecordResponse()
 	}
-	if signs.Leaves && !t.Leaves() {
-		t.SaidLeaving()
+	if signs.Draining && !t.Draining() {
+		t.RecordDraining()
 		klog.InfoS("Target says that it leaves", "request", request, "target", t.ID)
 	}
 }
@@ -129,11 +129,11 @@
 		g.counters.invalidLoads.Inc()
 		return
 	}
-	t.Told(l)
+	t.RecordLoad(l)
 }
 
 // recordNotSent records that a call was withheld from its selected target.
 func (g *Gateway) recordNotSent(c *call, t *balance.Target) {
-	c.rolloutRequest.Dropped()
+	c.rolloutRequest.Discard()
 	c.rejected[t] = true
 }
--- a/gateway/ask_test.go
+++ b/gateway/ask_test.go
@@ -47,9 +47,9 @@
 }
 
 // parseTestSigns reads the backpressure signals of the tests' dialect.
-func parseTestSigns(status int, h http.Header) Signs {
+func parseTestSigns(status int, h http.Header) Backpressure {
 	seconds, _ := strconv.Atoi(h.Get("X-Rest"))
-	return Signs{Rest: time.Duration(seconds) * time.Second, Leaves: h.Get("X-Leaves") == "1"}
+	return Backpressure{Cooldown: time.Duration(seconds) * time.Second, Draining: h.Get("X-Leaves") == "1"}
 }
 
 // post sends a request on a route and returns its status and body.
@@ -195,7 +195,7 @@
 		if !s.copied() {
 			return false
 		}
-		s.target(s.other.id).AskedForRest(time.Minute)
+		s.target(s.other.id).StartCooldown(time.Minute)
 		s.tracker.Update(listed([]*fakeTarget{s.source, s.holder, s.other, fresh}))
 		return true
 	}, breakOff)
@@ -228,22 +228,22 @@
 }
 
 func TestTargetInCooldownGetsNoCopyOrders(t *testing.T) {
-	require.Empty(t, copyOrdersAfter(t, func(target *balance.Target) { target.AskedForRest(time.Minute) }))
+	require.Empty(t, copyOrdersAfter(t, func(target *balance.Target) { target.StartCooldown(time.Minute) }))
 }
 
 // Runs are copied off a target that is shutting down.
 func TestStoppingTargetGetsCopyOrders(t *testing.T) {
-	require.NotEmpty(t, copyOrdersAfter(t, (*balance.Target).SaidLeaving))
+	require.NotEmpty(t, copyOrdersAfter(t, (*balance.Target).RecordDraining))
 }
 
 // A signal that arrives between the selection of a target and the sending must prevent
 // the request from being sent.
 func TestSignalBetweenSelectionAndSendIsHonoured(t *testing.T) {
 	for name, signal := range map[string]func(*balance.Target){
-		"cooldown": func(target *balance.Target) { target.AskedForRest(time.Minute) },
-		"stopping": (*balance.Target).SaidLeaving,
+		"cooldown": func(target *balance.Target) { target.StartCooldown(time.Minute) },
+		"stopping": (*balance.Target).RecordDraining,
 		"probe in flight": func(target *balance.Target) {
-			target.AskedForRest(time.Second)
+			target.StartCooldown(time.Second)
 			t.Cleanup(uptime.Pretend(2 * time.Second))
 			require.True(t, target.Admit())
 		},
--- a/gateway/call.go
+++ b/gateway/call.go
@@ -49,12 +49,12 @@
 	failedHalls    map[string]int           // number of targets that failed it, by data hall
 	noCapacity     bool                     // targets exist, but none can admit the request
 	cooldownLeft   time.Duration            // see remainingCooldown; as of the last time that nextTarget found no target
-	reservedRetry  balance.Repeat           // retry taken from the budget, but not yet received by a target
+	reservedRetry  balance.Retry            // retry taken from the budget, but not yet received by a target
 	rolloutRequest *rollout.Request         // reports the outcome of the current attempt to the roll-out; nil without one
 	metered        bool                     // already counted for its client account
 	fingerprint    quarantine.Fingerprint   // identical for identical requests of a client
 	sentAt         time.Time                // when the current attempt was sent
-	crashProbe     *quarantine.Look         // pending probe whether the target whose connection broke last has crashed
+	crashProbe     *quarantine.Probe        // pending probe whether the target whose connection broke last has crashed
 }
 
 // open reads and validates a request, and resolves its route and client account.
@@ -114,7 +114,7 @@
 	}
 	prompt, out := n.ParseUsage(h.Get(n.Usage))
 	c.maxOutput = out
-	c.work = balance.Work{Read: prompt, Hold: prompt + out/2} // half of the maximum output is assumed
+	c.work = balance.Work{PrefillTokens: prompt, MemoryTokens: prompt + out/2} // half of the maximum output is assumed
 	parts := strings.Split(h.Get(n.Prefix), ",")
 	c.promptKey = strings.TrimSpace(parts[len(parts)-1])
 	c.resumed = c.hasLast
@@ -149,7 +149,7 @@
 			return a, nil
 		}
 	}
-	if route.Open {
+	if route.AllowAnonymous {
 		return Account{}, nil
 	}
 	return Account{}, walnutramp.NewError(walnutramp.CodeBadKey, walnutramp.NotRun, "the API key belongs to no client account")
@@ -268,5 +268,5 @@
 // endpoint identifies a target for the connection pool. A restarted target is another
 // endpoint, even at the same address.
 func endpoint(t *balance.Target) targetconn.Endpoint {
-	return targetconn.Endpoint{ID: t.Life(), Address: t.Address}
+	return targetconn.Endpoint{ID: t.Incarnation(), Address: t.Address}
 }
--- a/gateway/choose.go
+++ b/gateway/choose.go
@@ -26,7 +26,7 @@
 // until the wait limit, unless waiting is useless: if the request may already have run, if
 // it is new and no engine can admit it, or if all its targets are in cooldown for longer.
 func (g *Gateway) nextTarget(ctx context.Context, c *call) *balance.Target {
-	until := c.arrived.Add(min(time.Duration(float64(c.route.Aim)*waitShare), maxTargetWait))
+	until := c.arrived.Add(min(time.Duration(float64(c.route.LatencyObjective)*waitShare), maxTargetWait))
 	for {
 		if c.attempts > maxRejections || !uptime.Now().Before(c.deadline) {
 			return nil // a suspended machine's timers fire late
@@ -51,7 +51,7 @@
 // unless all of them are in cooldown.
 func (g *Gateway) remainingCooldown(c *call) time.Duration {
 	excluded := g.excludeByVersion(c)
-	return g.targets.RestLeft(c.service, func(t *balance.Target) bool { return c.tried[t] || excluded != nil && excluded(t) })
+	return g.targets.CooldownLeft(c.service, func(t *balance.Target) bool { return c.tried[t] || excluded != nil && excluded(t) })
 }
 
 // selectTarget returns the best untried target of a version that the call may use.
@@ -60,7 +60,7 @@
 		if t := g.pickTarget(c, g.excludeAllButNew(c)); t != nil {
 			return t
 		}
-		g.cfg.Rollouts.Undo(c.service, c.route.Name)
+		g.cfg.Rollouts.ReturnCredit(c.service, c.route.Name)
 	}
 	return g.pickTarget(c, g.excludeByVersion(c))
 }
@@ -71,7 +71,7 @@
 	choice.Exclude = func(t *balance.Target) bool { return c.tried[t] || c.rejected[t] || excluded != nil && excluded(t) }
 	t := g.targets.Pick(choice)
 	if t != nil {
-		g.recordRegionCrossing(c, t, func() balance.Reason { return g.targets.WhyLeft(choice) })
+		g.recordRegionCrossing(c, t, func() balance.Reason { return g.targets.CrossRegionReason(choice) })
 	}
 	c.noCapacity = false
 	if t == nil && choice.Admission {
@@ -93,35 +93,35 @@
 	if len(c.failedHalls) > 0 {
 		key = ""
 	}
-	choice := balance.Choice{Service: c.service, Work: c.work, Key: key, Again: c.resumed && key != "", FailedHalls: c.failedHalls}
+	choice := balance.Choice{Service: c.service, Work: c.work, Key: key, Retried: c.resumed && key != "", FailedHalls: c.failedHalls}
 	if c.isNew() {
 		choice.Admission = true
-		choice.Aim = c.route.Aim
+		choice.FirstEventGoal = c.route.LatencyObjective
 		choice.Rank = c.rank
-		choice.Within = uptime.Until(c.latestStart())
+		choice.MaxWait = uptime.Until(c.latestStart())
 	}
 	return choice
 }
 
 // latestStart returns the time by which a new request must be predicted to start.
 func (c *call) latestStart() time.Time {
-	return c.arrived.Add(time.Duration(startShare * float64(c.route.Aim)))
+	return c.arrived.Add(time.Duration(startShare * float64(c.route.LatencyObjective)))
 }
 
 // recordArrival records that a target received the request. An attempt that does not
 // arrive, such as a refused connection, is not a retry.
 func (c *call) recordArrival() {
-	if c.contacted && !c.reservedRetry.Taken() {
+	if c.contacted && !c.reservedRetry.Spent() {
 		klog.InfoS("Retry sent without a budget reservation", "request", c.id, "service", c.service, "sent", c.dispatched)
 	}
 	c.contacted = true
-	c.reservedRetry = balance.Repeat{}
+	c.reservedRetry = balance.Retry{}
 }
 
 // reserveRetry reserves one retry from the budget; false if the budget is exhausted.
 // An unused reservation stays valid for the budget's SendWithin.
 func (c *call) reserveRetry(b *balance.Budget) bool {
-	if !c.contacted || c.reservedRetry.Taken() && uptime.Since(c.reservedRetry.At) < b.SendWithin() {
+	if !c.contacted || c.reservedRetry.Spent() && uptime.Since(c.reservedRetry.At) < b.SendWithin() {
 		return true
 	}
 	c.refundRetry(b)
@@ -132,10 +132,10 @@
 
 // refundRetry returns an unused reservation to the budget.
 func (c *call) refundRetry(b *balance.Budget) {
-	if c.reservedRetry.Taken() {
+	if c.reservedRetry.Spent() {
 		b.Refund(c.reservedRetry)
 	}
-	c.reservedRetry = balance.Repeat{}
+	c.reservedRetry = balance.Retry{}
 }
 
 // recordRun records that a target may have run the request.
--- a/gateway/copies.go
+++ b/gateway/copies.go
@@ -39,8 +39,8 @@
 	// Make orders a run's target to copy the run's KV cache to a holder, from the ID of
 	// the client request and the address of the holder.
 	Make func(run, holder string) TargetCall
-	// Made parses the answer: the handle of the copy at the run's target.
-	Made func(answer []byte) (handle string, err error)
+	// ParseHandle parses the answer: the handle of the copy at the run's target.
+	ParseHandle func(answer []byte) (handle string, err error)
 	// Release deletes a copy at the run's target and at its holder.
 	Release func(handle string) TargetCall
 }
@@ -97,7 +97,7 @@
 func (r *relay) pickHolder(t *balance.Target) *balance.Target {
 	c := r.call
 	holder := r.gateway.targets.Pick(balance.Choice{
-		Service: c.service, OtherHall: t.DataHall, Copy: true, Work: balance.Work{Hold: c.work.Hold},
+		Service: c.service, AvoidHall: t.DataHall, Copy: true, Work: balance.Work{MemoryTokens: c.work.MemoryTokens},
 		Exclude: func(o *balance.Target) bool {
 			reclaimed := t.Spot && o.Spot && o.DataHall == t.DataHall
 			return o == t || c.tried[o] || o.Version != t.Version || reclaimed
@@ -154,7 +154,7 @@
 	answer, err := g.callTarget(ctx, k.target, g.cfg.Names.CopyOrders.Make(c.id, holder.Address))
 	handle := ""
 	if err == nil {
-		handle, err = g.cfg.Names.CopyOrders.Made(answer)
+		handle, err = g.cfg.Names.CopyOrders.ParseHandle(answer)
 	}
 	klog.InfoS("KV-cache copy ordered", "request", c.id, "target", k.target.ID, "at", holder.ID, "handle", handle, "err", err)
 	k.mu.Lock()
@@ -167,7 +167,7 @@
 	k.copy = &kvCopy{holder: holder, name: g.cfg.Names.CopyHandle(k.target.Address, handle)}
 	k.handle = handle
 	k.renewAt = uptime.Now().Add(time.Duration(copyRenewShare * float64(c.settings.CopyLife)))
-	k.run.SetCopy(holder.Life(), k.copy.name)
+	k.run.SetCopy(holder.Incarnation(), k.copy.name)
 	g.counters.copiesOrdered.Inc()
 }
 
--- a/gateway/demand.go
+++ b/gateway/demand.go
@@ -47,11 +47,11 @@
 		g.demands.add(fleet.Demand{Service: c.service, Requests: 1})
 		return
 	}
-	out := c.work.Hold - c.work.Read
-	run := g.targets.RunTime(c.service, c.work.Read, out)
+	out := c.work.MemoryTokens - c.work.PrefillTokens
+	run := g.targets.PredictDuration(c.service, c.work.PrefillTokens, out)
 	g.demands.add(fleet.Demand{
-		Service: c.service, Requests: 1, Read: uint64(c.work.Read), Write: uint64(out),
-		ReadMS: milliseconds(g.targets.RunTime(c.service, c.work.Read, 0)), RunMS: milliseconds(run), HoldMS: uint64(c.work.Hold) * milliseconds(run),
+		Service: c.service, Requests: 1, Read: uint64(c.work.PrefillTokens), Write: uint64(out),
+		ReadMS: milliseconds(g.targets.PredictDuration(c.service, c.work.PrefillTokens, 0)), RunMS: milliseconds(run), HoldMS: uint64(c.work.MemoryTokens) * milliseconds(run),
 	})
 }
 
--- a/gateway/ends.go
+++ b/gateway/ends.go
@@ -27,7 +27,7 @@
 		return
 	}
 	r.settled = true
-	r.gateway.cfg.Quarantine.Sound(r.call.fingerprint)
+	r.gateway.cfg.Quarantine.RecordSuccess(r.call.fingerprint)
 }
 
 // unansweredStanding returns how far an unanswered call had progressed at its target.
@@ -42,11 +42,11 @@
 // recordConnectionLoss records that a target's connection broke during a call. The end of a
 // target that is shutting down is no evidence against the call.
 func (g *Gateway) recordConnectionLoss(c *call, t *balance.Target, s quarantine.Standing) {
-	if t.Leaves() {
+	if t.Draining() {
 		return
 	}
-	c.crashProbe = g.cfg.Quarantine.Broke(quarantine.Break{
-		Request: c.id, Content: c.fingerprint, Target: t.Life(), Address: t.Address, Standing: s, Sent: c.sentAt,
+	c.crashProbe = g.cfg.Quarantine.StartProbe(quarantine.BrokenConn{
+		Request: c.id, Content: c.fingerprint, Target: t.Incarnation(), Address: t.Address, Standing: s, Sent: c.sentAt,
 	})
 }
 
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -25,25 +25,25 @@
 // backpressure signals of an answer, and ParseUsage Usage; what has no parser is ignored,
 // without ParseUsage also Prefix.
 type Names struct {
-	Identity   string // ID of a client request
-	Deadline   string // milliseconds that the client waits
-	Key        string // the client's API key
-	EventID    string // ID of the last event received
-	Account    string // set for targets: name of the client account
-	Expect     string // set for targets: ID of the intended target; any other target answers 421
-	Priority   string // set for targets: 0 is most urgent
-	CopyTo     string // set for targets: address that receives a copy of the run's KV cache
-	CopyFrom   string // set for targets: the copy from which the run resumes
-	Load       string // in answers: the target's load
-	NotRun     string // in answers: the request was not run
-	System     []string
-	Usage      string // prompt tokens and maximum output tokens
-	Prefix     string // keys of the parts of the prompt, the request's own last
-	CopyHandle func(address, identity string) string
-	CopyOrders CopyOrders
-	ParseLoad  func(header string) (balance.Load, bool)
-	ParseSigns func(status int, answer http.Header) Signs
-	ParseUsage func(header string) (prompt, out int)
+	Identity          string // ID of a client request
+	Deadline          string // milliseconds that the client waits
+	Key               string // the client's API key
+	EventID           string // ID of the last event received
+	Account           string // set for targets: name of the client account
+	Expect            string // set for targets: ID of the intended target; any other target answers 421
+	Priority          string // set for targets: 0 is most urgent
+	CopyTo            string // set for targets: address that receives a copy of the run's KV cache
+	CopyFrom          string // set for targets: the copy from which the run resumes
+	Load              string // in answers: the target's load
+	NotRun            string // in answers: the request was not run
+	System            []string
+	Usage             string // prompt tokens and maximum output tokens
+	Prefix            string // keys of the parts of the prompt, the request's own last
+	CopyHandle        func(address, identity string) string
+	CopyOrders        CopyOrders
+	ParseLoad         func(header string) (balance.Load, bool)
+	ParseBackpressure func(status int, answer http.Header) Backpressure
+	ParseUsage        func(header string) (prompt, out int)
 }
 
 // Config sets how a Gateway works.
@@ -61,7 +61,7 @@
 	Rollouts *rollout.Agent
 
 	// Quarantine detects requests that crash the targets that run them.
-	Quarantine *quarantine.Witness
+	Quarantine *quarantine.CrashDetector
 
 	// Metering counts the requests of each client account; nil for none.
 	Metering *metering.Counter
@@ -96,7 +96,7 @@
 func WithRollouts(a *rollout.Agent) Option { return func(c *Config) { c.Rollouts = a } }
 
 // WithQuarantine sets the detector of requests that crash targets.
-func WithQuarantine(w *quarantine.Witness) Option { return func(c *Config) { c.Quarantine = w } }
+func WithQuarantine(w *quarantine.CrashDetector) Option { return func(c *Config) { c.Quarantine = w } }
 
 // WithCopies sets whether engines replicate the KV cache of runs to each other.
 func WithCopies(on bool) Option { return func(c *Config) { c.Copies = on } }
@@ -156,18 +156,18 @@
 		opt(&cfg)
 	}
 	if cfg.Quarantine == nil {
-		cfg.Quarantine = quarantine.NewWitness(quarantine.New(), pool.Dial)
+		cfg.Quarantine = quarantine.NewCrashDetector(quarantine.New(), pool.Dial)
 	}
 	g := &Gateway{cfg: cfg, targets: targets, pool: pool, refresh: refresh, budgets: budgets, counters: newCounters(),
 		started: make(chan struct{}), pending: pendingRuns{runs: map[*pendingRun]struct{}{}}}
 	g.buffers = newBufferAccounting(cfg.Buffers, g.counters)
 	g.counters.set.NewGauge(`walnutramp_gateway_held_bytes{cause="slow-clients"}`, func() float64 { return float64(g.buffers.bytes()) })
 	g.counters.set.NewGauge(`walnutramp_gateway_held_bytes{cause="request-bodies"}`, func() float64 { return float64(g.buffered.Load()) })
-	targets.OnSilence(g.pending.cancelUnresponsive)
-	cfg.Quarantine.OnHeld(g.pending.cancelQuarantined)
-	g.counters.set.NewGauge("walnutramp_quarantine_held_contents", func() float64 { return float64(cfg.Quarantine.HeldContents()) })
+	targets.OnUnresponsive(g.pending.cancelUnresponsive)
+	cfg.Quarantine.OnQuarantined(g.pending.cancelQuarantined)
+	g.counters.set.NewGauge("walnutramp_quarantine_held_contents", func() float64 { return float64(cfg.Quarantine.QuarantinedContents()) })
 	g.counters.set.NewGauge("walnutramp_quarantine_suspect_contents", func() float64 { return float64(cfg.Quarantine.SuspectContents()) })
-	g.counters.set.NewGauge("walnutramp_gateway_resting_targets", func() float64 { return float64(targets.Resting()) })
+	g.counters.set.NewGauge("walnutramp_gateway_resting_targets", func() float64 { return float64(targets.CountInCooldown()) })
 	g.strip = map[string]bool{}
 	n := cfg.Names
 	for _, name := range append([]string{n.Key, n.Account, n.Expect, n.Priority, n.CopyTo, n.CopyFrom, n.Deadline}, n.System...) {
@@ -233,9 +233,9 @@
 	phaseClosed        // new requests are rejected
 )
 
-// Leave begins a graceful shutdown: the node is no longer ready, and rejects, as not
+// BeginShutdown begins a graceful shutdown: the node is no longer ready, and rejects, as not
 // run, new streams that are predicted to end after the given time.
-func (g *Gateway) Leave(by time.Time) {
+func (g *Gateway) BeginShutdown(by time.Time) {
 	g.stopDeadline.Store(&by)
 	g.stopping.Store(phaseLeaving)
 }
@@ -261,17 +261,17 @@
 // predictStreamTime predicts how long a stream takes once it has a slot.
 func (g *Gateway) predictStreamTime(c *call) time.Duration {
 	if c.maxOutput > 0 {
-		return g.targets.RunTime(c.service, c.work.Read, c.maxOutput)
+		return g.targets.PredictDuration(c.service, c.work.PrefillTokens, c.maxOutput)
 	}
-	return time.Duration(unknownLengthFactor * float64(g.targets.WholeRun(c.service)))
+	return time.Duration(unknownLengthFactor * float64(g.targets.RunDuration(c.service)))
 }
 
 // CloseConnections makes every answer from now on close its connection. Requests are
 // still served as after Leave.
 func (g *Gateway) CloseConnections() { g.stopping.Store(phaseClosing) }
 
-// Refuse makes the gateway reject all new requests from now on, as not run.
-func (g *Gateway) Refuse() { g.stopping.Store(phaseClosed) }
+// RejectRequests makes the gateway reject all new requests from now on, as not run.
+func (g *Gateway) RejectRequests() { g.stopping.Store(phaseClosed) }
 
 // ServeHTTP implements http.Handler.
 func (g *Gateway) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -293,7 +293,7 @@
 		g.refuse(w, r, refused)
 		return
 	}
-	if held := g.cfg.Quarantine.Refuse(c.fingerprint); held != nil {
+	if held := g.cfg.Quarantine.CheckNew(c.fingerprint); held != nil {
 		g.fail(w, c, held)
 		return
 	}
--- a/gateway/harness_test.go
+++ b/gateway/harness_test.go
@@ -30,7 +30,7 @@
 		Make: func(run, holder string) TargetCall {
 			return TargetCall{Method: "POST", URI: copyPath, Body: []byte(run + " to " + holder)}
 		},
-		Made: func(answer []byte) (string, error) { return string(answer), nil },
+		ParseHandle: func(answer []byte) (string, error) { return string(answer), nil },
 		Release: func(handle string) TargetCall {
 			return TargetCall{Method: "DELETE", URI: copyPath + "/" + handle}
 		},
@@ -41,7 +41,7 @@
 		out, _ = strconv.Atoi(b)
 		return prompt, out
 	},
-	ParseSigns: parseTestSigns,
+	ParseBackpressure: parseTestSigns,
 	ParseLoad: func(v string) (balance.Load, bool) {
 		n, err := strconv.Atoi(v)
 		return balance.Load{Running: n}, err == nil
@@ -150,10 +150,10 @@
 		"draft": {Name: "draft", Engine: true, Copies: true, CopyOrders: true, CopyLife: 4 * time.Second}, "lookup": {Name: "lookup"},
 	}}
 	table.SetRoutes([]*Route{
-		{Name: "draft", Host: "a.example", Prefix: "/draft/", Kind: Stream, Resume: true, Timeout: 10 * time.Second, Aim: time.Second, MaxAttempts: 5, Split: []Weighted{{"draft", 1}}},
-		{Name: "once", Host: "a.example", Prefix: "/once/", Kind: Unsafe, Timeout: 3 * time.Second, Aim: time.Second, MaxAttempts: 3, Split: []Weighted{{"lookup", 1}}},
-		{Name: "safe", Host: "a.example", Prefix: "/safe/", Kind: Safe, Timeout: 3 * time.Second, Aim: time.Second, MaxAttempts: 2, Split: []Weighted{{"lookup", 1}}},
-		{Name: "deeper", Host: "a.example", Prefix: "/safe/deeper/", Kind: Safe, Timeout: 3 * time.Second, MaxAttempts: 2, Open: true, Split: []Weighted{{"lookup", 1}}},
+		{Name: "draft", Host: "a.example", Prefix: "/draft/", Kind: Stream, Resume: true, Timeout: 10 * time.Second, LatencyObjective: time.Second, MaxAttempts: 5, Split: []WeightedService{{"draft", 1}}},
+		{Name: "once", Host: "a.example", Prefix: "/once/", Kind: Unsafe, Timeout: 3 * time.Second, LatencyObjective: time.Second, MaxAttempts: 3, Split: []WeightedService{{"lookup", 1}}},
+		{Name: "safe", Host: "a.example", Prefix: "/safe/", Kind: Safe, Timeout: 3 * time.Second, LatencyObjective: time.Second, MaxAttempts: 2, Split: []WeightedService{{"lookup", 1}}},
+		{Name: "deeper", Host: "a.example", Prefix: "/safe/deeper/", Kind: Safe, Timeout: 3 * time.Second, MaxAttempts: 2, AllowAnonymous: true, Split: []WeightedService{{"lookup", 1}}},
 	})
 	return table
 }
@@ -166,7 +166,7 @@
 // newTestSiteWithRegions returns a site whose data halls are assigned to regions.
 func newTestSiteWithRegions(t *testing.T, regions topology.Map, targets []*fakeTarget, opts ...Option) *testSite {
 	t.Helper()
-	tracker := balance.NewTracker(balance.WithSeed(1), balance.WithDataHall("north"), balance.WithFarCost(1000, 1000), balance.WithTopology(regions))
+	tracker := balance.NewTracker(balance.WithSeed(1), balance.WithDataHall("north"), balance.WithRemoteHallCost(1000, 1000), balance.WithTopology(regions))
 	pool := targetconn.NewPool(targetconn.WithIdentityHeader("X-Id"))
 	t.Cleanup(pool.Close)
 	opts = append([]Option{WithNames(testNames)}, opts...)
--- a/gateway/plain.go
+++ b/gateway/plain.go
@@ -55,7 +55,7 @@
 
 // mayRetry reports whether another target may be tried, and reserves the retry.
 func (g *Gateway) mayRetry(ctx context.Context, c *call) bool {
-	if g.cfg.Quarantine.Stop(c.crashProbe, c.fingerprint) != nil {
+	if g.cfg.Quarantine.CheckRetry(c.crashProbe, c.fingerprint) != nil {
 		return false
 	}
 	if c.mayHaveRun && !c.route.Idempotent() {
@@ -78,9 +78,9 @@
 		msg = "Not repeated: the budget is spent"
 	}
 	own := b.Count()
-	site, heard := b.Site()
-	klog.InfoS(msg, "request", c.id, "service", c.service, "sent", c.dispatched, "ownRequests", own.Requests, "ownRepeats", own.Repeats,
-		"requests", site.Requests, "repeats", site.Repeats, "nodesHeard", heard, "part", b.Part())
+	site, heard := b.SiteCount()
+	klog.InfoS(msg, "request", c.id, "service", c.service, "sent", c.dispatched, "ownRequests", own.Requests, "ownRepeats", own.Retries,
+		"requests", site.Requests, "repeats", site.Retries, "nodesHeard", heard, "part", b.Share())
 }
 
 // response is an answer to forward: in one piece, or, if it is long, its first part
@@ -104,9 +104,9 @@
 		}
 	}()
 	defer g.limitAttempt(c, cancel).Stop()
-	defer func() { c.rolloutRequest.Dropped() }() // no effect if an outcome was recorded
+	defer func() { c.rolloutRequest.Discard() }() // no effect if an outcome was recorded
 	run := t.Begin(balance.Work{}, balance.Trace{})
-	defer run.End(balance.RunEnd{Whole: true})
+	defer run.End(balance.RunEnd{Complete: true})
 	c.sentAt = uptime.Now()
 	answer, err := g.send(attemptCtx, t, c.purpose(), g.request(c, t))
 	if notSent(err) {
@@ -127,7 +127,7 @@
 	if answer.Header.Get("Content-Encoding") != "" {
 		answer.Close()
 		g.recordLostAnswer(c, t)
-		t.Broke()
+		t.RecordFailure()
 		return nil, true
 	}
 	resp, err := g.readResponse(answer)
@@ -138,19 +138,19 @@
 			g.recordLostAnswer(c, t)
 			g.recordConnectionLoss(c, t, quarantine.Begun)
 		}
-		t.Broke()
+		t.RecordFailure()
 		return nil, true
 	}
 	resp.target = t.ID
-	g.cfg.Quarantine.Sound(c.fingerprint)
-	c.rolloutRequest.First()
+	g.cfg.Quarantine.RecordSuccess(c.fingerprint)
+	c.rolloutRequest.RecordFirstEvent()
 	if answer.Status >= http.StatusInternalServerError {
 		g.recordErrorAnswer(c, t)
-		t.Erred()
+		t.RecordErrorResponse()
 		return g.suppressFalseNotRun(c, resp), true
 	}
-	c.rolloutRequest.Ended(rollout.Served)
-	t.Succeeded()
+	c.rolloutRequest.Finish(rollout.Served)
+	t.RecordSuccess()
 	return resp, false
 }
 
@@ -159,7 +159,7 @@
 func (g *Gateway) limitAttempt(c *call, cancel context.CancelFunc) *time.Timer {
 	limit := uptime.Until(c.deadline)
 	if c.route.Kind == Safe && c.dispatched+1 < c.route.MaxAttempts {
-		limit = max(minAttemptTimeout, attemptTimeoutFactor*c.route.Aim)
+		limit = max(minAttemptTimeout, attemptTimeoutFactor*c.route.LatencyObjective)
 	}
 	return time.AfterFunc(limit, cancel)
 }
@@ -265,15 +265,15 @@
 func (g *Gateway) recordRejection(c *call, t *balance.Target, a *targetconn.Answer) {
 	klog.InfoS("Target turned the request away", "request", c.id, "target", t.ID, "status", a.Status)
 	c.recordArrival()
-	c.rolloutRequest.Dropped()
+	c.rolloutRequest.Discard()
 	c.rejected[t] = true
 	if a.Status == http.StatusMisdirectedRequest {
-		t.Gone()
-		g.pool.Forget(t.Life())
+		t.RecordEnded()
+		g.pool.CloseIdle(t.Incarnation())
 		g.refresh()
 		return
 	}
-	t.Full()
+	t.RecordFull()
 }
 
 // recordFailure records an exchange that failed without an answer.
@@ -285,18 +285,18 @@
 		c.rejected[t] = true
 	}
 	if ctx.Err() == context.Canceled {
-		c.rolloutRequest.Dropped()
+		c.rolloutRequest.Discard()
 		return // the client disconnected, which says nothing about the target
 	}
 	g.recordLostAnswer(c, t)
 	c.failedHalls[t.DataHall]++
 	if errors.Is(err, syscall.ECONNREFUSED) {
-		t.Refused()
+		t.RecordRefused()
 	}
 	if isTimeout(err) {
-		t.FellSilent(true)
+		t.RecordUnresponsive(true)
 	} else {
-		t.Broke()
+		t.RecordFailure()
 	}
 	klog.InfoS("Target did not answer", "request", c.id, "target", t.ID, "address", t.Address, "err", err,
 		"ms", uptime.Since(c.arrived).Milliseconds())
--- a/gateway/refuse.go
+++ b/gateway/refuse.go
@@ -43,7 +43,7 @@
 // tried, and logs the call's details.
 func (g *Gateway) fail(w http.ResponseWriter, c *call, e *walnutramp.Error) {
 	klog.InfoS("Request ended here", "request", c.id, "content", c.fingerprint, "route", c.route.Name, "code", int(e.Code), "outcome", e.Outcome,
-		"sent", c.dispatched, "read", c.work.Read, "priority", c.priority, "ms", uptime.Since(c.arrived).Milliseconds(), "why", e.Message)
+		"sent", c.dispatched, "read", c.work.PrefillTokens, "priority", c.priority, "ms", uptime.Since(c.arrived).Milliseconds(), "why", e.Message)
 	g.writeError(w, e)
 }
 
@@ -73,16 +73,16 @@
 // retryDelay returns the Retry-After of a request that could not be admitted, with
 // jitter so that clients rejected together don't return together.
 func (g *Gateway) retryDelay(c *call) time.Duration {
-	mean := retryShare * float64(g.targets.WholeRun(c.service))
+	mean := retryShare * float64(g.targets.RunDuration(c.service))
 	return time.Duration(mean * (0.5 + rand.Float64()))
 }
 
 // finalError returns the error of a call that no target answered.
 func (g *Gateway) finalError(c *call, why string) *walnutramp.Error {
-	if held := g.cfg.Quarantine.Refuse(c.fingerprint); held != nil && !c.mayHaveRun {
+	if held := g.cfg.Quarantine.CheckNew(c.fingerprint); held != nil && !c.mayHaveRun {
 		return held
 	}
-	if stop := g.cfg.Quarantine.Stop(c.crashProbe, c.fingerprint); stop != nil {
+	if stop := g.cfg.Quarantine.CheckRetry(c.crashProbe, c.fingerprint); stop != nil {
 		return stop
 	}
 	if !c.mayHaveRun && c.noCapacity {
@@ -93,7 +93,7 @@
 		// Retrying sooner is likely to fail at other nodes too: a target requests a
 		// cooldown from every node that sends it requests.
 		after := pause.Behind(c.cooldownLeft, rand.Float64())
-		return walnutramp.NewError(walnutramp.CodeTargetsRest, walnutramp.NotRun, "all targets are in cooldown").WithRetryAfter(after)
+		return walnutramp.NewError(walnutramp.CodeTargetsCooldown, walnutramp.NotRun, "all targets are in cooldown").WithRetryAfter(after)
 	}
 	if !c.mayHaveRun {
 		return walnutramp.NewError(walnutramp.CodeNoTarget, walnutramp.NotRun, "%s", why).WithRetryAfter(retryWhenBusy)
--- a/gateway/silence.go
+++ b/gateway/silence.go
@@ -59,7 +59,7 @@
 // cancelUnresponsive cancels the runs whose targets have stopped answering since the
 // runs began.
 func (p *pendingRuns) cancelUnresponsive() {
-	p.cancelWhere(errTargetUnresponsive, func(r *pendingRun) bool { return r.canRetry && r.target.SilentSince(r.began) })
+	p.cancelWhere(errTargetUnresponsive, func(r *pendingRun) bool { return r.canRetry && r.target.UnresponsiveSince(r.began) })
 }
 
 // cancelQuarantined cancels the runs of a request that has just been quarantined, before
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -169,8 +169,8 @@
 	run := t.Begin(o.work, o.trace)
 	rc := &runCopy{relay: r, target: t, run: run, copy: o.copy}
 	end := r.execute(ctx, t, o, rc)
-	r.call.rolloutRequest.Dropped() // no effect if an outcome was recorded
-	run.End(balance.RunEnd{Whole: end == runComplete, Tokens: r.events * r.call.settings.EventTokens})
+	r.call.rolloutRequest.Discard() // no effect if an outcome was recorded
+	run.End(balance.RunEnd{Complete: end == runComplete, Tokens: r.events * r.call.settings.EventTokens})
 	if left := rc.end(end); run.Begun() {
 		r.resumeFrom = left
 	}
@@ -182,17 +182,17 @@
 	g, c := r.gateway, r.call
 	choice := c.choice()
 	o := runRequest{
-		request: g.request(c, t), work: g.targets.Kept(choice, t), expected: g.targets.Expected(choice, t),
+		request: g.request(c, t), work: g.targets.WorkAt(choice, t), expected: g.targets.Expected(choice, t),
 		trace: balance.Trace{Key: c.promptKey},
 	}
 	klog.InfoS("Run begins", "request", c.id, "content", c.fingerprint, "key", c.promptKey, "route", c.route.Name, "version", c.version, "target", t.ID, "born", t.Born, "again", c.resumed, "last", c.lastID,
-		"read", c.work.Read, "expectedRead", o.work.Read, "expected_ms", o.expected.Milliseconds(),
+		"read", c.work.PrefillTokens, "expectedRead", o.work.PrefillTokens, "expected_ms", o.expected.Milliseconds(),
 		"fromCopy", from != nil, "run", r.runs)
 	if from != nil {
-		o.work.Read = 0
+		o.work.PrefillTokens = 0
 	}
 	if o.copy = r.requestCopy(o.request, t, from); o.copy != nil {
-		o.trace.Copy, o.trace.CopyName = o.copy.holder.Life(), o.copy.name
+		o.trace.Copy, o.trace.CopyName = o.copy.holder.Incarnation(), o.copy.name
 	}
 	return o
 }
@@ -260,7 +260,7 @@
 	if !c.canRetryElsewhere() {
 		return uptime.Until(c.deadline)
 	}
-	read := g.targets.RunTime(c.service, c.work.Read, 0)
+	read := g.targets.PredictDuration(c.service, c.work.PrefillTokens, 0)
 	if latest := uptime.Until(c.latestStart()) - read; !r.started && latest > overdueFactor*o.expected {
 		return latest
 	}
@@ -278,7 +278,7 @@
 	g, c := r.gateway, r.call
 	if a.Status >= http.StatusInternalServerError {
 		g.recordErrorAnswer(c, t)
-		t.Erred()
+		t.RecordErrorResponse()
 		klog.InfoS("Target answered with a server error", "request", c.id, "target", t.ID, "status", a.Status)
 		return runFailed
 	}
@@ -290,7 +290,7 @@
 		g.recordConnectionLoss(c, t, quarantine.Begun)
 		return runFailed
 	}
-	g.cfg.Quarantine.Sound(c.fingerprint)
+	g.cfg.Quarantine.RecordSuccess(c.fingerprint)
 	g.writeResponse(ctx, r.w, c, resp)
 	return runNotStream
 }
@@ -318,14 +318,14 @@
 			seen = true
 			first()
 			rc.run.FirstEvent()
-			t.Succeeded()
+			t.RecordSuccess()
 			r.recordFirstEvent()
 			r.firstEventAt = time.Now()
-			c.rolloutRequest.First()
+			c.rolloutRequest.RecordFirstEvent()
 			g.meterFirst(c)
 		}
 		if r.events == paceSampleEvents {
-			c.rolloutRequest.Pace(time.Since(r.firstEventAt) / (paceSampleEvents - 1))
+			c.rolloutRequest.RecordEventInterval(time.Since(r.firstEventAt) / (paceSampleEvents - 1))
 		}
 		r.recordSettled()
 		rc.maintain(ctx)
@@ -333,7 +333,7 @@
 			continue // the client already has it
 		}
 		if !r.write(ctx, a, e.Raw) {
-			c.rolloutRequest.Dropped()
+			c.rolloutRequest.Discard()
 			return runClientLeft
 		}
 		if e.HasID {
@@ -353,8 +353,8 @@
 
 // stallTimeout returns the timeout between the events of a route's stream.
 func (g *Gateway) stallTimeout(r *Route) time.Duration {
-	if r.GapAim > 0 {
-		return time.Duration(stallShare * float64(r.GapAim))
+	if r.MaxEventGap > 0 {
+		return time.Duration(stallShare * float64(r.MaxEventGap))
 	}
 	return g.cfg.Stall
 }
@@ -377,12 +377,12 @@
 		if rest := events.Remainder(); (len(rest) > 0 || !r.started) && !r.write(ctx, a, rest) {
 			return runClientLeft
 		}
-		c.rolloutRequest.Ended(rollout.Served)
-		g.cfg.Quarantine.Sound(c.fingerprint)
+		c.rolloutRequest.Finish(rollout.Served)
+		g.cfg.Quarantine.RecordSuccess(c.fingerprint)
 		return runComplete
 	}
 	if ctx.Err() != nil {
-		c.rolloutRequest.Dropped()
+		c.rolloutRequest.Discard()
 		return runFailed // the client left, or the deadline passed
 	}
 	g.recordLostAnswer(c, t)
@@ -391,9 +391,9 @@
 	c.failedHalls[t.DataHall]++
 	if isTimeout(err) {
 		g.counters.stalls.Inc()
-		t.FellSilent(false) // the engine may only have preempted this run
+		t.RecordUnresponsive(false) // the engine may only have preempted this run
 	} else {
-		t.Broke()
+		t.RecordFailure()
 		g.recordConnectionLoss(c, t, r.standing())
 	}
 	klog.InfoS("Stream broke off", "request", c.id, "target", t.ID, "last", c.lastID, "err", err,
--- a/gateway/stream_test.go
+++ b/gateway/stream_test.go
@@ -185,7 +185,7 @@
 	s := newTestSite(t, nil, WithStall(time.Second))
 	require.Equal(t, time.Second, s.gateway.stallTimeout(&Route{}))
 	for _, pause := range []time.Duration{200 * time.Millisecond, 700 * time.Millisecond, 3 * time.Second} {
-		stall := s.gateway.stallTimeout(&Route{GapAim: pause})
+		stall := s.gateway.stallTimeout(&Route{MaxEventGap: pause})
 		require.Less(t, stall, pause*3/4, "time is left to resume elsewhere")
 		require.Greater(t, stall, pause/2)
 	}
@@ -221,7 +221,7 @@
 	s.tracker.Update(list)
 	go func() {
 		<-asked
-		s.tracker.SetSilent(others)
+		s.tracker.SetUnresponsive(others)
 	}()
 	_, body, err := do(t, s.request(t, "POST", "/draft/", "", "X-Deadline", "9000"))
 	require.NoError(t, err)
--- a/gateway/table.go
+++ b/gateway/table.go
@@ -26,26 +26,26 @@
 	Stream             // an event stream; as Unsafe unless Resume is set
 )
 
-// Weighted is one service of a traffic split.
-type Weighted struct {
+// WeightedService is one service of a traffic split.
+type WeightedService struct {
 	Service string
 	Weight  int
 }
 
 // Route says where and how requests for a host and path prefix are forwarded.
 type Route struct {
-	Name        string
-	Host        string
-	Prefix      string
-	Kind        Kind
-	Timeout     time.Duration // maximum time until the answer
-	Aim         time.Duration // latency objective
-	GapAim      time.Duration // maximum gap between events; 0 for the gateway's default stall timeout
-	Priority    int           // 0 is highest
-	MaxAttempts int           // maximum number of targets that may run one request
-	Open        bool          // no API key is required
-	Resume      bool          // a stream may be resumed at another target
-	Split       []Weighted
+	Name             string
+	Host             string
+	Prefix           string
+	Kind             Kind
+	Timeout          time.Duration // maximum time until the answer
+	LatencyObjective time.Duration // latency objective
+	MaxEventGap      time.Duration // maximum gap between events; 0 for the gateway's default stall timeout
+	Priority         int           // 0 is highest
+	MaxAttempts      int           // maximum number of targets that may run one request
+	AllowAnonymous   bool          // no API key is required
+	Resume           bool          // a stream may be resumed at another target
+	Split            []WeightedService
 }
 
 // Idempotent reports whether a request that may have run may be sent again.
--- a/gateway/versions.go
+++ b/gateway/versions.go
@@ -23,7 +23,7 @@
 	if r == nil || c.attempts > 0 && !r.Shifted(c.service) {
 		return false
 	}
-	return r.Draw(c.service, c.route.Name)
+	return r.SelectCanary(c.service, c.route.Name)
 }
 
 // excludeByVersion returns a filter for the targets that a call may not use because of
@@ -47,7 +47,7 @@
 	if focus.Part >= 1 {
 		return func(t *balance.Target) bool { return !allowed.Has(t.Version) }
 	}
-	focused := inFocus(focus, g.targets.OpenIDs(c.service, func(t *balance.Target) bool { return allowed.Has(t.Version) }))
+	focused := inFocus(focus, g.targets.AvailableIDs(c.service, func(t *balance.Target) bool { return allowed.Has(t.Version) }))
 	return func(t *balance.Target) bool { return !slices.Contains(focused, t.ID) }
 }
 
@@ -78,12 +78,12 @@
 // recordErrorAnswer records that a target answered with a failure.
 func (g *Gateway) recordErrorAnswer(c *call, t *balance.Target) {
 	logNewVersionFailure(c, t, "failed")
-	c.rolloutRequest.Ended(rollout.Failed)
+	c.rolloutRequest.Finish(rollout.Failed)
 }
 
 // logNewVersionFailure logs an answer that counts against a new version.
 func logNewVersionFailure(c *call, t *balance.Target, how string) {
-	if c.rolloutRequest.New() {
+	if c.rolloutRequest.IsNewVersion() {
 		klog.InfoS("Answer against a new version", "request", c.id, "service", c.service, "route", c.route.Name,
 			"version", t.Version, "target", t.ID, "how", how)
 	}
@@ -103,10 +103,10 @@
 	logNewVersionFailure(c, t, "lost")
 	c.rolloutRequest = nil
 	time.AfterFunc(lossConfirmDelay, func() {
-		if g.targets.HallInDoubt(t) {
-			request.Dropped()
+		if g.targets.HallSuspect(t) {
+			request.Discard()
 			return
 		}
-		request.Ended(rollout.Lost)
+		request.Finish(rollout.Lost)
 	})
 }
--- a/generation/ends.go
+++ b/generation/ends.go
@@ -33,13 +33,13 @@
 	}
 	if !a.settled && now.Sub(a.firstTokenAt) >= quarantine.Onset {
 		a.settled = true
-		g.m.cfg.Quarantine.Sound(g.fingerprint())
+		g.m.cfg.Quarantine.RecordSuccess(g.fingerprint())
 	}
 }
 
 // recordConnectionLoss records that an engine's connection broke during an attempt.
 func (g *Generation) recordConnectionLoss(a *attempt, s quarantine.Standing) {
-	g.crashProbe = g.m.cfg.Quarantine.Broke(quarantine.Break{
+	g.crashProbe = g.m.cfg.Quarantine.StartProbe(quarantine.BrokenConn{
 		Request: string(g.id), Content: g.fingerprint(), Target: string(a.grant.Target.Name), Address: a.grant.Target.Address,
 		Standing: s, Sent: a.sentAt,
 	})
--- a/generation/manager.go
+++ b/generation/manager.go
@@ -58,7 +58,7 @@
 	Router          Router
 	Engines         Engines
 	Guard           func() bundle.Guard
-	Leaning         func() bundle.Leaning
+	Leaning         func() bundle.ResumePreference
 	Observe         Observer
 	OrphanGrace     time.Duration // how long a generation without a key runs without followers
 	ReplaceAfter    time.Duration // how long a replica may fail before it is replaced
@@ -68,7 +68,7 @@
 	Broken          BrokenRule // safety rule to violate, in tests
 
 	// Quarantine detects requests that crash the engines that run them.
-	Quarantine *quarantine.Witness
+	Quarantine *quarantine.CrashDetector
 }
 
 // Observer receives events for metrics.
@@ -78,8 +78,8 @@
 	Resumed(id walnutramp.GenerationID, how string, took time.Duration, recomputed int)
 	// ResumeGap reports how long a generation's output was interrupted.
 	ResumeGap(account walnutramp.ClientAccount, model walnutramp.ModelName, gap time.Duration)
-	// TookOver reports the result of a takeover from another node.
-	TookOver(err error)
+	// TakeoverFinished reports the result of a takeover from another node.
+	TakeoverFinished(err error)
 }
 
 // Option sets a field of Config.
@@ -95,9 +95,9 @@
 	return func(c *Config) { c.Router, c.Engines = r, e }
 }
 
-// WithLeanings sets the sources of the bundle's replication settings and of its
+// WithBundleSettings sets the sources of the bundle's replication settings and of its
 // preference between latency and cost.
-func WithLeanings(guard func() bundle.Guard, leaning func() bundle.Leaning) Option {
+func WithBundleSettings(guard func() bundle.Guard, leaning func() bundle.ResumePreference) Option {
 	return func(c *Config) { c.Guard, c.Leaning = guard, leaning }
 }
 
@@ -105,7 +105,7 @@
 func WithObserver(o Observer) Option { return func(c *Config) { c.Observe = o } }
 
 // WithQuarantine sets the detector of requests that crash engines.
-func WithQuarantine(w *quarantine.Witness) Option { return func(c *Config) { c.Quarantine = w } }
+func WithQuarantine(w *quarantine.CrashDetector) Option { return func(c *Config) { c.Quarantine = w } }
 
 // WithResumer adds a resumer. Among equal forecasts the lower priority number wins.
 func WithResumer(r Resumer, priority int) Option {
@@ -123,7 +123,7 @@
 const (
 	BreakNothing BrokenRule = iota
 	BreakRelease            // tokens are released before a majority holds them
-	BreakAmnesia            // a replica that lost its state counts as having promised
+	BreakPromise            // a replica that lost its state counts as having promised
 )
 
 // WithBrokenRule violates a safety rule; for tests only.
@@ -135,13 +135,13 @@
 func defaultConfig() Config {
 	return Config{
 		Guard:           func() bundle.Guard { return bundle.Guard{Replicas: 1} },
-		Leaning:         func() bundle.Leaning { return bundle.LeanLatency },
+		Leaning:         func() bundle.ResumePreference { return bundle.PreferLatency },
 		Observe:         noopObserver{},
 		OrphanGrace:     15 * time.Second,
 		ReplaceAfter:    time.Second,
 		Retain:          2 * time.Minute,
 		MajorityTimeout: 10 * time.Second,
-		Quarantine:      quarantine.NewWitness(quarantine.New(), nil),
+		Quarantine:      quarantine.NewCrashDetector(quarantine.New(), nil),
 		Resumers: []Prioritized{
 			{Reattach{}, 100},
 			{ImportKV{}, 200},
@@ -154,7 +154,7 @@
 
 func (noopObserver) Resumed(walnutramp.GenerationID, string, time.Duration, int)             {}
 func (noopObserver) ResumeGap(walnutramp.ClientAccount, walnutramp.ModelName, time.Duration) {}
-func (noopObserver) TookOver(error)                                                          {}
+func (noopObserver) TakeoverFinished(error)                                                  {}
 
 // poolSize bounds concurrent background jobs, such as cancels.
 const poolSize = 64
--- a/generation/owner.go
+++ b/generation/owner.go
@@ -27,7 +27,7 @@
 	finalReleased bool
 	err           *walnutramp.Error // why this node releases no more
 	dispatched    bool              // an engine may have started the request
-	crashProbe    *quarantine.Look  // checks whether the engine whose connection broke last has crashed; used by feed only
+	crashProbe    *quarantine.Probe // checks whether the engine whose connection broke last has crashed; used by feed only
 	changed       chan struct{}     // closed and replaced at every change that followers wait for
 
 	followers   int
--- a/generation/prepare.go
+++ b/generation/prepare.go
@@ -92,7 +92,7 @@
 func (round *promiseRound) add(r memberReply) {
 	switch r.reply.Code {
 	case walnutramp.CodeNotHeld, walnutramp.CodeWrongIncarnation:
-		if round.broken == BreakAmnesia {
+		if round.broken == BreakPromise {
 			round.granted++
 		}
 	case walnutramp.CodeOK:
--- a/generation/resume.go
+++ b/generation/resume.go
@@ -62,11 +62,11 @@
 		return nil, nil
 	}
 	for ctx.Err() == nil {
-		err := walnutramp.NewError(walnutramp.CodeSeamRefused, walnutramp.Unknown,
+		err := walnutramp.NewError(walnutramp.CodeResumeRefused, walnutramp.Unknown,
 			"the stream ended and options %v can't be carried on by another engine", b.State.Spec.Bound)
 		var last error = err
 		for _, c := range g.m.resumeCandidates(b) {
-			if stop := g.m.cfg.Quarantine.Stop(g.crashProbe, g.fingerprint()); stop != nil {
+			if stop := g.m.cfg.Quarantine.CheckRetry(g.crashProbe, g.fingerprint()); stop != nil {
 				return nil, stop
 			}
 			a, err := c.resumer.Resume(ctx, b)
@@ -127,7 +127,7 @@
 // resumeCandidates returns the applicable resumers, best forecast first.
 func (m *Manager) resumeCandidates(b *Interrupted) []resumeCandidate {
 	weight := tokenWeightLatency
-	if m.cfg.Leaning() == bundle.LeanCost {
+	if m.cfg.Leaning() == bundle.PreferCost {
 		weight = tokenWeightCost
 	}
 	var candidates []resumeCandidate
@@ -276,7 +276,7 @@
 	if !ok {
 		return nil, errors.Newf("target %s is not in the bundle", b.State.Source.Target)
 	}
-	defer grant.Done(route.Left)
+	defer grant.Done(route.Canceled)
 	exportCtx, cancel := context.WithTimeout(ctx, reattachTimeout)
 	defer cancel()
 	old := b.g.m.cfg.Engines.Engine(grant.Target)
--- a/generation/run.go
+++ b/generation/run.go
@@ -233,7 +233,7 @@
 				return causeClosed
 			}
 			if finished {
-				g.m.cfg.Quarantine.Sound(g.fingerprint())
+				g.m.cfg.Quarantine.RecordSuccess(g.fingerprint())
 				return causeFinished
 			}
 			if took > 0 {
@@ -244,7 +244,7 @@
 				}
 				a.grant.Tokens(now.Sub(last))
 				last = now
-				limit.Reset(a.grant.SilenceLimit())
+				limit.Reset(a.grant.StallLimit())
 			}
 		case <-limit.C:
 			return causeStalled
@@ -349,7 +349,7 @@
 	case causeStalled:
 		return route.Stalled
 	case causeStopped:
-		return route.Left
+		return route.Canceled
 	}
-	return route.Broken
+	return route.Failed
 }
--- a/generation/takeover.go
+++ b/generation/takeover.go
@@ -159,7 +159,7 @@
 	m.mu.Unlock()
 	if first {
 		t.g, t.err = m.runTakeover(found)
-		m.cfg.Observe.TookOver(t.err)
+		m.cfg.Observe.TakeoverFinished(t.err)
 		m.mu.Lock()
 		delete(m.takeovers, found.ID)
 		m.mu.Unlock()
--- a/groupclock/agreement.go
+++ b/groupclock/agreement.go
@@ -31,9 +31,9 @@
 // Steady reads the monotonic clock, to record when a request is sent.
 func (a *Agreement) Steady() time.Duration { return a.steady() }
 
-// Heard adds a sample of a member's wall clock, unix, just received in reply to
+// AddSample adds a sample of a member's wall clock, unix, just received in reply to
 // a request sent at asked.
-func (a *Agreement) Heard(member string, unix, asked time.Duration) {
+func (a *Agreement) AddSample(member string, unix, asked time.Duration) {
 	if a.members[member] == nil {
 		a.members[member] = &filter{}
 	}
@@ -45,10 +45,10 @@
 
 // Result is the outcome of an agreement.
 type Result struct {
-	Heard  int           // members with a recent sample
-	Spread time.Duration // between the earliest and the latest wall clock
-	Agreed bool          // whether enough members agree; otherwise the time is not usable
-	Within time.Duration // error bound of the time
+	Samples int           // members with a recent sample
+	Spread  time.Duration // between the earliest and the latest wall clock
+	Agreed  bool          // whether enough members agree; otherwise the time is not usable
+	Within  time.Duration // error bound of the time
 
 	at     time.Duration
 	offset time.Duration
@@ -60,7 +60,7 @@
 func (a *Agreement) Result(group int) Result {
 	now := a.steady()
 	fresh := a.fresh(now)
-	r := Result{Heard: len(fresh), at: now}
+	r := Result{Samples: len(fresh), at: now}
 	if len(fresh) == 0 {
 		return r
 	}
@@ -93,10 +93,10 @@
 	return fresh
 }
 
-// Agreed adds a result to the follower's samples, on the member that computed
+// SetResult adds a result to the follower's samples, on the member that computed
 // it; a result without agreement is ignored. The follower and the Agreement must
 // use the same monotonic clock.
-func (f *Follower) Agreed(r Result) {
+func (f *Follower) SetResult(r Result) {
 	if r.Agreed {
 		f.addSample(sample{at: r.at, offset: r.offset, within: r.Within})
 	}
--- a/groupclock/follower.go
+++ b/groupclock/follower.go
@@ -39,8 +39,8 @@
 // Steady reads the monotonic clock, to record when a request is sent.
 func (f *Follower) Steady() time.Duration { return f.steady() }
 
-// Heard adds the stamp of a reply just received to a request sent at asked.
-func (f *Follower) Heard(s Stamp, asked time.Duration) {
+// AddSample adds the stamp of a reply just received to a request sent at asked.
+func (f *Follower) AddSample(s Stamp, asked time.Duration) {
 	received := newSample(s.Unix, asked, f.steady(), s.Held)
 	received.within += s.Within
 	f.addSample(received)
--- a/groupclock/groupclock_test.go
+++ b/groupclock/groupclock_test.go
@@ -37,7 +37,7 @@
 	w.transmit(way)
 	unix := w.now + off
 	w.transmit(way)
-	a.Heard(member, unix, asked)
+	a.AddSample(member, unix, asked)
 }
 
 // follow sends a follower the stamp of another clock, whose reply is held for a
@@ -49,7 +49,7 @@
 	stamp := from.Stamp(held)
 	w.transmit(way)
 	if stamp != nil {
-		f.Heard(*stamp, asked)
+		f.AddSample(*stamp, asked)
 	}
 }
 
@@ -93,7 +93,7 @@
 					r := a.Result(6)
 					require.True(t, r.Agreed)
 					require.Greater(t, r.Spread, set-50*time.Millisecond)
-					f.Agreed(r)
+					f.SetResult(r)
 					w.follow(node, f, way, time.Second)
 					worst = max(worst, w.clockError(t, f), w.clockError(t, node))
 				}
@@ -117,7 +117,7 @@
 			offs[0], offs[3] = -3*time.Second, 0
 		}
 		w.sampleAll(a, time.Millisecond, offs...)
-		f.Agreed(a.Result(6))
+		f.SetResult(a.Result(6))
 		require.Less(t, w.clockError(t, f), 5*time.Millisecond)
 		w.now += time.Second
 	}
@@ -128,7 +128,7 @@
 	w := newSimulation(3)
 	steady := w.steady(0)
 	a, f := NewAgreement(steady), NewFollower(steady)
-	f.Agreed(a.Result(6))
+	f.SetResult(a.Result(6))
 	_, _, known := f.Now()
 	require.False(t, known, "no samples")
 
@@ -138,7 +138,7 @@
 	require.False(t, a.Result(6).Agreed, "two against two")
 
 	w.sampleAll(a, time.Millisecond, 0, 0, 0, 0)
-	f.Agreed(a.Result(6))
+	f.SetResult(a.Result(6))
 	w.now += time.Minute
 	require.False(t, a.Result(6).Agreed, "samples too old")
 	require.Less(t, w.clockError(t, f), 30*time.Millisecond, "extrapolated from the last known time")
@@ -153,7 +153,7 @@
 	for range 5 {
 		asked := node.Steady()
 		w.now += 800 * time.Millisecond // only one direction is slow
-		node.Heard(*source.Stamp(0), asked)
+		node.AddSample(*source.Stamp(0), asked)
 		require.Less(t, w.clockError(t, node), 10*time.Millisecond)
 	}
 }
--- a/internal/site/site.go
+++ b/internal/site/site.go
@@ -28,7 +28,7 @@
 	ServiceCfg standin.ServiceConfig
 	Accounts   []bundle.Account // KeyOf returns the API key of each
 	Guard      bundle.Guard
-	Leaning    bundle.Leaning
+	Leaning    bundle.ResumePreference
 	Patience   time.Duration // admission timeout; 0 for the node's default
 	Objectives []bundle.Objective
 	Network    Network
@@ -49,7 +49,7 @@
 		Engine:   standin.DefaultEngineConfig(),
 		Accounts: []bundle.Account{{Name: "clerks", Weight: 1}},
 		Guard:    bundle.Guard{Replicas: 3},
-		Leaning:  bundle.LeanLatency,
+		Leaning:  bundle.PreferLatency,
 		Network:  &Loopback{},
 	}
 }
@@ -151,7 +151,7 @@
 	}
 	for _, n := range s.Nodes[:s.cfg.Control] {
 		n.Disk = memfs.New()
-		if err := control.FoundIdentity(n.Disk); err != nil {
+		if err := control.WriteFounderIdentity(n.Disk); err != nil {
 			return err
 		}
 	}
--- a/load/capacity.go
+++ b/load/capacity.go
@@ -392,7 +392,7 @@
 		Version: 1, Site: "capacity",
 		Models: []bundle.Model{{Name: "draft-large", Context: 1 << 17}},
 		Guard:  bundle.Guard{Replicas: 3},
-		Resume: bundle.Resume{Leaning: bundle.LeanLatency},
+		Resume: bundle.Resume{Leaning: bundle.PreferLatency},
 	}
 	for i := range n {
 		b.Targets = append(b.Targets, bundle.Target{
--- a/load/predict.go
+++ b/load/predict.go
@@ -76,7 +76,7 @@
 	return []prediction{
 		{"processor time, membership and lease", "fit by members at 440", extrapolate(SlopeMembersCPU, t.Nodes), t.CPULimit, "ms/s"},
 		{"processor time, load reports", "largest measured by targets: beyond 30 of them the asks a second are bounded", maxMeasured(SlopeTargetsCPU), t.CPULimit, "ms/s"},
-		{"bytes, load reports", fmt.Sprintf("%d asks a second × %.0f bytes measured", target.AsksPerSecond, c.ReportBytes), target.AsksPerSecond * c.ReportBytes, t.BytesLimit, "bytes/s"},
+		{"bytes, load reports", fmt.Sprintf("%d asks a second × %.0f bytes measured", target.MaxPollsPerSecond, c.ReportBytes), target.MaxPollsPerSecond * c.ReportBytes, t.BytesLimit, "bytes/s"},
 		{"processor time, taking changes of the whole bundle", "time to take a change at 12,000 targets × changes/s", parse * changes, t.CPULimit, "ms/s"},
 		{"bytes, membership and lease", "fit by members at 440", extrapolate(SlopeMembersBytes, t.Nodes), t.BytesLimit, "bytes/s"},
 		{"bytes, changes", "bytes of a change at 12,000 targets × changes/s", extrapolate(SlopeDelta, t.Engines) * changes, t.BytesLimit, "bytes/s"},
--- a/load/shape.go
+++ b/load/shape.go
@@ -21,7 +21,7 @@
 	Between  time.Duration // one-way latency between data halls
 	Client   time.Duration // one-way latency between clients and the site
 	Accounts int
-	Leaning  bundle.Leaning
+	Leaning  bundle.ResumePreference
 	Coalesce time.Duration // see bundle.Guard
 	Slots    int           // per engine; 0 for the default of the stand-in engine
 	Patience time.Duration // admission timeout; 0 for the node's default
@@ -29,9 +29,9 @@
 
 // Shapes are the predefined shapes.
 var Shapes = []Shape{
-	{Name: "small", Halls: 3, Nodes: 3, Engines: 4, Services: 1, Accounts: 2, Leaning: bundle.LeanLatency, Coalesce: 10 * time.Millisecond},
-	{Name: "tortuguero", Halls: 4, Nodes: 11, Engines: 24, Services: 4, Between: time.Millisecond, Client: time.Millisecond, Accounts: 10, Leaning: bundle.LeanLatency, Coalesce: 10 * time.Millisecond},
-	{Name: "po-valley", Halls: 3, Nodes: 12, Engines: 36, Services: 4, Between: 1500 * time.Microsecond, Client: 3 * time.Millisecond, Accounts: 10, Leaning: bundle.LeanCost, Coalesce: 25 * time.Millisecond},
+	{Name: "small", Halls: 3, Nodes: 3, Engines: 4, Services: 1, Accounts: 2, Leaning: bundle.PreferLatency, Coalesce: 10 * time.Millisecond},
+	{Name: "tortuguero", Halls: 4, Nodes: 11, Engines: 24, Services: 4, Between: time.Millisecond, Client: time.Millisecond, Accounts: 10, Leaning: bundle.PreferLatency, Coalesce: 10 * time.Millisecond},
+	{Name: "po-valley", Halls: 3, Nodes: 12, Engines: 36, Services: 4, Between: 1500 * time.Microsecond, Client: 3 * time.Millisecond, Accounts: 10, Leaning: bundle.PreferCost, Coalesce: 25 * time.Millisecond},
 }
 
 // ShapeNamed returns the predefined shape with the given name.
--- a/loadshare/borrow.go
+++ b/loadshare/borrow.go
@@ -149,7 +149,7 @@
 		return
 	}
 	if reply.OK {
-		s.budgets.Of(p.service).Borrowed(p.sentAt)
+		s.budgets.Of(p.service).AddBorrowed(p.sentAt)
 		s.counters.borrowed.Add(1)
 	}
 	select {
--- a/loadshare/crashes_test.go
+++ b/loadshare/crashes_test.go
@@ -13,15 +13,15 @@
 
 const crashingContent = quarantine.Fingerprint(77)
 
-func crashOf(target string) quarantine.Note {
-	return quarantine.Note{Content: crashingContent, Target: shortname.Of(target), Standing: quarantine.Begun, Ran: 100 * time.Millisecond}
+func crashOf(target string) quarantine.Report {
+	return quarantine.Report{Content: crashingContent, Target: shortname.Of(target), Standing: quarantine.Begun, Ran: 100 * time.Millisecond}
 }
 
 // nodesHolding returns how many nodes quarantine the content.
 func (s *siteOf) nodesHolding() int {
 	n := 0
 	for _, node := range s.nodes {
-		if _, held := node.ledger.Held(crashingContent); held {
+		if _, held := node.ledger.Quarantined(crashingContent); held {
 			n++
 		}
 	}
@@ -57,7 +57,7 @@
 				}
 				s.network.mu.Unlock()
 				for i := range 3 {
-					s.nodes[i].ledger.Ended(crashOf(engines(site.halls)[i].ID))
+					s.nodes[i].ledger.RecordCrash(crashOf(engines(site.halls)[i].ID))
 					time.Sleep(300 * time.Millisecond)
 				}
 				time.Sleep(site.within)
@@ -74,7 +74,7 @@
 		defer s.close()
 		time.Sleep(4 * time.Second)
 		for i, region := range []string{"region-0", "region-1", "region-2"} {
-			s.nonRelayIn(region).ledger.Ended(crashOf(engines(regionHalls)[i].ID))
+			s.nonRelayIn(region).ledger.RecordCrash(crashOf(engines(regionHalls)[i].ID))
 			time.Sleep(300 * time.Millisecond)
 		}
 		time.Sleep(500 * time.Millisecond)
@@ -92,14 +92,14 @@
 		s.nodes[0].stateFile = file
 		for i := range 3 {
 			time.Sleep(time.Second)
-			s.nodes[0].ledger.Ended(crashOf(engines(4)[i].ID))
+			s.nodes[0].ledger.RecordCrash(crashOf(engines(4)[i].ID))
 		}
 		time.Sleep(time.Second)
 		s.nodes[5].kill()
 		s.nodes[5] = s.start(5, 4)
 		s.setPeers()
 		time.Sleep(10 * time.Millisecond)
-		_, held := s.nodes[5].ledger.Held(crashingContent)
+		_, held := s.nodes[5].ledger.Quarantined(crashingContent)
 		require.True(t, held, "a restarted node asks its peers")
 
 		text, err := s.nodes[0].encodeState()
@@ -110,7 +110,7 @@
 		defer alone.close()
 		alone.nodes[0].stateFile = file
 		alone.nodes[0].restore()
-		left, held := alone.nodes[0].ledger.Held(crashingContent)
+		left, held := alone.nodes[0].ledger.Quarantined(crashingContent)
 		require.True(t, held, "read from the state file")
 		require.Less(t, left, time.Hour-savedStateMaxAge, "the age of the reports is kept")
 	})
--- a/loadshare/failures_test.go
+++ b/loadshare/failures_test.go
@@ -185,8 +185,8 @@
 					}
 					id := fmt.Sprint("i-", e)
 					if t := n.tracker.Pick(balance.Choice{Service: "s", Exclude: func(t *balance.Target) bool { return t.ID != id }}); t != nil {
-						t.Refused()
-						t.Broke()
+						t.RecordRefused()
+						t.RecordFailure()
 					}
 				}
 			}
--- a/loadshare/formats_test.go
+++ b/loadshare/formats_test.go
@@ -19,12 +19,12 @@
 	return map[string]message{
 		"report": {
 			Sequence: 9, Full: true, DataHall: "hall-1", Disk: true, Finished: []uint64{3}, Ended: []string{"i-1"}, Suspects: []string{"i-2"},
-			Silent: []string{"i-3"}, Counts: map[string]balance.Count{"s": {Requests: 7, Repeats: 2}},
+			Silent: []string{"i-3"}, Counts: map[string]balance.Count{"s": {Requests: 7, Retries: 2}},
 			Runs: []run{{Number: 4, Target: "i-4", Read: 100, Hold: 200, AgeMS: 300, Key: "key", Copy: "i-5", CopyName: "name"}},
 		},
 		"feed": {Feed: &feedDatagram{
 			Scope: scopeRegion, Region: "east", Sequence: 12, Part: 1, Parts: 2, Ended: []string{"i-1"},
-			Counts: map[string]balance.Count{"s": {Requests: 7, Repeats: 2}},
+			Counts: map[string]balance.Count{"s": {Requests: 7, Retries: 2}},
 			Deltas: []nodeDelta{{Node: 77, Runs: []compactRun{{Number: 4, Target: 5, Read: 6, Hold: 7, AgeMS: 8, Copy: 9}}, Finished: []uint64{3}}},
 		}},
 		"ask":   {WantDataHall: true, Subscribe: &subscribeRequest{Scope: scopeSite, Snapshot: true, ResendFrom: 6}, Lookup: &lookupRequest{ID: 5, Key: "key"}},
--- a/loadshare/layout.go
+++ b/loadshare/layout.go
@@ -104,7 +104,7 @@
 // regionOf returns the region of a data hall, empty on a site of one region. A hall of
 // unknown region counts as part of this node's region.
 func (l *layout) regionOf(hall string) string {
-	if !l.regions.Several() {
+	if !l.regions.MultiRegion() {
 		return ""
 	}
 	if region := l.regions.Region(hall); region != "" {
--- a/loadshare/loadshare.go
+++ b/loadshare/loadshare.go
@@ -91,7 +91,7 @@
 	if s.ledger == nil {
 		s.ledger = quarantine.New()
 	}
-	s.ledger.OnNews(s.Changed)
+	s.ledger.OnReport(s.Changed)
 	s.relay.addRegions(s.regions)
 	s.counters.addRegions(s.regions)
 	tracker.OnChange(s.Changed)
@@ -136,9 +136,9 @@
 	}
 }
 
-// PeersStill confirms that the last list of peers is still valid. It drops the peers
+// ConfirmPeers confirms that the last list of peers is still valid. It drops the peers
 // that have been missing from it for peerRetention.
-func (s *Sharer) PeersStill() {
+func (s *Sharer) ConfirmPeers() {
 	if s.confirmPeers() {
 		s.peersChanged()
 	}
@@ -228,9 +228,9 @@
 	nodes := slices.Collect(maps.Keys(s.peers))
 	s.mu.Unlock()
 	s.tracker.SetNodes(own, nodes)
-	s.tracker.SetFarLag(s.otherHallLag(len(nodes)))
-	s.tracker.SetNewsLag(s.propagationLag(len(nodes)))
-	s.tracker.SetRegionLag(s.regionLag(len(nodes)))
+	s.tracker.SetCrossHallLag(s.otherHallLag(len(nodes)))
+	s.tracker.SetPropagationDelay(s.propagationLag(len(nodes)))
+	s.tracker.SetCrossRegionLag(s.regionLag(len(nodes)))
 	s.Changed()
 }
 
@@ -331,7 +331,7 @@
 		return
 	}
 	n := localState{runs: s.tracker.Runs(), ended: s.tracker.Ended(), suspects: s.tracker.Suspects(),
-		silent: s.tracker.SilentTargets(), counts: s.budgets.Counts()}
+		silent: s.tracker.UnresponsiveTargets(), counts: s.budgets.Counts()}
 	n.crashes = s.newCrashes(a)
 	if a.relays {
 		s.sendTraces(l, n.runs)
@@ -360,25 +360,25 @@
 
 // newCrashes returns the crash reports not yet sent to a peer group.
 func (s *Sharer) newCrashes(a *peerGroup) []crashReport {
-	notes, newest := s.ledger.News(a.crashCursor)
+	notes, newest := s.ledger.ReportsAfter(a.crashCursor)
 	a.crashCursor = newest
 	return encodeCrashes(notes)
 }
 
 // allCrashes returns the crash reports for a node that may have missed some.
-func (s *Sharer) allCrashes() []crashReport { return encodeCrashes(s.ledger.Everything()) }
+func (s *Sharer) allCrashes() []crashReport { return encodeCrashes(s.ledger.AllReports()) }
 
 // mergeCrashes adds another node's crash reports, and returns those that are new.
 func (s *Sharer) mergeCrashes(reports []crashReport) []crashReport {
-	return encodeCrashes(s.ledger.Take(decodeCrashes(reports)))
+	return encodeCrashes(s.ledger.Merge(decodeCrashes(reports)))
 }
 
 // withoutTraces returns the runs that occupy a target, without the trace keys, which
 // relays do not forward.
-func withoutTraces(runs []balance.Shared) []balance.Shared {
-	var stripped []balance.Shared
+func withoutTraces(runs []balance.RunReport) []balance.RunReport {
+	var stripped []balance.RunReport
 	for _, r := range runs {
-		if r.Broken {
+		if r.Failed {
 			continue
 		}
 		r.Trace = balance.Trace{Copy: r.Trace.Copy, CopyName: r.Trace.CopyName}
@@ -492,18 +492,18 @@
 	if sameHall && s.currentLayout().relayed {
 		s.relayReport(from, runs, m.Counts, targetEvents{ended: m.Ended, suspects: m.Suspects, silent: m.Silent, crashes: crashes})
 	} else if len(m.Counts) > 0 {
-		s.budgets.SetOther(from, m.Counts)
+		s.budgets.SetPeerCounts(from, m.Counts)
 	}
 	s.tracker.SetEnded(m.Ended)
 	s.tracker.SetSuspects(m.Suspects)
-	s.tracker.SetSilent(m.Silent)
-	s.tracker.SetOthers(nodeName(shortname.Of(from)), runs)
+	s.tracker.SetUnresponsive(m.Silent)
+	s.tracker.SetPeerRuns(nodeName(shortname.Of(from)), runs)
 	s.requestSave()
 }
 
 // applyReport updates the state of a sender and returns its runs. sameHall reports
 // whether it is in this node's data hall; ok is false for an outdated message.
-func (s *Sharer) applyReport(state *sender, m message) (runs []balance.Shared, sameHall, ok bool) {
+func (s *Sharer) applyReport(state *sender, m message) (runs []balance.RunReport, sameHall, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if m.Sequence <= state.sequence {
--- a/loadshare/loadshare_test.go
+++ b/loadshare/loadshare_test.go
@@ -35,8 +35,8 @@
 	addresses := []string{local.conn.LocalAddr().String(), remote.conn.LocalAddr().String()}
 	local.SetPeers(peersFromAddresses(addresses))
 	remote.SetPeers(peersFromAddresses(addresses))
-	choice := balance.Choice{Service: "s", Work: balance.Work{Read: 8000, Hold: 8000}}
-	localTracker.Pick(choice).Begin(balance.Work{Read: 90000, Hold: 90000}, balance.Trace{})
+	choice := balance.Choice{Service: "s", Work: balance.Work{PrefillTokens: 8000, MemoryTokens: 8000}}
+	localTracker.Pick(choice).Begin(balance.Work{PrefillTokens: 90000, MemoryTokens: 90000}, balance.Trace{})
 	taken := localTracker.Runs()[0].Target
 	never := func() bool {
 		for range 30 {
@@ -54,7 +54,7 @@
 	s.started = time.Now().Add(-unknownSenderGrace)
 	s.SetPeers(peersFromAddresses([]string{"127.0.0.1:9"}))
 	heavy := message{Sequence: 5, Runs: []run{{Number: 1, Target: "1", Read: 90000, Hold: 90000}, {Number: 2, Target: "2", Hold: 1, Read: -5}}}
-	choice := balance.Choice{Service: "s", Work: balance.Work{Read: 8000, Hold: 8000}}
+	choice := balance.Choice{Service: "s", Work: balance.Work{PrefillTokens: 8000, MemoryTokens: 8000}}
 	expected := func(id string) time.Duration {
 		only := choice
 		only.Exclude = func(t *balance.Target) bool { return t.ID != id }
@@ -106,11 +106,11 @@
 	}
 	here, there := listen(), listen()
 	addresses := []string{here.LocalAddr().String(), there.LocalAddr().String()}
-	withDisk, hereTracker, killHere := start(here, WithMemory(file))
+	withDisk, hereTracker, killHere := start(here, WithStateFile(file))
 	without, thereTracker, killThere := start(there)
 	withDisk.SetPeers(peersFromAddresses(addresses))
 	without.SetPeers(peersFromAddresses(addresses))
-	run := thereTracker.Pick(balance.Choice{Service: "s"}).Begin(balance.Work{Read: 1, Hold: 1}, balance.Trace{Key: "part-1", CopyName: "run-1", Copy: "2"})
+	run := thereTracker.Pick(balance.Choice{Service: "s"}).Begin(balance.Work{PrefillTokens: 1, MemoryTokens: 1}, balance.Trace{Key: "part-1", CopyName: "run-1", Copy: "2"})
 	run.FirstEvent()
 	require.Eventually(t, func() bool { at, _ := hereTracker.FindCopy("part-1"); return at != nil }, 5*time.Second, 5*time.Millisecond)
 	require.Eventually(t, func() bool {
@@ -125,7 +125,7 @@
 		again, err = net.ListenPacket("udp", addresses[1])
 	}
 	_, laterTracker, _ := start(again)
-	_, _, _ = start(listen(), WithMemory(file))
+	_, _, _ = start(listen(), WithStateFile(file))
 	require.Eventually(t, func() bool {
 		at, identity := laterTracker.FindCopy("part-1")
 		return at != nil && at.ID == "2" && identity == "run-1"
@@ -142,13 +142,13 @@
 				require.NoError(t, err)
 				tracker := balance.NewTracker(balance.WithSeed(1))
 				tracker.Update([]discovery.Target{{ID: "1", Service: "s", Address: "10.0.0.1:80", Slots: 8}, {ID: "2", Service: "s", Address: "10.0.0.2:80", Slots: 8}})
-				s := New(conn, tracker, balance.NewBudgets(balance.BudgetConfig{Ratio: 1, Slack: 10, Window: time.Second}), WithMemory(file))
+				s := New(conn, tracker, balance.NewBudgets(balance.BudgetConfig{Ratio: 1, Slack: 10, Window: time.Second}), WithStateFile(file))
 				ctx, cancel := context.WithCancel(context.Background())
 				t.Cleanup(cancel)
 				go s.Run(ctx)
 				return tracker
 			}
-			choice := balance.Choice{Service: "s", Work: balance.Work{Read: 8000, Hold: 8000}, Key: "part-1", Again: true}
+			choice := balance.Choice{Service: "s", Work: balance.Work{PrefillTokens: 8000, MemoryTokens: 8000}, Key: "part-1", Retried: true}
 			read := choice
 			read.Exclude = func(t *balance.Target) bool { return t.ID != id }
 			start().Pick(read).Begin(choice.Work, balance.Trace{Key: "part-1"}).FirstEvent()
--- a/loadshare/message.go
+++ b/loadshare/message.go
@@ -151,7 +151,7 @@
 	Later    bool
 }
 
-func encodeCrashes(notes []quarantine.Note) []crashReport {
+func encodeCrashes(notes []quarantine.Report) []crashReport {
 	reports := make([]crashReport, 0, len(notes))
 	for _, n := range notes {
 		reports = append(reports, crashReport{Content: uint64(n.Content), Target: n.Target, Standing: int(n.Standing),
@@ -160,10 +160,10 @@
 	return reports
 }
 
-func decodeCrashes(reports []crashReport) []quarantine.Note {
-	notes := make([]quarantine.Note, 0, len(reports))
+func decodeCrashes(reports []crashReport) []quarantine.Report {
+	notes := make([]quarantine.Report, 0, len(reports))
 	for _, e := range reports {
-		notes = append(notes, quarantine.Note{Content: quarantine.Fingerprint(e.Content), Target: e.Target,
+		notes = append(notes, quarantine.Report{Content: quarantine.Fingerprint(e.Content), Target: e.Target,
 			Standing: quarantine.Standing(e.Standing), Age: milliseconds(e.AgeMS), Ran: milliseconds(e.RanMS), Later: e.Later})
 	}
 	return notes
@@ -220,9 +220,9 @@
 }
 
 // encodeRun omits CopyName for a run without a copy.
-func encodeRun(r balance.Shared) run {
+func encodeRun(r balance.RunReport) run {
 	e := run{
-		Number: r.Number, Target: r.Target, Read: r.Read, Hold: r.Hold, AgeMS: r.Age.Milliseconds(), Broken: r.Broken,
+		Number: r.Number, Target: r.Target, Read: r.PendingTokens, Hold: r.MemoryTokens, AgeMS: r.Age.Milliseconds(), Broken: r.Failed,
 		Key: r.Trace.Key,
 	}
 	if r.Trace.Copy != "" {
@@ -231,13 +231,13 @@
 	return e
 }
 
-func (r run) shared() balance.Shared {
-	s := balance.Shared{
-		Number: r.Number, Target: r.Target, Read: max(0, r.Read), Hold: max(0, r.Hold),
+func (r run) shared() balance.RunReport {
+	s := balance.RunReport{
+		Number: r.Number, Target: r.Target, PendingTokens: max(0, r.Read), MemoryTokens: max(0, r.Hold),
 		Age:   time.Duration(max(0, r.AgeMS)) * time.Millisecond,
-		Trace: balance.Trace{Key: r.Key, CopyName: r.CopyName, Copy: r.Copy}, Broken: r.Broken,
+		Trace: balance.Trace{Key: r.Key, CopyName: r.CopyName, Copy: r.Copy}, Failed: r.Broken,
 	}
-	if s.Read == 0 {
+	if s.PendingTokens == 0 {
 		s.Trace.ReadAt = r.Target
 	}
 	return s
--- a/loadshare/peergroup.go
+++ b/loadshare/peergroup.go
@@ -36,7 +36,7 @@
 
 	lastFull     time.Time // time of the last full message
 	peerCount    int       // number of recipients of the last message
-	sentRuns     map[uint64]balance.Shared
+	sentRuns     map[uint64]balance.RunReport
 	sentEnded    map[string]bool
 	sentSuspects map[string]bool
 	sentSilent   map[string]bool
@@ -78,7 +78,7 @@
 
 // localState is the state of this node that peers are sent.
 type localState struct {
-	runs     []balance.Shared
+	runs     []balance.RunReport
 	ended    []string
 	suspects []string
 	silent   []string
@@ -90,7 +90,7 @@
 // state, or the changes since the last call, if any.
 func (a *peerGroup) buildMessages(state localState, full bool) []message {
 	if full {
-		a.sentRuns = map[uint64]balance.Shared{}
+		a.sentRuns = map[uint64]balance.RunReport{}
 		a.sentEnded, a.sentSuspects, a.sentSilent = nil, nil, nil
 	}
 	runs := a.changedRuns(state.runs)
@@ -122,11 +122,11 @@
 }
 
 // changedRuns returns the runs that are new or changed, and records them as sent.
-func (a *peerGroup) changedRuns(now []balance.Shared) []run {
+func (a *peerGroup) changedRuns(now []balance.RunReport) []run {
 	var changed []run
 	for _, r := range now {
 		before, known := a.sentRuns[r.Number]
-		if known && before.Read == r.Read && before.Broken == r.Broken && before.Trace.CopyName == r.Trace.CopyName {
+		if known && before.PendingTokens == r.PendingTokens && before.Failed == r.Failed && before.Trace.CopyName == r.Trace.CopyName {
 			continue
 		}
 		a.sentRuns[r.Number] = r
@@ -136,7 +136,7 @@
 }
 
 // finishedRuns returns the numbers of runs that were sent and have ended since.
-func (a *peerGroup) finishedRuns(now []balance.Shared) []uint64 {
+func (a *peerGroup) finishedRuns(now []balance.RunReport) []uint64 {
 	live := make(map[uint64]bool, len(now))
 	for _, r := range now {
 		live[r.Number] = true
--- a/loadshare/peergroup_test.go
+++ b/loadshare/peergroup_test.go
@@ -11,11 +11,11 @@
 )
 
 // sharedRuns returns n runs numbered from first, each with a copy.
-func sharedRuns(first, n int) []balance.Shared {
-	var runs []balance.Shared
+func sharedRuns(first, n int) []balance.RunReport {
+	var runs []balance.RunReport
 	for i := range n {
-		runs = append(runs, balance.Shared{
-			Number: uint64(first + i), Target: fmt.Sprint("i-6c3b5107", i), Read: 8000, Hold: 8400,
+		runs = append(runs, balance.RunReport{
+			Number: uint64(first + i), Target: fmt.Sprint("i-6c3b5107", i), PendingTokens: 8000, MemoryTokens: 8400,
 			Trace: balance.Trace{Key: "5c1e07a2", CopyName: "9c41d07be2a35f68", Copy: "i-7f3a91c2"},
 		})
 	}
@@ -23,9 +23,9 @@
 }
 
 // applyMessages applies messages as a receiver would, and returns the runs by number.
-func applyMessages(t *testing.T, s *sender, messages []message) map[uint64]balance.Shared {
+func applyMessages(t *testing.T, s *sender, messages []message) map[uint64]balance.RunReport {
 	t.Helper()
-	var runs []balance.Shared
+	var runs []balance.RunReport
 	for _, m := range messages {
 		m.Sequence = s.sequence + 1
 		datagram, err := msgpack.Marshal(m)
@@ -35,7 +35,7 @@
 		require.NoError(t, msgpack.Unmarshal(datagram, &received))
 		runs = s.apply(received, time.Now())
 	}
-	byNumber := map[uint64]balance.Shared{}
+	byNumber := map[uint64]balance.RunReport{}
 	for _, r := range runs {
 		byNumber[r.Number] = r
 	}
@@ -48,7 +48,7 @@
 	require.Len(t, applyMessages(t, s, a.buildMessages(localState{runs: runs, suspects: []string{"i-1"}}, true)), 3)
 	require.Empty(t, a.buildMessages(localState{runs: runs, suspects: []string{"i-1"}}, false), "nothing has changed")
 
-	runs[1].Read = 0 // the first event has arrived
+	runs[1].PendingTokens = 0 // the first event has arrived
 	messages := a.buildMessages(localState{runs: append(runs[1:], sharedRuns(9, 1)...), suspects: []string{"i-1", "i-2"}}, false)
 	require.Len(t, messages, 1)
 	require.Len(t, messages[0].Runs, 2)
@@ -56,7 +56,7 @@
 	require.Equal(t, []string{"i-2"}, messages[0].Suspects)
 	now := applyMessages(t, s, messages)
 	require.Len(t, now, 3)
-	require.Zero(t, now[2].Read)
+	require.Zero(t, now[2].PendingTokens)
 	require.NotContains(t, now, uint64(1))
 	require.Contains(t, now, uint64(9))
 }
--- a/loadshare/regions.go
+++ b/loadshare/regions.go
@@ -16,7 +16,7 @@
 
 // ownRegion returns the region of this node, empty on a site of one region.
 func (s *Sharer) ownRegion() string {
-	if !s.regions.Several() {
+	if !s.regions.MultiRegion() {
 		return ""
 	}
 	return s.regions.OwnRegion()
@@ -59,7 +59,7 @@
 
 // addRegions adds a byte counter for each other region.
 func (c *counters) addRegions(m topology.Map) {
-	if !m.Several() {
+	if !m.MultiRegion() {
 		return
 	}
 	c.regions = map[string]*atomic.Int64{}
--- a/loadshare/regions_test.go
+++ b/loadshare/regions_test.go
@@ -153,7 +153,7 @@
 				n := s.nodes[(3*round+i)%regionNodes]
 				run := n.begin(fmt.Sprint("i-", (7*round+i)%siteEngines), fmt.Sprint("key-", round, "-", i))
 				time.AfterFunc(time.Second, run.FirstEvent)
-				time.AfterFunc(4*time.Second, func() { run.End(balance.RunEnd{Whole: true}) })
+				time.AfterFunc(4*time.Second, func() { run.End(balance.RunEnd{Complete: true}) })
 			}
 			time.Sleep(100 * time.Millisecond)
 		}
--- a/loadshare/relay.go
+++ b/loadshare/relay.go
@@ -73,7 +73,7 @@
 
 // addRegions adds a publisher for each region.
 func (r *relay) addRegions(m topology.Map) {
-	if !m.Several() {
+	if !m.MultiRegion() {
 		return
 	}
 	for _, region := range m.Regions() {
@@ -269,6 +269,6 @@
 func addCounts(sum, counts map[string]balance.Count) {
 	for service, c := range counts {
 		before := sum[service]
-		sum[service] = balance.Count{Requests: before.Requests + c.Requests, Repeats: before.Repeats + c.Repeats}
+		sum[service] = balance.Count{Requests: before.Requests + c.Requests, Retries: before.Retries + c.Retries}
 	}
 }
--- a/loadshare/relaying.go
+++ b/loadshare/relaying.go
@@ -60,13 +60,13 @@
 
 // compactRuns converts runs to their feed encoding. Broken runs are omitted, since they
 // occupy nothing.
-func compactRuns(runs []balance.Shared) []compactRun {
+func compactRuns(runs []balance.RunReport) []compactRun {
 	var encoded []compactRun
 	for _, r := range runs {
-		if r.Broken {
+		if r.Failed {
 			continue
 		}
-		compact := compactRun{Number: r.Number, Target: shortname.Of(r.Target), Read: r.Read, Hold: r.Hold, AgeMS: r.Age.Milliseconds()}
+		compact := compactRun{Number: r.Number, Target: shortname.Of(r.Target), Read: r.PendingTokens, Hold: r.MemoryTokens, AgeMS: r.Age.Milliseconds()}
 		if r.Trace.Copy != "" {
 			compact.Copy = shortname.Of(r.Trace.Copy)
 		}
@@ -77,7 +77,7 @@
 
 // relayReport forwards the report of a node of this data hall, or of this node itself,
 // to subscribers.
-func (s *Sharer) relayReport(from string, runs []balance.Shared, counts map[string]balance.Count, events targetEvents) {
+func (s *Sharer) relayReport(from string, runs []balance.RunReport, counts map[string]balance.Count, events targetEvents) {
 	now := uptime.Now()
 	s.relayMu.Lock()
 	defer s.relayMu.Unlock()
@@ -115,7 +115,7 @@
 	s.updateTracker(changed)
 	s.tracker.SetEnded(p.Ended)
 	s.tracker.SetSuspects(p.Suspects)
-	s.tracker.SetSilent(p.Silent)
+	s.tracker.SetUnresponsive(p.Silent)
 	if requestNow {
 		s.wakeMaintenance()
 	}
@@ -159,25 +159,25 @@
 // updateTracker passes the runs of nodes to the tracker.
 func (s *Sharer) updateTracker(changed map[uint32][]compactRun) {
 	for node, runs := range changed {
-		s.tracker.SetOthers(nodeName(node), s.expandRuns(runs))
+		s.tracker.SetPeerRuns(nodeName(node), s.expandRuns(runs))
 	}
 }
 
 // expandRuns converts runs from their feed encoding; those at unlisted targets are
 // omitted.
-func (s *Sharer) expandRuns(encoded []compactRun) []balance.Shared {
+func (s *Sharer) expandRuns(encoded []compactRun) []balance.RunReport {
 	names := make([]uint32, 0, 2*len(encoded))
 	for _, r := range encoded {
 		names = append(names, r.Target, r.Copy)
 	}
-	ids := s.tracker.Lives(names)
-	var runs []balance.Shared
+	ids := s.tracker.Incarnations(names)
+	var runs []balance.RunReport
 	for i, r := range encoded {
 		if ids[2*i] == "" {
 			continue
 		}
-		runs = append(runs, balance.Shared{
-			Number: r.Number, Target: ids[2*i], Read: max(0, r.Read), Hold: max(0, r.Hold),
+		runs = append(runs, balance.RunReport{
+			Number: r.Number, Target: ids[2*i], PendingTokens: max(0, r.Read), MemoryTokens: max(0, r.Hold),
 			Age: time.Duration(max(0, r.AgeMS)) * time.Millisecond, Trace: balance.Trace{Copy: ids[2*i+1]},
 		})
 	}
@@ -234,7 +234,7 @@
 		return
 	}
 	if p.quarantineDue(now) {
-		p.events.crashes = append(p.events.crashes, encodeCrashes(s.ledger.Grave())...)
+		p.events.crashes = append(p.events.crashes, encodeCrashes(s.ledger.CriticalReports())...)
 	}
 	var counts map[string]balance.Count
 	if p.countsDue(now) {
--- a/loadshare/sender.go
+++ b/loadshare/sender.go
@@ -16,29 +16,29 @@
 
 // receivedRun is a run as reported by its node.
 type receivedRun struct {
-	balance.Shared
+	balance.RunReport
 	receivedAt time.Time // time of the report
 }
 
 // apply applies a message and returns the sender's current runs. Ages that still
 // grow are as of now.
-func (s *sender) apply(m message, now time.Time) []balance.Shared {
+func (s *sender) apply(m message, now time.Time) []balance.RunReport {
 	s.sequence = m.Sequence
 	if m.Full || s.runs == nil {
 		s.runs = make(map[uint64]receivedRun, len(m.Runs))
 	}
 	for _, r := range m.Runs {
-		s.runs[r.Number] = receivedRun{Shared: r.shared(), receivedAt: now}
+		s.runs[r.Number] = receivedRun{RunReport: r.shared(), receivedAt: now}
 	}
 	for _, number := range m.Finished {
 		delete(s.runs, number)
 	}
-	runs := make([]balance.Shared, 0, len(s.runs))
+	runs := make([]balance.RunReport, 0, len(s.runs))
 	for _, r := range s.runs {
-		if r.Read > 0 {
+		if r.PendingTokens > 0 {
 			r.Age += now.Sub(r.receivedAt)
 		}
-		runs = append(runs, r.Shared)
+		runs = append(runs, r.RunReport)
 	}
 	return runs
 }
--- a/loadshare/site_test.go
+++ b/loadshare/site_test.go
@@ -208,7 +208,7 @@
 		opts = append(opts, WithTopology(topology.New(fmt.Sprint("hall-", i%halls), s.regions)))
 	}
 	if i%10 == 0 {
-		opts = append(opts, WithMemory(s.t.TempDir()+"/traces"))
+		opts = append(opts, WithStateFile(s.t.TempDir()+"/traces"))
 	}
 	n.Sharer = New(n.conn, n.tracker, balance.NewBudgets(balance.BudgetConfig{Ratio: 1, Slack: 10, Window: 10 * time.Second}), opts...)
 	ctx, cancel := context.WithCancel(s.t.Context())
@@ -244,15 +244,15 @@
 
 // begin starts a run at an engine.
 func (n *siteNode) begin(engine string, key string) *balance.Run {
-	t := n.tracker.Pick(balance.Choice{Service: "s", Work: balance.Work{Read: 8000, Hold: 8000}, Exclude: func(t *balance.Target) bool { return t.ID != engine }})
-	return t.Begin(balance.Work{Read: 90000, Hold: 8000}, balance.Trace{Key: key})
+	t := n.tracker.Pick(balance.Choice{Service: "s", Work: balance.Work{PrefillTokens: 8000, MemoryTokens: 8000}, Exclude: func(t *balance.Target) bool { return t.ID != engine }})
+	return t.Begin(balance.Work{PrefillTokens: 90000, MemoryTokens: 8000}, balance.Trace{Key: key})
 }
 
 // sees reports whether a node knows of a run at an engine.
 func (n *siteNode) sees(engine string) bool {
-	only := balance.Choice{Service: "s", Work: balance.Work{Read: 8000, Hold: 8000}, Exclude: func(t *balance.Target) bool { return t.ID != engine }}
+	only := balance.Choice{Service: "s", Work: balance.Work{PrefillTokens: 8000, MemoryTokens: 8000}, Exclude: func(t *balance.Target) bool { return t.ID != engine }}
 	t := n.tracker.Pick(only)
-	idle := n.tracker.RunTime("s", 8000, 0)
+	idle := n.tracker.PredictDuration("s", 8000, 0)
 	return t != nil && n.tracker.Expected(only, t) > idle+100*time.Millisecond
 }
 
@@ -308,7 +308,7 @@
 		for i := range 10 {
 			id := fmt.Sprint("i-", i)
 			pick := balance.Choice{Service: "s", Exclude: func(t *balance.Target) bool { return t.ID != id }}
-			s.nodes[i*29].tracker.Pick(pick).Refused()
+			s.nodes[i*29].tracker.Pick(pick).RecordRefused()
 			time.Sleep(100 * time.Millisecond)
 			aware := 0
 			for _, n := range s.nodes {
--- a/loadshare/state.go
+++ b/loadshare/state.go
@@ -40,9 +40,9 @@
 // Option configures a Sharer.
 type Option func(*Sharer)
 
-// WithMemory stores the traces of runs in a file that survives a restart, and next to
+// WithStateFile stores the traces of runs in a file that survives a restart, and next to
 // it in another one that survives a power loss.
-func WithMemory(file string) Option { return func(s *Sharer) { s.stateFile = file } }
+func WithStateFile(file string) Option { return func(s *Sharer) { s.stateFile = file } }
 
 // restore loads the newer of the node's two state files. State older than
 // savedStateMaxAge is dropped except for the crash reports.
@@ -54,7 +54,7 @@
 	}
 	klog.InfoS("Restored traces from state file", "runs", len(m.Traces), "age", age, "peers", len(m.Peers))
 	s.SetPeers(peersFromAddresses(m.Peers))
-	s.tracker.Remember(m.Traces, age)
+	s.tracker.RestoreTraces(m.Traces, age)
 	s.Changed()
 }
 
@@ -74,7 +74,7 @@
 	for i := range notes {
 		notes[i].Age += max(0, age)
 	}
-	s.ledger.Take(notes)
+	s.ledger.Merge(notes)
 }
 
 // newerState returns the newer of two states and its age, negative if the clock was set
--- a/loadshare/stats.go
+++ b/loadshare/stats.go
@@ -17,15 +17,15 @@
 
 // Stats are statistics of a Sharer.
 type Stats struct {
-	Nodes       int   // known peers
-	Relayed     bool  // updates pass through relays
-	Subscribers int   // of this node's feeds
-	Datagrams   int64 // sent
-	Bytes       int64 // sent
-	Whole       int64 // snapshots sent to subscribers
-	Silent      int64 // failovers from unresponsive relays
-	Borrowed    int64 // retries borrowed from peers
-	Lent        int64 // retries lent to peers
+	Nodes          int   // known peers
+	Relayed        bool  // updates pass through relays
+	Subscribers    int   // of this node's feeds
+	Datagrams      int64 // sent
+	Bytes          int64 // sent
+	Snapshots      int64 // snapshots sent to subscribers
+	RelayFailovers int64 // failovers from unresponsive relays
+	Borrowed       int64 // retries borrowed from peers
+	Lent           int64 // retries lent to peers
 
 	Region      string           // of this node; empty on a site of one region
 	RegionBytes map[string]int64 // bytes sent, by other region
@@ -35,7 +35,7 @@
 func (s *Sharer) Stats() Stats {
 	st := Stats{
 		Relayed: s.currentLayout().relayed, Datagrams: s.counters.datagrams.Load(), Bytes: s.counters.bytes.Load(),
-		Whole: s.counters.snapshots.Load(), Silent: s.counters.failedRelays.Load(), Borrowed: s.counters.borrowed.Load(), Lent: s.counters.lent.Load(),
+		Snapshots: s.counters.snapshots.Load(), RelayFailovers: s.counters.failedRelays.Load(), Borrowed: s.counters.borrowed.Load(), Lent: s.counters.lent.Load(),
 	}
 	st.Region, st.RegionBytes = s.ownRegion(), map[string]int64{}
 	for region, bytes := range s.counters.regions {
--- a/loadshare/subscriptions.go
+++ b/loadshare/subscriptions.go
@@ -76,8 +76,8 @@
 	for _, a := range requests {
 		s.sendTo(s.addressesOf([]string{a.source}), s.withLocation(message{Subscribe: &a.request}))
 	}
-	s.budgets.SetOther(siteCountsName, otherCounts)
-	s.tracker.StillThere(live)
+	s.budgets.SetPeerCounts(siteCountsName, otherCounts)
+	s.tracker.ConfirmPeers(live)
 }
 
 // queryHalls queries some peers whose data hall is not known.
@@ -221,7 +221,7 @@
 	}
 	for service, own := range s.budgets.Counts() {
 		c := sum[service]
-		sum[service] = balance.Count{Requests: max(0, c.Requests-own.Requests), Repeats: max(0, c.Repeats-own.Repeats)}
+		sum[service] = balance.Count{Requests: max(0, c.Requests-own.Requests), Retries: max(0, c.Retries-own.Retries)}
 	}
 	return sum
 }
--- a/loadshare/traces.go
+++ b/loadshare/traces.go
@@ -40,7 +40,7 @@
 }
 
 // updates returns the updates to send now, by trace store.
-func (t *sentTraces) updates(runs []balance.Shared, storesOf func(key string) []string, now time.Time) map[string][]traceUpdate {
+func (t *sentTraces) updates(runs []balance.RunReport, storesOf func(key string) []string, now time.Time) map[string][]traceUpdate {
 	if t.byRun == nil {
 		t.byRun = map[uint64]sentTrace{}
 	}
@@ -75,7 +75,7 @@
 }
 
 // sendTraces sends the traces of this node's runs to their stores.
-func (s *Sharer) sendTraces(l *layout, runs []balance.Shared) {
+func (s *Sharer) sendTraces(l *layout, runs []balance.RunReport) {
 	for store, updates := range s.sentTraces.updates(runs, l.traceStoresOf, uptime.Now()) {
 		if store == l.own {
 			continue
@@ -98,7 +98,7 @@
 			s.tracker.DropTrace(n.trace())
 			continue
 		}
-		s.tracker.NoteTrace(n.trace())
+		s.tracker.AddPeerTrace(n.trace())
 	}
 	s.requestSave()
 }
--- a/metering/counter.go
+++ b/metering/counter.go
@@ -138,8 +138,8 @@
 	return len(c.changed) > 0 || len(c.unplaced) > 0, len(c.rows) > 0
 }
 
-// Closed removes the windows up to newest, which the group has closed.
-func (c *Counter) Closed(newest Window) {
+// RemoveThrough removes the windows up to newest, which the group has closed.
+func (c *Counter) RemoveThrough(newest Window) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if newest <= c.closed {
@@ -156,14 +156,14 @@
 
 // Stats are a counter's statistics.
 type Stats struct {
-	Rows    int // rows of windows that are not closed
-	Dropped int // requests that could not be counted
-	Told    int // rows reported so far
+	Rows     int // rows of windows that are not closed
+	Dropped  int // requests that could not be counted
+	Reported int // rows reported so far
 }
 
 // Stats returns the counter's statistics.
 func (c *Counter) Stats() Stats {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return Stats{Rows: len(c.rows), Dropped: c.dropped, Told: c.reported}
+	return Stats{Rows: len(c.rows), Dropped: c.dropped, Reported: c.reported}
 }
--- a/metering/metering_test.go
+++ b/metering/metering_test.go
@@ -41,10 +41,10 @@
 		c.Count("a", time.Now())
 		c.Count("a", time.Now().Add(-testConfig.Span)) // started in the previous window
 		require.ElementsMatch(t, []Row{{w, "a", 4}, {w + 1, "a", 1}}, c.Report(false))
-		c.Closed(w)
+		c.RemoveThrough(w)
 		require.Equal(t, []Row{{w + 1, "a", 1}}, c.Report(true))
 		c.Count("a", time.Now().Add(-testConfig.Span))
-		require.Equal(t, Stats{Rows: 1, Dropped: 1, Told: 8}, c.Stats(), "a closed window does not change")
+		require.Equal(t, Stats{Rows: 1, Dropped: 1, Reported: 8}, c.Stats(), "a closed window does not change")
 	})
 }
 
@@ -81,14 +81,14 @@
 func TestTallyToleratesLostDuplicateAndLateReports(t *testing.T) {
 	for seed := range uint64(50) {
 		rng := rand.New(rand.NewPCG(seed, 1))
-		tally, receiver := NewTally(), NewTally()
+		tally, receiver := NewAggregator(), NewAggregator()
 		var reports []struct {
 			from Source
 			rows []Row
 		}
 		truth := map[Source]uint64{}
 		for range 60 {
-			from := Source{Node: string(rune('a' + rng.IntN(3))), Life: rng.Uint64N(2)}
+			from := Source{Node: string(rune('a' + rng.IntN(3))), Incarnation: rng.Uint64N(2)}
 			truth[from] += rng.Uint64N(5)
 			reports = append(reports, struct {
 				from Source
@@ -102,45 +102,45 @@
 		lateReport := reports[rng.IntN(len(reports))]
 		for _, report := range reports {
 			for range rng.IntN(3) { // lost, delivered, or delivered twice
-				tally.Take(report.from, report.rows, time.Now())
+				tally.Merge(report.from, report.rows, time.Now())
 			}
 			if rng.IntN(4) == 0 {
 				forward(tally, receiver, false)
 			}
 		}
 		for from, count := range truth {
-			tally.Take(from, []Row{{7, "x", count}}, time.Now())
+			tally.Merge(from, []Row{{7, "x", count}}, time.Now())
 		}
-		tally.Take(lateReport.from, lateReport.rows, time.Now())
+		tally.Merge(lateReport.from, lateReport.rows, time.Now())
 		forward(tally, receiver, false)
 		require.Equal(t, want, tally.Sum(7).Total, "seed %d", seed)
 		require.Equal(t, want, receiver.Sum(7).Total, "seed %d", seed)
-		empty := NewTally()
+		empty := NewAggregator()
 		forward(tally, empty, true)
 		require.Equal(t, tally.Sum(7).Counts, empty.Sum(7).Counts, "a full update contains everything")
 		require.Zero(t, tally.Sum(8).Rows)
 	}
 }
 
-func forward(from, to *Tally, all bool) {
+func forward(from, to *Aggregator, all bool) {
 	for source, rows := range from.Changes(all) {
-		to.Take(source, rows, time.Now())
+		to.Merge(source, rows, time.Now())
 	}
 }
 
 func TestTallyRemovesClosedWindows(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		tally := NewTally()
-		from := Source{Node: "a", Life: 1}
-		tally.Take(from, []Row{{7, "x", 2}, {8, "x", 1}}, time.Now())
-		tally.Closed(7)
-		tally.Take(from, []Row{{7, "x", 9}}, time.Now())
+		tally := NewAggregator()
+		from := Source{Node: "a", Incarnation: 1}
+		tally.Merge(from, []Row{{7, "x", 2}, {8, "x", 1}}, time.Now())
+		tally.RemoveThrough(7)
+		tally.Merge(from, []Row{{7, "x", 9}}, time.Now())
 		require.Zero(t, tally.Sum(7).Total, "window already closed")
 		require.EqualValues(t, 1, tally.Sum(8).Total)
 		time.Sleep(time.Minute)
 		tally.Forget(time.Now())
 		require.Equal(t, 1, tally.Sum(8).Nodes, "a source with rows of an open window is kept")
-		tally.Closed(8)
+		tally.RemoveThrough(8)
 		tally.Forget(time.Now())
 		require.Empty(t, tally.sources)
 	})
@@ -148,13 +148,13 @@
 
 func TestTallyCountsSilentNodes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		tally, began := NewTally(), time.Now()
-		tally.Take(Source{Node: "gone", Life: 1}, nil, began)
-		tally.Take(Source{Node: "anew", Life: 1}, nil, began)
+		tally, began := NewAggregator(), time.Now()
+		tally.Merge(Source{Node: "gone", Incarnation: 1}, nil, began)
+		tally.Merge(Source{Node: "anew", Incarnation: 1}, nil, began)
 		time.Sleep(time.Second)
-		tally.Take(Source{Node: "anew", Life: 2}, nil, time.Now())
-		tally.Take(Source{Node: "there", Life: 1}, nil, time.Now())
-		require.Equal(t, 1, tally.Silent(began.Add(-time.Second), time.Now()))
-		require.Zero(t, tally.Silent(began, time.Now()), "nodes silent for longer are not waited for")
+		tally.Merge(Source{Node: "anew", Incarnation: 2}, nil, time.Now())
+		tally.Merge(Source{Node: "there", Incarnation: 1}, nil, time.Now())
+		require.Equal(t, 1, tally.Unresponsive(began.Add(-time.Second), time.Now()))
+		require.Zero(t, tally.Unresponsive(began, time.Now()), "nodes silent for longer are not waited for")
 	})
 }
--- a/metering/tally.go
+++ b/metering/tally.go
@@ -4,13 +4,13 @@
 
 // Source identifies a process of a node.
 type Source struct {
-	Node string
-	Life uint64 // identifies the process; changes with each restart
+	Node        string
+	Incarnation uint64 // identifies the process; changes with each restart
 }
 
-// Tally sums the rows reported by nodes. Rows are cumulative per process, so
+// Aggregator sums the rows reported by nodes. Rows are cumulative per process, so
 // lost, late or duplicate ones do no harm. It is not safe for concurrent use.
-type Tally struct {
+type Aggregator struct {
 	sources map[Source]*sourceRows
 	changed map[Source]map[key]struct{} // changed since the last call of Changes
 	closed  Window
@@ -22,13 +22,13 @@
 	lastReport time.Time
 }
 
-// NewTally returns an empty tally.
-func NewTally() *Tally {
-	return &Tally{sources: map[Source]*sourceRows{}, changed: map[Source]map[key]struct{}{}}
+// NewAggregator returns an empty tally.
+func NewAggregator() *Aggregator {
+	return &Aggregator{sources: map[Source]*sourceRows{}, changed: map[Source]map[key]struct{}{}}
 }
 
-// Take merges rows that a node reported at the given local time.
-func (t *Tally) Take(from Source, rows []Row, at time.Time) {
+// Merge merges rows that a node reported at the given local time.
+func (t *Aggregator) Merge(from Source, rows []Row, at time.Time) {
 	node := t.sources[from]
 	if node == nil {
 		node = &sourceRows{rows: map[key]uint64{}}
@@ -47,7 +47,7 @@
 }
 
 // markHeard records that a node reported since the last call of Changes.
-func (t *Tally) markHeard(from Source) {
+func (t *Aggregator) markHeard(from Source) {
 	if t.changed[from] == nil {
 		t.changed[from] = map[key]struct{}{}
 	}
@@ -63,7 +63,7 @@
 }
 
 // Sum sums a window over all nodes.
-func (t *Tally) Sum(w Window) Sum {
+func (t *Aggregator) Sum(w Window) Sum {
 	sum := Sum{Counts: Counts{}}
 	for _, node := range t.sources {
 		rows := 0
@@ -87,9 +87,9 @@
 	return sum
 }
 
-// Silent returns how many nodes made their last report after since and before
+// Unresponsive returns how many nodes made their last report after since and before
 // until. A report of a restarted process counts for its node.
-func (t *Tally) Silent(since, until time.Time) int {
+func (t *Aggregator) Unresponsive(since, until time.Time) int {
 	newest := map[string]time.Time{}
 	for from, node := range t.sources {
 		if node.lastReport.After(newest[from.Node]) {
@@ -107,7 +107,7 @@
 
 // Changes returns the rows that changed since the last call, or all rows. A
 // source that reported nothing new is included without rows.
-func (t *Tally) Changes(all bool) map[Source][]Row {
+func (t *Aggregator) Changes(all bool) map[Source][]Row {
 	changes := map[Source][]Row{}
 	for from := range t.changed {
 		changes[from] = nil
@@ -123,8 +123,8 @@
 	return changes
 }
 
-// Closed removes the windows up to newest, which the group has closed.
-func (t *Tally) Closed(newest Window) {
+// RemoveThrough removes the windows up to newest, which the group has closed.
+func (t *Aggregator) RemoveThrough(newest Window) {
 	if newest <= t.closed {
 		return
 	}
@@ -141,7 +141,7 @@
 
 // Forget removes the sources that have not reported since before and have no
 // rows of an open window.
-func (t *Tally) Forget(before time.Time) {
+func (t *Aggregator) Forget(before time.Time) {
 	for from, node := range t.sources {
 		if len(node.rows) == 0 && node.lastReport.Before(before) {
 			delete(t.sources, from)
--- a/node/chaos_test.go
+++ b/node/chaos_test.go
@@ -159,7 +159,7 @@
 // allowedCodes are the error codes with which a draft may fail under chaos.
 var allowedCodes = []walnutramp.Code{
 	walnutramp.CodeNotProvable, walnutramp.CodeGenerationUnknown, walnutramp.CodeOutOfTargets,
-	walnutramp.CodeNoTarget, walnutramp.CodeSeamRefused,
+	walnutramp.CodeNoTarget, walnutramp.CodeResumeRefused,
 }
 
 // violation describes the violated guarantee, or returns "" if there is none.
@@ -231,7 +231,7 @@
 	script, want, _ := strings.Cut(string(doc), divider)
 	var got string
 	synctest.Test(t, func(t *testing.T) {
-		got = runSession(t, script, node.WithGenerationOptions(generation.WithBrokenRule(generation.BreakAmnesia)))
+		got = runSession(t, script, node.WithGenerationOptions(generation.WithBrokenRule(generation.BreakPromise)))
 	})
 	require.NotEqual(t, want, got)
 	t.Log(got)
--- a/node/control.go
+++ b/node/control.go
@@ -23,7 +23,7 @@
 	if n.cfg.Disk == nil {
 		return nil
 	}
-	identity, err := control.ReadIdentity(n.cfg.Disk)
+	identity, err := control.LoadOrCreateIdentity(n.cfg.Disk)
 	if err != nil {
 		return err
 	}
--- a/node/ends_test.go
+++ b/node/ends_test.go
@@ -76,7 +76,7 @@
 		t.Logf("%d engines crashed", crashed)
 		require.LessOrEqual(t, crashed, 3)
 		require.Equal(t, http.StatusServiceUnavailable, last.StatusCode)
-		require.Contains(t, body, strconv.Itoa(int(walnutramp.CodeHeldBack)))
+		require.Contains(t, body, strconv.Itoa(int(walnutramp.CodeQuarantined)))
 		require.Contains(t, body, string(walnutramp.NotRun))
 		require.NotEmpty(t, last.Header.Get("Retry-After"))
 	})
--- a/node/metrics.go
+++ b/node/metrics.go
@@ -41,7 +41,7 @@
 	m.set.NewGauge("walnutramp_bundle_version", func() float64 { return float64(n.bundle.Load().Version) })
 	m.set.NewGauge("walnutramp_peer_sent_bytes", func() float64 { return float64(n.traffic.Sent.Load()) })
 	m.set.NewGauge("walnutramp_peer_received_bytes", func() float64 { return float64(n.traffic.Received.Load()) })
-	m.set.NewGauge("walnutramp_peer_strangers", func() float64 { return float64(n.traffic.Strangers.Load()) })
+	m.set.NewGauge("walnutramp_peer_strangers", func() float64 { return float64(n.traffic.Rejected.Load()) })
 	return m
 }
 
@@ -67,8 +67,8 @@
 	m.tracker.Observe(slo.FirstToken, a, model, d, 1)
 }
 
-// Silence implements caller.Observer.
-func (m *nodeMetrics) Silence(a walnutramp.ClientAccount, model walnutramp.ModelName, d time.Duration, tokens int) {
+// TokenGap implements caller.Observer.
+func (m *nodeMetrics) TokenGap(a walnutramp.ClientAccount, model walnutramp.ModelName, d time.Duration, tokens int) {
 	m.histogram("walnutramp_between_tokens_seconds", a, model).Update(d.Seconds() / float64(tokens))
 	m.set.GetOrCreateCounter("walnutramp_released_tokens_total").Add(tokens)
 	m.tracker.Observe(slo.BetweenTokens, a, model, d/time.Duration(tokens), tokens)
@@ -94,8 +94,8 @@
 	m.tracker.Observe(slo.ResumeGap, a, model, gap, 1)
 }
 
-// TookOver implements generation.Observer.
-func (m *nodeMetrics) TookOver(err error) {
+// TakeoverFinished implements generation.Observer.
+func (m *nodeMetrics) TakeoverFinished(err error) {
 	if err != nil {
 		m.refusedTakeovers.Inc()
 		return
--- a/node/node.go
+++ b/node/node.go
@@ -166,14 +166,14 @@
 	router        *route.Router
 	generations   *generation.Manager
 	pool          *target.Pool
-	watch         *target.Watch
+	watch         *target.LoadPoller
 	http          *http.Server
 	control       *control.Client   // nil without a control group
 	voter         *consensus.Member // nil without a control group or disk
 	voterState    *control.State
 	placement     *placement.Controller // active while the voter is the leader
 	instanceWatch *discovery.Watch      // nil without a platform
-	quarantine    *quarantine.Witness
+	quarantine    *quarantine.CrashDetector
 
 	newNotes    chan struct{}      // signals that there are quarantine notes to send
 	stopGossip  context.CancelFunc // stops the task that sends them
@@ -236,19 +236,19 @@
 		route.WithNode(n.cfg.Name, n.cfg.DataHall),
 		route.WithSeed(n.cfg.Seed),
 		route.WithInForce(n.mayAcceptRequests),
-		route.WithRestLeft(n.pool.RestLeft),
+		route.WithCooldownLeft(n.pool.CooldownLeft),
 	}, n.cfg.RouteOptions...)
 	n.router = route.New(opts...)
-	n.watch = target.NewWatch(n.pool, n.router, n.cfg.LoadInterval, n.cfg.Seed)
+	n.watch = target.NewLoadPoller(n.pool, n.router, n.cfg.LoadInterval, n.cfg.Seed)
 }
 
 func (n *Node) setupGenerations() {
 	opts := append([]generation.Option{
 		generation.WithPeers(n.peers, directory{n}),
 		generation.WithTargets(n.router, n.pool),
-		generation.WithLeanings(
+		generation.WithBundleSettings(
 			func() bundle.Guard { return n.bundle.Load().Guard },
-			func() bundle.Leaning { return n.bundle.Load().Resume.Leaning },
+			func() bundle.ResumePreference { return n.bundle.Load().Resume.Leaning },
 		),
 		generation.WithObserver(n.metrics),
 		generation.WithQuarantine(n.quarantine),
--- a/node/quarantine.go
+++ b/node/quarantine.go
@@ -30,22 +30,22 @@
 type quarantineService struct{ ledger *quarantine.Ledger }
 
 // TellArgs is the argument of the Tell RPC.
-type TellArgs struct{ Notes []quarantine.Note }
+type TellArgs struct{ Notes []quarantine.Report }
 
 // TellReply is the reply of the Tell RPC: the number of notes that were new to the node.
 type TellReply struct{ Fresh int }
 
 // Tell handles the RPC that delivers another node's notes.
 func (s *quarantineService) Tell(args TellArgs, reply *TellReply) error {
-	reply.Fresh = len(s.ledger.Take(args.Notes))
+	reply.Fresh = len(s.ledger.Merge(args.Notes))
 	return nil
 }
 
 func (n *Node) setupQuarantine() {
 	ledger := quarantine.New()
-	n.quarantine = quarantine.NewWitness(ledger, quarantine.DialFunc(n.cfg.Dial))
+	n.quarantine = quarantine.NewCrashDetector(ledger, quarantine.DialFunc(n.cfg.Dial))
 	n.newNotes = make(chan struct{}, 1)
-	ledger.OnNews(func() {
+	ledger.OnReport(func() {
 		select {
 		case n.newNotes <- struct{}{}:
 		default:
@@ -60,15 +60,15 @@
 	defer ticker.Stop()
 	lastSeen := uint64(0)
 	for {
-		var notes []quarantine.Note
+		var notes []quarantine.Report
 		select {
 		case <-n.newNotes:
 			if !pause.For(ctx, gossipDelay) {
 				return
 			}
-			notes, lastSeen = n.quarantine.News(lastSeen)
+			notes, lastSeen = n.quarantine.ReportsAfter(lastSeen)
 		case <-ticker.C:
-			notes = n.quarantine.Everything()
+			notes = n.quarantine.AllReports()
 		case <-ctx.Done():
 			return
 		}
--- a/node/rest_test.go
+++ b/node/rest_test.go
@@ -72,7 +72,7 @@
 						APIKey: site.KeyOf("clerks"), Key: fmt.Sprintf("key %d", i), Method: tc.method, Path: site.ServiceName + tc.path, Body: "x",
 					})
 					var e *load.Refusal
-					if errors.As(err, &e) && e.Code == walnutramp.CodeTargetsRest {
+					if errors.As(err, &e) && e.Code == walnutramp.CodeTargetsCooldown {
 						refused++
 						require.Equal(t, walnutramp.NotRun, e.Outcome)
 						require.Positive(t, e.RetryAfter)
--- a/node/session_test.go
+++ b/node/session_test.go
@@ -187,7 +187,7 @@
 	cfg.Engine.WithoutTokenID = opts["plain"] == "true"
 	cfg.Guard.Replicas = number(opts, "replicas", 3)
 	if opts["leaning"] != "" {
-		cfg.Leaning = bundle.Leaning(opts["leaning"])
+		cfg.Leaning = bundle.ResumePreference(opts["leaning"])
 	}
 	cfg.Control = number(opts, "control", 0)
 	cfg.ServiceCfg.Delay, _ = time.ParseDuration(opts["delay"])
--- a/operator/operator.go
+++ b/operator/operator.go
@@ -94,7 +94,7 @@
 		e := walnutramp.AsError(err)
 		// A submission without an answer may still be accepted.
 		outcome := e.Outcome
-		if e.Code == walnutramp.CodeLedgerAway {
+		if e.Code == walnutramp.CodeLedgerUnavailable {
 			e = walnutramp.NewError(walnutramp.CodeNoLeader, walnutramp.Unknown, "the control group did not answer; submit the same bundle again")
 			outcome = walnutramp.Unknown
 		}
--- a/peer/peer.go
+++ b/peer/peer.go
@@ -59,9 +59,9 @@
 
 // Traffic counts bytes to and from peers, and rejected connections.
 type Traffic struct {
-	Sent      atomic.Int64
-	Received  atomic.Int64
-	Strangers atomic.Int64 // rejected connections
+	Sent     atomic.Int64
+	Received atomic.Int64
+	Rejected atomic.Int64 // rejected connections
 }
 
 // Server serves RPC calls from peers.
@@ -127,7 +127,7 @@
 		conn, err = exchangeHello(context.Background(), secured, s.self, certNode)
 	}
 	if err != nil {
-		s.traffic.Strangers.Add(1)
+		s.traffic.Rejected.Add(1)
 		klog.V(1).InfoS("Rejected peer connection", "remote", c.RemoteAddr(), "err", err)
 		return
 	}
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -64,7 +64,7 @@
 	require.NoError(t, keys.MakeSite(dir, "s", []walnutramp.NodeName{"a", "b"}))
 	address, traffic := serve(t, identity(t, dir, "a"))
 	require.NoError(t, say(t, identity(t, dir, "b"), address, "a"))
-	require.Zero(t, traffic.Strangers.Load())
+	require.Zero(t, traffic.Rejected.Load())
 	require.Error(t, say(t, identity(t, dir, "b"), address, "c"), "the server is another node than the one called")
 }
 
@@ -84,7 +84,7 @@
 		t.Run(name, func(t *testing.T) {
 			address, traffic := serve(t, identity(t, dir, "a"))
 			require.Error(t, say(t, id, address, "a"))
-			require.Eventually(t, func() bool { return traffic.Strangers.Load() > 0 }, 5*time.Second, time.Millisecond)
+			require.Eventually(t, func() bool { return traffic.Rejected.Load() > 0 }, 5*time.Second, time.Millisecond)
 		})
 	}
 }
@@ -95,5 +95,5 @@
 	require.NoError(t, err)
 	defer c.Close()
 	c.Write([]byte(strings.Repeat("x", 1<<16)))
-	require.Eventually(t, func() bool { return traffic.Strangers.Load() == 1 }, 5*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return traffic.Rejected.Load() == 1 }, 5*time.Second, time.Millisecond)
 }
--- a/quarantine/ledger.go
+++ b/quarantine/ledger.go
@@ -42,28 +42,28 @@
 // numberedNote is a local note with its sequence number.
 type numberedNote struct {
 	number uint64
-	note   Note
+	note   Report
 	at     time.Time // time of the crash or of the successful run
 }
 
 // New returns an empty ledger.
 func New(opts ...Option) *Ledger {
-	cfg := Config{Now: uptime.Now, OnNews: func() {}, OnHeld: func(Fingerprint) {}, ReportDelay: reportDelay}
+	cfg := Config{Now: uptime.Now, OnReport: func() {}, OnQuarantined: func(Fingerprint) {}, ReportDelay: reportDelay}
 	for _, opt := range opts {
 		opt(&cfg)
 	}
 	return &Ledger{cfg: cfg, records: map[Fingerprint]*record{}, atTarget: map[uint32][]Fingerprint{}}
 }
 
-// OnNews sets the callback for new local notes.
-func (l *Ledger) OnNews(f func()) { l.cfg.OnNews = f }
+// OnReport sets the callback for new local notes.
+func (l *Ledger) OnReport(f func()) { l.cfg.OnReport = f }
 
-// OnHeld sets the callback for newly quarantined contents.
-func (l *Ledger) OnHeld(f func(Fingerprint)) { l.cfg.OnHeld = f }
+// OnQuarantined sets the callback for newly quarantined contents.
+func (l *Ledger) OnQuarantined(f func(Fingerprint)) { l.cfg.OnQuarantined = f }
 
-// Ended records that a target crashed during a run from this node. It ignores
+// RecordCrash records that a target crashed during a run from this node. It ignores
 // Settled runs.
-func (l *Ledger) Ended(n Note) {
+func (l *Ledger) RecordCrash(n Report) {
 	if n.Standing == Settled {
 		return
 	}
@@ -80,14 +80,14 @@
 
 // sentAfterKnownCrashes reports whether a run was sent after all known crashes
 // of its content. The caller holds l.mu.
-func (l *Ledger) sentAfterKnownCrashes(n Note, now time.Time) bool {
+func (l *Ledger) sentAfterKnownCrashes(n Report, now time.Time) bool {
 	r := l.records[n.Content]
 	return r == nil || len(r.crashes) == 0 || !r.crashes[len(r.crashes)-1].at.After(now.Add(-n.Age-n.Ran))
 }
 
-// Sound records a successful run of a content, which clears the content of
+// RecordSuccess records a successful run of a content, which clears the content of
 // earlier crashes. It does nothing for a content without crashes.
-func (l *Ledger) Sound(content Fingerprint) {
+func (l *Ledger) RecordSuccess(content Fingerprint) {
 	l.mu.Lock()
 	r := l.records[content]
 	if r == nil || len(r.crashes) == 0 {
@@ -95,7 +95,7 @@
 		return
 	}
 	now := l.cfg.Now()
-	note := Note{Content: content}
+	note := Report{Content: content}
 	l.apply(note, now)
 	l.enqueue(note, now)
 	held := l.evaluate(now)
@@ -103,8 +103,8 @@
 	l.notify(held, true)
 }
 
-// Take merges notes of another node and returns those that changed the ledger.
-func (l *Ledger) Take(notes []Note) (fresh []Note) {
+// Merge merges notes of another node and returns those that changed the ledger.
+func (l *Ledger) Merge(notes []Report) (fresh []Report) {
 	if len(notes) == 0 {
 		return nil
 	}
@@ -132,9 +132,9 @@
 	return r != nil && len(r.crashes) > 0
 }
 
-// Held reports whether a content is quarantined, and for how long unless its
+// Quarantined reports whether a content is quarantined, and for how long unless its
 // evaluation changes.
-func (l *Ledger) Held(content Fingerprint) (left time.Duration, held bool) {
+func (l *Ledger) Quarantined(content Fingerprint) (left time.Duration, held bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	r := l.records[content]
@@ -166,8 +166,8 @@
 	return max(0, l.cfg.ReportDelay-now.Sub(r.crashes[len(r.crashes)-1].at))
 }
 
-// HeldContents returns the number of quarantined contents.
-func (l *Ledger) HeldContents() int {
+// QuarantinedContents returns the number of quarantined contents.
+func (l *Ledger) QuarantinedContents() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.cfg.Now()
@@ -195,7 +195,7 @@
 
 // apply merges a note into the records and reports whether they changed. The
 // caller holds l.mu, as for the methods below.
-func (l *Ledger) apply(n Note, now time.Time) bool {
+func (l *Ledger) apply(n Report, now time.Time) bool {
 	at := now.Add(-max(0, n.Age))
 	if now.Sub(at) > retention {
 		return false
@@ -361,9 +361,9 @@
 func (l *Ledger) notify(newly []Fingerprint, local bool) {
 	for _, content := range newly {
 		klog.InfoS("Content held back", "content", content, "ownFinding", local)
-		l.cfg.OnHeld(content)
+		l.cfg.OnQuarantined(content)
 	}
 	if local {
-		l.cfg.OnNews()
+		l.cfg.OnReport()
 	}
 }
--- a/quarantine/ledger_test.go
+++ b/quarantine/ledger_test.go
@@ -18,12 +18,12 @@
 func (f *fakeClock) advance(d time.Duration) { f.now = f.now.Add(d) }
 func newClock() *fakeClock                   { return &fakeClock{now: time.Unix(1e9, 0)} }
 func newLedger(clock *fakeClock) *Ledger     { return New(WithNow(clock.read), WithReportDelay(0)) }
-func isHeld(l *Ledger, f Fingerprint) bool   { _, held := l.Held(f); return held }
+func isHeld(l *Ledger, f Fingerprint) bool   { _, held := l.Quarantined(f); return held }
 func content(n int) Fingerprint              { return Fingerprint(1000 + n) }
 func target(n int) uint32                    { return uint32(n) }
 func (f *fakeClock) recordCrash(l *Ledger, c Fingerprint, t uint32, s Standing) {
 	f.advance(time.Second)
-	l.Ended(Note{Content: c, Target: t, Standing: s, Ran: time.Second})
+	l.RecordCrash(Report{Content: c, Target: t, Standing: s, Ran: time.Second})
 }
 
 const (
@@ -35,18 +35,18 @@
 	clock := newClock()
 	var held []Fingerprint
 	l := newLedger(clock)
-	l.OnHeld(func(f Fingerprint) { held = append(held, f) })
+	l.OnQuarantined(func(f Fingerprint) { held = append(held, f) })
 	for n := range 2 {
 		clock.recordCrash(l, culprit, target(n), Begun)
 		require.False(t, isHeld(l, culprit), "after %d", n+1)
 	}
 	require.True(t, l.Suspect(culprit))
 	clock.recordCrash(l, culprit, target(2), Begun)
-	left, ok := l.Held(culprit)
+	left, ok := l.Quarantined(culprit)
 	require.True(t, ok)
 	require.Equal(t, retention-2*time.Second, left, "until the first crash expires")
 	require.Equal(t, []Fingerprint{culprit}, held)
-	require.Equal(t, 1, l.HeldContents())
+	require.Equal(t, 1, l.QuarantinedContents())
 	require.False(t, isHeld(l, bystander))
 	require.False(t, l.Suspect(bystander))
 }
@@ -72,9 +72,9 @@
 	l := newLedger(clock)
 	for n, s := range []Standing{Waiting, Begun, Waiting, Settled, Waiting, Waiting, Waiting, Waiting, Waiting} {
 		clock.advance(time.Second)
-		l.Ended(Note{Content: bystander, Target: target(n), Standing: s, Ran: time.Second})
+		l.RecordCrash(Report{Content: bystander, Target: target(n), Standing: s, Ran: time.Second})
 		require.False(t, isHeld(l, bystander), "after %d", n)
-		l.Ended(Note{Content: culprit, Target: target(n), Standing: Begun, Ran: time.Second})
+		l.RecordCrash(Report{Content: culprit, Target: target(n), Standing: Begun, Ran: time.Second})
 		require.False(t, isHeld(l, bystander), "after %d", n)
 	}
 	require.True(t, isHeld(l, culprit))
@@ -89,7 +89,7 @@
 	for n, others := range bystanders {
 		clock.advance(time.Second)
 		for _, f := range append(others, culprit) {
-			l.Ended(Note{Content: f, Target: target(n), Standing: Begun, Ran: 30 * time.Millisecond})
+			l.RecordCrash(Report{Content: f, Target: target(n), Standing: Begun, Ran: 30 * time.Millisecond})
 		}
 	}
 	require.True(t, isHeld(l, culprit))
@@ -105,8 +105,8 @@
 	l := newLedger(clock)
 	both := func(n int) {
 		clock.advance(time.Second)
-		l.Ended(Note{Content: culprit, Target: target(n), Standing: Begun, Ran: time.Second})
-		l.Ended(Note{Content: bystander, Target: target(n), Standing: Begun, Ran: time.Second})
+		l.RecordCrash(Report{Content: culprit, Target: target(n), Standing: Begun, Ran: time.Second})
+		l.RecordCrash(Report{Content: bystander, Target: target(n), Standing: Begun, Ran: time.Second})
 	}
 	for n := range 3 {
 		both(n)
@@ -115,7 +115,7 @@
 	require.False(t, isHeld(l, bystander))
 
 	separated := newLedger(clock)
-	separated.Take(l.Everything())
+	separated.Merge(l.AllReports())
 	clock.recordCrash(separated, culprit, target(5), Begun)
 	require.True(t, isHeld(separated, culprit))
 	require.False(t, isHeld(separated, bystander))
@@ -129,13 +129,13 @@
 func TestSuccessfulRunClearsContent(t *testing.T) {
 	clock := newClock()
 	l := newLedger(clock)
-	l.Sound(bystander)
-	require.Empty(t, l.Everything(), "nothing to clear")
+	l.RecordSuccess(bystander)
+	require.Empty(t, l.AllReports(), "nothing to clear")
 	for n := range 8 {
 		clock.recordCrash(l, bystander, target(n), Begun)
 		if n%2 == 1 {
 			clock.advance(time.Second)
-			l.Sound(bystander)
+			l.RecordSuccess(bystander)
 			require.False(t, l.Suspect(bystander))
 		}
 		require.False(t, isHeld(l, bystander))
@@ -148,12 +148,12 @@
 	l := newLedger(clock)
 	for n := range 6 {
 		clock.advance(20 * time.Millisecond)
-		l.Ended(Note{Content: bystander, Target: target(n), Standing: Begun, Ran: time.Second})
+		l.RecordCrash(Report{Content: bystander, Target: target(n), Standing: Begun, Ran: time.Second})
 	}
 	require.False(t, isHeld(l, bystander))
 	for n := range 2 { // but runs sent one after the other's crash count, however short
 		clock.advance(20 * time.Millisecond)
-		l.Ended(Note{Content: bystander, Target: target(10 + n), Standing: Begun, Ran: 15 * time.Millisecond})
+		l.RecordCrash(Report{Content: bystander, Target: target(10 + n), Standing: Begun, Ran: 15 * time.Millisecond})
 	}
 	require.True(t, isHeld(l, bystander))
 }
@@ -166,11 +166,11 @@
 	number := uint64(0)
 	for n := range 3 {
 		clock.advance(20 * time.Millisecond)
-		here.Ended(Note{Content: culprit, Target: target(n), Standing: Begun, Ran: 19 * time.Millisecond})
-		var notes []Note
-		notes, number = here.News(number)
+		here.RecordCrash(Report{Content: culprit, Target: target(n), Standing: Begun, Ran: 19 * time.Millisecond})
+		var notes []Report
+		notes, number = here.ReportsAfter(number)
 		notes[0].Age += time.Duration(n) * 5 * time.Millisecond // later crashes appear older
-		there.Take(notes)
+		there.Merge(notes)
 	}
 	require.True(t, isHeld(here, culprit))
 	require.True(t, isHeld(there, culprit))
@@ -194,7 +194,7 @@
 	l := newLedger(clock)
 	for range 3 {
 		clock.advance(3 * time.Second)
-		l.Ended(Note{Content: culprit, Target: target(1), Standing: Begun, Ran: time.Second})
+		l.RecordCrash(Report{Content: culprit, Target: target(1), Standing: Begun, Ran: time.Second})
 	}
 	require.True(t, isHeld(l, culprit))
 }
@@ -218,25 +218,25 @@
 	clock := newClock()
 	here, there := newLedger(clock), newLedger(clock)
 	clock.recordCrash(here, culprit, target(1), Waiting)
-	notes, number := here.News(0)
+	notes, number := here.ReportsAfter(0)
 	require.Len(t, notes, 1)
 	clock.advance(time.Second)
-	require.Len(t, there.Take(notes), 1)
-	require.Empty(t, there.Take(notes), "a duplicate changes nothing")
-	notes, _ = here.News(number)
+	require.Len(t, there.Merge(notes), 1)
+	require.Empty(t, there.Merge(notes), "a duplicate changes nothing")
+	notes, _ = here.ReportsAfter(number)
 	require.Empty(t, notes)
 	clock.recordCrash(there, culprit, target(2), Begun)
 	clock.recordCrash(here, culprit, target(3), Begun)
 	clock.recordCrash(here, culprit, target(1), Begun)
-	notes, _ = here.News(number)
-	there.Take(notes)
+	notes, _ = here.ReportsAfter(number)
+	there.Merge(notes)
 	require.True(t, isHeld(there, culprit))
-	notes, _ = there.News(0)
+	notes, _ = there.ReportsAfter(0)
 	require.Len(t, notes, 1, "received notes are not forwarded")
 
 	late := newLedger(clock)
 	clock.advance(time.Minute)
-	late.Take(there.Everything())
+	late.Merge(there.AllReports())
 	require.True(t, isHeld(late, culprit), "a restarted node learns of it")
 }
 
@@ -246,15 +246,15 @@
 	l := newLedger(clock)
 	clock.recordCrash(l, bystander, target(1), Begun)
 	clock.advance(time.Second)
-	l.Sound(bystander)
-	late := []Note{
+	l.RecordSuccess(bystander)
+	late := []Report{
 		{Content: bystander, Target: 2, Standing: Begun, Age: 3 * time.Second}, {Content: bystander, Target: 3, Standing: Begun, Age: 2 * time.Second},
 		{Content: bystander, Target: 4, Standing: Begun, Age: 1500 * time.Millisecond},
 	}
-	require.Empty(t, l.Take(late))
+	require.Empty(t, l.Merge(late))
 	require.False(t, l.Suspect(bystander))
-	require.Empty(t, l.Take([]Note{{Content: bystander, Target: 5, Standing: Begun, Age: 2 * retention}, {Content: 7, Target: 5, Standing: 99}}))
-	l.Take([]Note{{Content: 8, Target: 5, Standing: Begun, Age: -time.Hour, Ran: -time.Hour}})
+	require.Empty(t, l.Merge([]Report{{Content: bystander, Target: 5, Standing: Begun, Age: 2 * retention}, {Content: 7, Target: 5, Standing: 99}}))
+	l.Merge([]Report{{Content: 8, Target: 5, Standing: Begun, Age: -time.Hour, Ran: -time.Hour}})
 	require.True(t, l.Suspect(8), "a negative age counts as zero")
 }
 
@@ -263,23 +263,23 @@
 func TestOrderOfNotesDoesNotMatter(t *testing.T) {
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 1))
-		var notes []Note
+		var notes []Report
 		for range 60 {
-			n := Note{Content: content(rng.IntN(6)), Target: target(rng.IntN(8)), Standing: Standing(rng.IntN(3)), Ran: time.Second}
+			n := Report{Content: content(rng.IntN(6)), Target: target(rng.IntN(8)), Standing: Standing(rng.IntN(3)), Ran: time.Second}
 			n.Age = time.Duration(rng.IntN(100)) * 2 * time.Second
 			notes = append(notes, n)
 		}
 		clock := newClock()
 		one, two := newLedger(clock), newLedger(clock)
 		for _, n := range notes {
-			one.Take([]Note{n})
+			one.Merge([]Report{n})
 		}
 		rng.Shuffle(len(notes), func(i, j int) { notes[i], notes[j] = notes[j], notes[i] })
-		two.Take(append(slices.Clone(notes), notes[:10]...))
+		two.Merge(append(slices.Clone(notes), notes[:10]...))
 		// A successful run is not recorded before the first crash of its content, so
 		// both take all notes once more.
-		two.Take(notes)
-		one.Take(notes)
+		two.Merge(notes)
+		one.Merge(notes)
 		for n := range 6 {
 			require.Equal(t, isHeld(one, content(n)), isHeld(two, content(n)), "seed %d content %d", seed, n)
 		}
@@ -292,23 +292,23 @@
 	for n := range 3 {
 		clock.recordCrash(l, culprit, target(n), Begun)
 	}
-	var notes []Note
+	var notes []Report
 	for n := range 3 * maxContents {
-		notes = append(notes, Note{Content: content(n), Target: target(10 + n), Standing: Begun})
+		notes = append(notes, Report{Content: content(n), Target: target(10 + n), Standing: Begun})
 	}
 	for range 2 {
 		clock.advance(time.Minute)
-		l.Take(notes)
+		l.Merge(notes)
 	}
 	require.LessOrEqual(t, len(l.records), maxContents)
 	require.LessOrEqual(t, len(l.atTarget), maxContents+3)
 	require.True(t, isHeld(l, culprit), "quarantined contents are not evicted")
-	require.LessOrEqual(t, len(l.Everything()), maxSevere)
+	require.LessOrEqual(t, len(l.AllReports()), maxSevere)
 	for n := range 100 {
 		clock.recordCrash(l, culprit, target(100000+n), Begun)
 	}
 	require.LessOrEqual(t, len(l.records[culprit].crashes), maxCrashes)
-	news, _ := l.News(0)
+	news, _ := l.ReportsAfter(0)
 	require.LessOrEqual(t, len(news), maxOutbox)
 }
 
@@ -331,22 +331,22 @@
 	synctest.Test(t, func(t *testing.T) {
 		informed, isolated := New(), New()
 		var held []Fingerprint
-		isolated.OnHeld(func(f Fingerprint) { held = append(held, f) })
+		isolated.OnQuarantined(func(f Fingerprint) { held = append(held, f) })
 		for n := range 3 {
 			time.Sleep(time.Second)
 			for _, l := range []*Ledger{informed, isolated} {
-				l.Ended(Note{Content: bystander, Target: target(n), Standing: Begun, Ran: time.Second})
+				l.RecordCrash(Report{Content: bystander, Target: target(n), Standing: Begun, Ran: time.Second})
 			}
 		}
 		time.Sleep(reportDelay / 2)
 		require.False(t, isHeld(informed, bystander))
 		require.False(t, isHeld(isolated, bystander))
 		require.Equal(t, reportDelay/2, informed.DecisionDelay(bystander))
-		var reports []Note
+		var reports []Report
 		for n := range 4 { // involved in one earlier crash
-			reports = append(reports, Note{Content: culprit, Target: target(n - 1), Standing: Begun, Age: time.Duration(3-n)*time.Second + reportDelay/2, Ran: time.Second})
+			reports = append(reports, Report{Content: culprit, Target: target(n - 1), Standing: Begun, Age: time.Duration(3-n)*time.Second + reportDelay/2, Ran: time.Second})
 		}
-		informed.Take(reports)
+		informed.Merge(reports)
 		require.Zero(t, informed.DecisionDelay(bystander))
 		time.Sleep(reportDelay)
 		require.False(t, isHeld(informed, bystander))
--- a/quarantine/quarantine.go
+++ b/quarantine/quarantine.go
@@ -80,8 +80,8 @@
 	maxOutbox       = 256  // local notes kept for distribution
 )
 
-// Note is a crash or successful run reported between nodes.
-type Note struct {
+// Report is a crash or successful run reported between nodes.
+type Report struct {
 	Content  Fingerprint
 	Target   uint32        // short name of the crashed target
 	Standing Standing      // standing of the run; Settled reports a successful run
@@ -95,10 +95,10 @@
 
 // Config configures a Ledger.
 type Config struct {
-	Now         func() time.Time  // clock that includes time suspended
-	OnNews      func()            // called when there are new local notes
-	OnHeld      func(Fingerprint) // called when a content is newly quarantined
-	ReportDelay time.Duration     // minimum age of a crash that counts for quarantine
+	Now           func() time.Time  // clock that includes time suspended
+	OnReport      func()            // called when there are new local notes
+	OnQuarantined func(Fingerprint) // called when a content is newly quarantined
+	ReportDelay   time.Duration     // minimum age of a crash that counts for quarantine
 }
 
 // Option sets a field of Config.
--- a/quarantine/witness.go
+++ b/quarantine/witness.go
@@ -29,10 +29,10 @@
 // DialFunc opens a connection, like net.Dialer.DialContext.
 type DialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
-// Witness detects crashed targets and records them in a Ledger. A broken
+// CrashDetector detects crashed targets and records them in a Ledger. A broken
 // connection alone does not prove a crash; the target is probed, and a refused
 // connection means that its process has exited.
-type Witness struct {
+type CrashDetector struct {
 	*Ledger
 	dial   DialFunc
 	ctx    context.Context
@@ -43,16 +43,16 @@
 	probes sync.WaitGroup
 }
 
-// NewWitness returns a witness that probes targets with dial; with a nil dial
+// NewCrashDetector returns a witness that probes targets with dial; with a nil dial
 // it detects nothing.
-func NewWitness(l *Ledger, dial DialFunc) *Witness {
-	w := &Witness{Ledger: l, dial: dial}
+func NewCrashDetector(l *Ledger, dial DialFunc) *CrashDetector {
+	w := &CrashDetector{Ledger: l, dial: dial}
 	w.ctx, w.cancel = context.WithCancel(context.Background())
 	return w
 }
 
 // Close cancels pending probes, whose results are discarded.
-func (w *Witness) Close() {
+func (w *CrashDetector) Close() {
 	w.mu.Lock()
 	w.closed = true
 	w.mu.Unlock()
@@ -60,8 +60,8 @@
 	w.probes.Wait()
 }
 
-// Break describes a connection to a target that broke during a run.
-type Break struct {
+// BrokenConn describes a connection to a target that broke during a run.
+type BrokenConn struct {
 	Request  string // request ID, for logs
 	Content  Fingerprint
 	Target   string
@@ -70,20 +70,20 @@
 	Sent     time.Time // when the request was sent to the target
 }
 
-// Look is a pending probe.
-type Look struct{ done chan struct{} }
+// Probe is a pending probe.
+type Probe struct{ done chan struct{} }
 
-// Broke starts probing the target of a broken connection. It returns nil without
+// StartProbe starts probing the target of a broken connection. It returns nil without
 // probing if the run was Settled or the witness is closed.
-func (w *Witness) Broke(b Break) *Look {
+func (w *CrashDetector) StartProbe(b BrokenConn) *Probe {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if b.Standing == Settled || w.closed {
 		return nil
 	}
 	brokeAt := uptime.Now()
-	note := Note{Content: b.Content, Target: shortname.Of(b.Target), Standing: b.Standing, Ran: uptime.Since(b.Sent)}
-	probe := &Look{done: make(chan struct{})}
+	note := Report{Content: b.Content, Target: shortname.Of(b.Target), Standing: b.Standing, Ran: uptime.Since(b.Sent)}
+	probe := &Probe{done: make(chan struct{})}
 	w.probes.Go(func() {
 		defer close(probe.done)
 		exited := w.hasExited(b.Address)
@@ -91,7 +91,7 @@
 			"standing", b.Standing, "ended", exited, "ran_ms", note.Ran.Milliseconds())
 		if exited {
 			note.Age = uptime.Since(brokeAt)
-			w.Ended(note)
+			w.RecordCrash(note)
 		}
 	})
 	return probe
@@ -101,39 +101,39 @@
 // quarantined.
 const endsTargetsMessage = "targets end when they run this request"
 
-// Refuse returns the error for a new request whose content is quarantined, with
+// CheckNew returns the error for a new request whose content is quarantined, with
 // the remaining quarantine as Retry-After, or nil.
-func (w *Witness) Refuse(content Fingerprint) *walnutramp.Error {
-	left, held := w.Held(content)
+func (w *CrashDetector) CheckNew(content Fingerprint) *walnutramp.Error {
+	left, held := w.Quarantined(content)
 	if !held {
 		return nil
 	}
-	return walnutramp.NewError(walnutramp.CodeHeldBack, walnutramp.NotRun, endsTargetsMessage).WithRetryAfter(left)
+	return walnutramp.NewError(walnutramp.CodeQuarantined, walnutramp.NotRun, endsTargetsMessage).WithRetryAfter(left)
 }
 
-// Stop returns the error for a request that may have run on a target and must
+// CheckRetry returns the error for a request that may have run on a target and must
 // not be retried on another one, or nil. If the content is already a suspect,
 // it waits for the probe's result and, where that decides, for notes of other
 // nodes.
-func (w *Witness) Stop(l *Look, content Fingerprint) *walnutramp.Error {
+func (w *CrashDetector) CheckRetry(l *Probe, content Fingerprint) *walnutramp.Error {
 	if l != nil && w.Suspect(content) {
 		<-l.done
 		pause.For(w.ctx, w.DecisionDelay(content))
 	}
-	if _, held := w.Held(content); !held {
+	if _, held := w.Quarantined(content); !held {
 		return nil
 	}
-	return walnutramp.NewError(walnutramp.CodeEndsTargets, walnutramp.Unknown, endsTargetsMessage)
+	return walnutramp.NewError(walnutramp.CodeCrashesTargets, walnutramp.Unknown, endsTargetsMessage)
 }
 
 // hasExited reports whether nothing listens on a target's address any more.
-func (w *Witness) hasExited(address string) bool {
+func (w *CrashDetector) hasExited(address string) bool {
 	ctx, cancel := context.WithTimeout(w.ctx, probeTimeout)
 	defer cancel()
 	return w.refusesConnection(ctx, address) || pause.For(ctx, probeInterval) && w.refusesConnection(ctx, address)
 }
 
-func (w *Witness) refusesConnection(ctx context.Context, address string) bool {
+func (w *CrashDetector) refusesConnection(ctx context.Context, address string) bool {
 	if w.dial == nil {
 		return false
 	}
--- a/quota/holder.go
+++ b/quota/holder.go
@@ -23,13 +23,13 @@
 // assignment.
 func NewHolder(span time.Duration) *Holder { return &Holder{span: span} }
 
-// Take applies the assignment in an answer to a request sent at requestedAt. It ignores
+// Apply applies the assignment in an answer to a request sent at requestedAt. It ignores
 // answers without an assignment, later than AskLimit, or to a request before that of the
 // latest assignment.
-func (h *Holder) Take(w Word, requestedAt time.Time) {
+func (h *Holder) Apply(w Assignment, requestedAt time.Time) {
 	now := uptime.Now()
 	issuedAt := requestedAt.Add(-w.Age)
-	if w.Nodes <= 0 || now.Sub(issuedAt) > AskLimit {
+	if w.Nodes <= 0 || now.Sub(issuedAt) > AnswerTimeout {
 		return
 	}
 	h.mu.Lock()
@@ -46,14 +46,14 @@
 }
 
 // join makes the share usable from a time on. The caller holds the mutex.
-func (h *Holder) join(w Word, from time.Time) {
+func (h *Holder) join(w Assignment, from time.Time) {
 	h.usableFrom = from
 	klog.InfoS("Retry quota share assigned", "nodes", w.Nodes, "first", w.First, "in_ms", uptime.Until(from).Milliseconds())
 }
 
-// Part returns the share of the quota, from 0 to 1, that this node may have used within
+// Share returns the share of the quota, from 0 to 1, that this node may have used within
 // the span that ends now.
-func (h *Holder) Part() float64 {
+func (h *Holder) Share() float64 {
 	now := uptime.Now()
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/quota/quota.go
+++ b/quota/quota.go
@@ -17,8 +17,8 @@
 const (
 	// ShareTTL is how long an assigned share is valid, from the request for it.
 	ShareTTL = 4 * time.Second
-	// AskLimit is how long after the request an answer is accepted.
-	AskLimit = 2500 * time.Millisecond
+	// AnswerTimeout is how long after the request an answer is accepted.
+	AnswerTimeout = 2500 * time.Millisecond
 	// MaxAbsence is the longest time between the requests of two successive assignments
 	// after which a node uses its share again without waiting for joinDelay.
 	MaxAbsence = 30 * time.Second
@@ -30,11 +30,13 @@
 // evictDelay is how long a silent node stays in the set: until it can no longer resume its
 // share (MaxAbsence) by an answer that is under way (AskLimit), that share has expired
 // (ShareTTL), and a span has passed.
-func evictDelay(span time.Duration) time.Duration { return MaxAbsence + AskLimit + ShareTTL + span }
+func evictDelay(span time.Duration) time.Duration {
+	return MaxAbsence + AnswerTimeout + ShareTTL + span
+}
 
-// Word is the assignment of a share that the control group's leader sends to a node in
+// Assignment is the assignment of a share that the control group's leader sends to a node in
 // the set.
-type Word struct {
+type Assignment struct {
 	Nodes int    // in the set; 0 for no assignment
 	Epoch uint64 // identifies the set; assignments of different sets are unrelated
 	// First says that the node's process joined the set before the set was opened, when no
--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -43,7 +43,7 @@
 // modelRequest is a request in flight.
 type modelRequest struct {
 	sentAt, arrivesAt, answeredAt time.Time
-	assignment                    Word
+	assignment                    Assignment
 	recorded                      bool
 }
 
@@ -59,7 +59,7 @@
 	for range 3 {
 		m.leaders = append(m.leaders, NewRegister(testSpan))
 	}
-	m.leaders[0].Begin()
+	m.leaders[0].BecomeLeader()
 	for i := range nodes {
 		m.nodes = append(m.nodes, &modelNode{self: Node{Address: fmt.Sprint(i)}})
 		if m.rng.IntN(4) > 0 {
@@ -71,7 +71,7 @@
 
 func (m *model) start(i int) {
 	n := m.nodes[i]
-	n.self.Life, n.holder, n.up, n.requests = m.rng.Uint64()|1, NewHolder(testSpan), true, nil
+	n.self.Incarnation, n.holder, n.up, n.requests = m.rng.Uint64()|1, NewHolder(testSpan), true, nil
 	n.startedAt = uptime.Now()
 }
 
@@ -92,12 +92,12 @@
 			req := &n.requests[i]
 			if !req.recorded && !now.Before(req.arrivesAt) {
 				req.recorded = true
-				r.Note(n.self)
-				req.assignment = r.Word(m.set, n.self)
+				r.RecordRequest(n.self)
+				req.assignment = r.Assignment(m.set, n.self)
 			}
 		}
 		for len(n.requests) > 0 && n.requests[0].recorded && !now.Before(n.requests[0].answeredAt) {
-			n.holder.Take(n.requests[0].assignment, n.requests[0].sentAt)
+			n.holder.Apply(n.requests[0].assignment, n.requests[0].sentAt)
 			n.requests = n.requests[1:]
 		}
 	}
@@ -110,7 +110,7 @@
 			m.set = next
 		default:
 			m.set = next
-			r.Agreed(next)
+			r.Committed(next)
 		}
 	}
 }
@@ -130,7 +130,7 @@
 		n.partitionedUntil = uptime.Now().Add(m.delay(2 * MaxAbsence))
 	case 4:
 		m.leader = m.rng.IntN(len(m.leaders))
-		m.leaders[m.leader].Begin()
+		m.leaders[m.leader].BecomeLeader()
 	case 5:
 		if !n.up {
 			m.start(i)
@@ -147,7 +147,7 @@
 		if !n.up {
 			continue
 		}
-		left := n.holder.Part()
+		left := n.holder.Share()
 		for _, u := range m.used {
 			if u.node == i && now.Sub(u.at) < testSpan && !u.at.Before(n.startedAt) { // a new process does not know what its predecessor used
 				left -= u.share
@@ -216,18 +216,18 @@
 		}
 		steps(60)
 		for i, n := range m.nodes {
-			require.InDelta(t, 1./8, n.holder.Part(), 1e-9, "node %d, which joined before the set was opened", i)
+			require.InDelta(t, 1./8, n.holder.Share(), 1e-9, "node %d, which joined before the set was opened", i)
 		}
 		away := m.nodes[2]
 		away.partitionedUntil = uptime.Now().Add(MaxAbsence - 8*time.Second)
 		steps(100)
-		require.Zero(t, away.holder.Part(), "its assignment has expired")
+		require.Zero(t, away.holder.Share(), "its assignment has expired")
 		steps(180)
-		require.InDelta(t, 1./8, away.holder.Part(), 1e-9, "it resumes its share")
+		require.InDelta(t, 1./8, away.holder.Share(), 1e-9, "it resumes its share")
 		m.start(5)
 		steps(100)
-		require.Zero(t, m.nodes[5].holder.Part(), "its previous process may have used the share")
+		require.Zero(t, m.nodes[5].holder.Share(), "its previous process may have used the share")
 		steps(150)
-		require.InDelta(t, 1./8, m.nodes[5].holder.Part(), 1e-9, "a span has passed")
+		require.InDelta(t, 1./8, m.nodes[5].holder.Share(), 1e-9, "a span has passed")
 	})
 }
--- a/quota/register.go
+++ b/quota/register.go
@@ -30,23 +30,23 @@
 	return &Register{span: span, heard: map[string]heardNode{}, removing: map[string]bool{}}
 }
 
-// Begin records that this member becomes leader. Nodes known to an earlier leader count
+// BecomeLeader records that this member becomes leader. Nodes known to an earlier leader count
 // as heard now; what this member recorded as a follower remains valid.
-func (r *Register) Begin() {
+func (r *Register) BecomeLeader() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.leaderSince = uptime.Now()
 	clear(r.removing)
 }
 
-// Note records a node's request. A relay may not know the node's Life and leaves it 0.
-func (r *Register) Note(n Node) {
+// RecordRequest records a node's request. A relay may not know the node's Life and leaves it 0.
+func (r *Register) RecordRequest(n Node) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if n.Life == 0 {
-		n.Life = r.heard[n.Address].life
+	if n.Incarnation == 0 {
+		n.Incarnation = r.heard[n.Address].life
 	}
-	r.heard[n.Address] = heardNode{at: uptime.Now(), life: n.Life}
+	r.heard[n.Address] = heardNode{at: uptime.Now(), life: n.Incarnation}
 }
 
 // Next returns the set that the group should agree on next and the nodes that join and
@@ -78,8 +78,8 @@
 	return next, joining, leaving
 }
 
-// Agreed records that the group has committed a set returned by Next.
-func (r *Register) Agreed(set Set) {
+// Committed records that the group has committed a set returned by Next.
+func (r *Register) Committed(set Set) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for address := range set.Lives {
@@ -87,20 +87,20 @@
 	}
 }
 
-// Word returns the assignment for the nodes that asked, given the set as a confirmed
+// Assignment returns the assignment for the nodes that asked, given the set as a confirmed
 // leader holds it: none while the set is not open, or while one of them may not be in
 // it.
-func (r *Register) Word(set Set, asked ...Node) Word {
+func (r *Register) Assignment(set Set, asked ...Node) Assignment {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !set.Open {
-		return Word{}
+		return Assignment{}
 	}
 	for _, n := range asked {
 		if !set.has(n.Address) || r.removing[n.Address] {
-			return Word{}
+			return Assignment{}
 		}
 	}
-	first := len(asked) == 1 && asked[0].Life != 0 && set.Lives[asked[0].Address] == asked[0].Life
-	return Word{Nodes: len(set.Lives), Epoch: set.Epoch, First: first}
+	first := len(asked) == 1 && asked[0].Incarnation != 0 && set.Lives[asked[0].Address] == asked[0].Incarnation
+	return Assignment{Nodes: len(set.Lives), Epoch: set.Epoch, First: first}
 }
--- a/quota/set.go
+++ b/quota/set.go
@@ -18,8 +18,8 @@
 
 // Node is one process of a node.
 type Node struct {
-	Address string
-	Life    uint64 // identifies the process; 0 if unknown
+	Address     string
+	Incarnation uint64 // identifies the process; 0 if unknown
 }
 
 // Clone returns a deep copy.
--- a/rollout/agent.go
+++ b/rollout/agent.go
@@ -47,15 +47,15 @@
 	return a
 }
 
-// Versions is the set of versions that a request may go to; its zero value
+// VersionSet is the set of versions that a request may go to; its zero value
 // contains every version.
-type Versions struct {
+type VersionSet struct {
 	only []string
 	not  string
 }
 
 // Has reports whether the set contains a version.
-func (v Versions) Has(version string) bool {
+func (v VersionSet) Has(version string) bool {
 	if v.only != nil {
 		return slices.Contains(v.only, version)
 	}
@@ -63,7 +63,7 @@
 }
 
 // Any reports whether the set contains every version.
-func (v Versions) Any() bool { return v.only == nil && v.not == "" }
+func (v VersionSet) Any() bool { return v.only == nil && v.not == "" }
 
 // Revision returns the revision of the current view.
 func (a *Agent) Revision() uint64 {
@@ -128,11 +128,11 @@
 	return p.Other
 }
 
-// Draw reports whether a request should go to the new version of its service.
+// SelectCanary reports whether a request should go to the new version of its service.
 // It spaces such requests evenly, so each node stays within one request of its
 // share. The initial credit is random, so that nodes do not all pick their
 // first requests.
-func (a *Agent) Draw(name, route string) bool {
+func (a *Agent) SelectCanary(name, route string) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	s := a.services[name]
@@ -156,9 +156,9 @@
 // targets, to prevent a burst afterwards.
 const maxCredit = 2
 
-// Undo returns the credit of a Draw for which no target of the new version was
+// ReturnCredit returns the credit of a Draw for which no target of the new version was
 // available.
-func (a *Agent) Undo(name, route string) {
+func (a *Agent) ReturnCredit(name, route string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if s := a.services[name]; s != nil {
@@ -176,26 +176,26 @@
 
 // Versions returns the versions that a request may go to: the new one if Draw
 // selected it, else those in force.
-func (a *Agent) Versions(name string, drawn bool) Versions {
+func (a *Agent) Versions(name string, drawn bool) VersionSet {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	s := a.services[name]
 	if s == nil {
-		return Versions{}
+		return VersionSet{}
 	}
 	if drawn {
-		return Versions{only: []string{s.record.Target}}
+		return VersionSet{only: []string{s.record.Target}}
 	}
 	return s.inForce()
 }
 
 // inForce returns the versions that a request may go to without a permit. The
 // caller must hold the mutex.
-func (s *service) inForce() Versions {
+func (s *service) inForce() VersionSet {
 	if len(s.record.InForce) == 0 {
-		return Versions{not: s.record.Target}
+		return VersionSet{not: s.record.Target}
 	}
-	return Versions{only: s.record.InForce}
+	return VersionSet{only: s.record.InForce}
 }
 
 // MayUse reports whether a request may continue at a target of the given
@@ -285,9 +285,9 @@
 	return cells
 }
 
-// Unreported makes the next report include all counts, because the last one may
+// ResetReport makes the next report include all counts, because the last one may
 // have been lost.
-func (a *Agent) Unreported() {
+func (a *Agent) ResetReport() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.judge = 0
--- a/rollout/agent_test.go
+++ b/rollout/agent_test.go
@@ -48,7 +48,7 @@
 	n.SetView(done)
 	require.False(t, n.Versions("s", false).Has("v1"))
 	require.False(t, n.SetView(running(1)), "older revision")
-	require.False(t, n.Draw("s", "r"), "rollout has ended")
+	require.False(t, n.SelectCanary("s", "r"), "rollout has ended")
 	require.True(t, n.Versions("s", false).Has("v2"))
 }
 
@@ -57,17 +57,17 @@
 func TestPermitExpires(t *testing.T) {
 	n := newTestNode(1)
 	n.SetView(running(1))
-	require.False(t, n.Draw("s", "r"))
+	require.False(t, n.SelectCanary("s", "r"))
 	asked := n.now
 	n.now = n.now.Add(300 * time.Millisecond) // latency of the permit request
 	n.SetPermits(permit(1), asked)
-	require.True(t, n.Draw("s", "r"))
+	require.True(t, n.SelectCanary("s", "r"))
 	require.True(t, n.Shifted("s"))
 	n.now = asked.Add(PermitLife)
-	require.False(t, n.Draw("s", "r"))
+	require.False(t, n.SelectCanary("s", "r"))
 	require.False(t, n.Shifted("s"))
 	n.SetPermits([]Permit{{Service: "s", Number: 7, Other: 1, For: time.Hour}}, n.now)
-	require.False(t, n.Draw("s", "r"), "permit of another rollout")
+	require.False(t, n.SelectCanary("s", "r"), "permit of another rollout")
 }
 
 // Checks that many nodes with few requests each reach the permitted share in
@@ -80,7 +80,7 @@
 		n.SetView(running(1))
 		n.SetPermits(permit(share), n.now)
 		for range requests {
-			if n.Draw("s", "r") {
+			if n.SelectCanary("s", "r") {
 				drawn++
 			}
 		}
@@ -93,14 +93,14 @@
 	n.SetView(running(1))
 	n.SetPermits(permit(0.5), n.now)
 	for range 20 {
-		if n.Draw("s", "r") {
-			n.Undo("s", "r")
+		if n.SelectCanary("s", "r") {
+			n.ReturnCredit("s", "r")
 		}
 	}
-	require.True(t, n.Draw("s", "r"))
+	require.True(t, n.SelectCanary("s", "r"))
 	drawn := 0
 	for range 100 {
-		if n.Draw("s", "r") {
+		if n.SelectCanary("s", "r") {
 			drawn++
 		}
 	}
@@ -114,10 +114,10 @@
 	answer := func(version string, o Outcome) {
 		r := n.Begin(Key{Service: "s", Route: "r", Version: version, DataHall: "h", Target: "t"})
 		n.now = n.now.Add(30 * time.Millisecond)
-		r.First()
-		r.Pace(5 * time.Millisecond)
-		r.Ended(o)
-		r.Ended(o) // ignored
+		r.RecordFirstEvent()
+		r.RecordEventInterval(5 * time.Millisecond)
+		r.Finish(o)
+		r.Finish(o) // ignored
 	}
 	answer("v1", Served)
 	answer("v2", Failed)
@@ -131,16 +131,16 @@
 	require.Equal(t, "t", changed[0].Key.Target)
 	require.EqualValues(t, 2, changed[0].Counts.Answered())
 	require.Len(t, n.Report(6), 2, "full report for another judge")
-	n.Unreported()
+	n.ResetReport()
 	require.Len(t, n.Report(6), 2, "full report after a lost one")
 
-	tally := NewTally()
-	require.Len(t, tally.Take("n", 1, all), 2)
-	fresh := tally.Take("n", 1, changed)
+	tally := NewAggregator()
+	require.Len(t, tally.Merge("n", 1, all), 2)
+	fresh := tally.Merge("n", 1, changed)
 	require.Len(t, fresh, 1)
 	require.EqualValues(t, 1, fresh[0].Counts.Answered())
-	require.Empty(t, tally.Take("n", 1, all[:0]))
-	tally.Take("n", 2, all) // restarted node
+	require.Empty(t, tally.Merge("n", 1, all[:0]))
+	tally.Merge("n", 2, all) // restarted node
 	sums := tally.Sums("s")
 	require.EqualValues(t, 3, sums[changed[0].Key].Lost+sums[changed[0].Key].Failed)
 	tally.Forget("s")
@@ -160,19 +160,19 @@
 	n.now = n.now.Add(150 * time.Millisecond)
 	n.SetPermits(p, n.now)
 	require.EqualValues(t, 1, n.Report(1)[0].Counts.First.total())
-	r.First()
+	r.RecordFirstEvent()
 	require.Empty(t, n.Report(1), "first event must be counted once")
-	r.Dropped()
-	r.Ended(Served)
+	r.Discard()
+	r.Finish(Served)
 	require.Empty(t, n.Report(1), "no outcome after Dropped")
 }
 
 func TestNilRequestIsNoOp(t *testing.T) {
 	var r *Request
-	r.First()
-	r.Pace(time.Second)
-	r.Ended(Lost)
-	r.Dropped()
+	r.RecordFirstEvent()
+	r.RecordEventInterval(time.Second)
+	r.Finish(Lost)
+	r.Discard()
 }
 
 // Checks that permits expire during machine suspend: the version may have been
--- a/rollout/evidence.go
+++ b/rollout/evidence.go
@@ -103,8 +103,8 @@
 	return min(1+int(bucketsPerDoubling*math.Log2(ms)), maxBuckets-1)
 }
 
-// Note returns the histogram with d added.
-func (h Histogram) Note(d time.Duration) Histogram {
+// Add returns the histogram with d added.
+func (h Histogram) Add(d time.Duration) Histogram {
 	b := bucketOf(d)
 	for len(h) <= b {
 		h = append(h, 0)
--- a/rollout/experiment/answer.go
+++ b/rollout/experiment/answer.go
@@ -63,14 +63,14 @@
 func (sim *simulation) handle(a answer) {
 	switch a.stage {
 	case stageFirst:
-		a.request.First()
+		a.request.RecordFirstEvent()
 		if a.run > 0 {
 			a.stage, a.at = stageInterval, a.at+min(intervalEvents*a.interval, a.run)
 			heap.Push(&sim.inFlight, a)
 			return
 		}
 	case stageInterval:
-		a.request.Pace(a.interval)
+		a.request.RecordEventInterval(a.interval)
 		a.stage, a.at = stageEnd, a.at+max(0, a.run-intervalEvents*a.interval)
 		heap.Push(&sim.inFlight, a)
 		return
@@ -82,9 +82,9 @@
 func (sim *simulation) end(a answer) {
 	a.target.inFlight--
 	if a.unknown {
-		a.request.Dropped()
+		a.request.Discard()
 	} else {
-		a.request.Ended(a.outcome)
+		a.request.Finish(a.outcome)
 	}
 	if a.bad {
 		sim.out.BadAnswers++
--- a/rollout/experiment/experiment_test.go
+++ b/rollout/experiment/experiment_test.go
@@ -22,7 +22,7 @@
 	return Site{}
 }
 
-var allTroubles = Troubles{Crashes: true, Grey: true}
+var allTroubles = Faults{Crashes: true, Grey: true}
 
 func TestGoodVersionsComplete(t *testing.T) {
 	for name, least := range map[string]int{"lookups-65": 58, "drafts-65": 54} {
--- a/rollout/experiment/play.go
+++ b/rollout/experiment/play.go
@@ -79,8 +79,8 @@
 	badLoad     float64       // requests in flight at a target from which it is bad, for Loaded
 	partialFrom time.Duration // start of the partial failures
 
-	tally      *rollout.Tally
-	judge      *rollout.Judge
+	tally      *rollout.Aggregator
+	judge      *rollout.Evaluator
 	record     rollout.Record
 	step       rollout.Step
 	shiftedAt  time.Duration
@@ -108,7 +108,7 @@
 
 // Simulate simulates one rollout of a version on a site. The same seed gives
 // the same outcome.
-func Simulate(site Site, v Version, troubles Troubles, policy rollout.Policy, seed uint64) Outcome {
+func Simulate(site Site, v Version, troubles Faults, policy rollout.Policy, seed uint64) Outcome {
 	sim := newSimulation(site, v, troubles, policy, seed)
 	for sim.now = 0; sim.now < site.Duration; sim.now += tick {
 		sim.deliver()
@@ -120,9 +120,9 @@
 	return sim.out
 }
 
-func newSimulation(site Site, v Version, troubles Troubles, policy rollout.Policy, seed uint64) *simulation {
-	sim := &simulation{site: site, version: v, rng: rand.New(rand.NewPCG(seed, 31)), begin: time.Unix(0, 0), tally: rollout.NewTally(),
-		judge: rollout.NewJudge(policy, site.Duration)}
+func newSimulation(site Site, v Version, troubles Faults, policy rollout.Policy, seed uint64) *simulation {
+	sim := &simulation{site: site, version: v, rng: rand.New(rand.NewPCG(seed, 31)), begin: time.Unix(0, 0), tally: rollout.NewAggregator(),
+		judge: rollout.NewEvaluator(policy, site.Duration)}
 	sim.record = rollout.Record{Service: service, InForce: []string{oldVersion}, Number: 1, Target: newVersion, State: rollout.Running, Duration: site.Duration}
 	for i := range site.Nodes {
 		sim.agents = append(sim.agents, rollout.NewAgent(seed*1000+uint64(i), rollout.WithClock(sim.clock)))
@@ -181,10 +181,10 @@
 	if sim.record.State != rollout.Running || sim.now%decisionPeriod != 0 {
 		return
 	}
-	s := rollout.Situation{Record: sim.record, Elapsed: sim.now, ShiftedAt: sim.shiftedAt, Sums: sim.tally.Sums(service), Streams: sim.site.Streams,
-		OldPlaces: sim.site.Targets, Verdict: sim.judge.Verdict()}
+	s := rollout.PlanInput{Record: sim.record, Elapsed: sim.now, ShiftedAt: sim.shiftedAt, Sums: sim.tally.Sums(service), Streams: sim.site.Streams,
+		OldSlots: sim.site.Targets, Verdict: sim.judge.Verdict()}
 	if sim.now >= targetBoot {
-		s.NewPlaces = sim.site.Targets
+		s.NewSlots = sim.site.Targets
 	}
 	sim.step = sim.site.Bounds.Plan(s)
 	if sim.step.State == rollout.Running && sim.step.Stage == sim.record.Stage {
@@ -208,14 +208,14 @@
 	if sim.record.State != rollout.Running {
 		return
 	}
-	late := sim.judge.Late()
+	late := sim.judge.SlowThresholds()
 	for i, a := range sim.agents {
 		offset := time.Duration(i%int(reportPeriod/tick)) * tick
 		if sim.now%reportPeriod != offset {
 			continue
 		}
-		increments := sim.tally.Take(strconv.Itoa(i), 1, a.Report(1))
-		sim.judge.Take(sim.now, newVersion, increments)
+		increments := sim.tally.Merge(strconv.Itoa(i), 1, a.Report(1))
+		sim.judge.Add(sim.now, newVersion, increments)
 		a.SetPermits([]rollout.Permit{{Service: service, Number: 1, Shares: sim.step.Shares, Other: sim.step.Other, Focus: sim.step.Focus, Late: late, For: rollout.PermitLife}}, sim.clock())
 	}
 }
@@ -242,7 +242,7 @@
 func (sim *simulation) send(node, routeNumber, tries int) {
 	route := sim.site.Routes[routeNumber]
 	agent := sim.agents[node]
-	drawn := (tries == 0 || agent.Shifted(service)) && sim.now >= targetBoot && agent.Draw(service, route.Name)
+	drawn := (tries == 0 || agent.Shifted(service)) && sim.now >= targetBoot && agent.SelectCanary(service, route.Name)
 	at := sim.pick(agent, drawn)
 	sim.requests++
 	if at.new {
--- a/rollout/experiment/site.go
+++ b/rollout/experiment/site.go
@@ -84,8 +84,8 @@
 	OneRoute When = "one route"
 )
 
-// Ways returns all failure conditions.
-func Ways() []When { return []When{AtOnce, Later, Loaded, OneRoute} }
+// FailureConditions returns all failure conditions.
+func FailureConditions() []When { return []When{AtOnce, Later, Loaded, OneRoute} }
 
 // Version describes how a new version differs from the old one.
 type Version struct {
@@ -97,8 +97,8 @@
 // Bad reports whether the version has a regression.
 func (v Version) Bad() bool { return v.Fails > 0 || v.Slow > 1 }
 
-// Troubles are faults that affect targets of both versions.
-type Troubles struct {
+// Faults are faults that affect targets of both versions.
+type Faults struct {
 	Crashes bool // two outages of a data hall's targets
 	Grey    bool // 15% of the targets fail 40% of their requests for some time
 }
--- a/rollout/experiment/table.go
+++ b/rollout/experiment/table.go
@@ -16,7 +16,7 @@
 	Site       string
 	Policy     rollout.Policy
 	Version    Version
-	Troubles   Troubles
+	Faults     Faults
 	Runs       int
 	Completed  int
 	RolledBack int
@@ -31,7 +31,7 @@
 
 // Measure simulates rollouts of a version with consecutive seeds, on all
 // processors. The same seeds give the same row.
-func Measure(site Site, v Version, troubles Troubles, policy rollout.Policy, runs int, firstSeed uint64) Row {
+func Measure(site Site, v Version, troubles Faults, policy rollout.Policy, runs int, firstSeed uint64) Row {
 	outcomes := make([]Outcome, runs)
 	var workers sync.WaitGroup
 	next := make(chan int)
@@ -47,7 +47,7 @@
 	}
 	close(next)
 	workers.Wait()
-	row := Row{Site: site.Name, Policy: policy, Version: v, Troubles: troubles, Runs: runs, Reasons: map[string]int{}}
+	row := Row{Site: site.Name, Policy: policy, Version: v, Faults: troubles, Runs: runs, Reasons: map[string]int{}}
 	for _, o := range outcomes {
 		row.add(o, site.Bounds)
 	}
