--- a/rollout/judge.go
+++ b/rollout/judge.go
@@ -78,9 +78,9 @@
 
 var metricNames = [numMetrics]string{"failed", "slow to begin", "slow"}
 
-// Judge compares the answers of the new and the old version. It is not safe for
+// Evaluator compares the answers of the new and the old version. It is not safe for
 // concurrent use.
-type Judge struct {
+type Evaluator struct {
 	policy   Policy
 	binWidth time.Duration
 	lastBin  int
@@ -106,14 +106,14 @@
 	counts Counts
 }
 
-// NewJudge returns a judge for a rollout of the given duration.
-func NewJudge(policy Policy, duration time.Duration) *Judge {
-	return &Judge{policy: policy, binWidth: max(minBinWidth, duration/(maxBins-1)), routes: map[string]*routeEvidence{}}
+// NewEvaluator returns a judge for a rollout of the given duration.
+func NewEvaluator(policy Policy, duration time.Duration) *Evaluator {
+	return &Evaluator{policy: policy, binWidth: max(minBinWidth, duration/(maxBins-1)), routes: map[string]*routeEvidence{}}
 }
 
-// Take adds the counts that nodes have reported since the previous call. Target
+// Add adds the counts that nodes have reported since the previous call. Target
 // is the new version.
-func (j *Judge) Take(elapsed time.Duration, target string, cells []Cell) {
+func (j *Evaluator) Add(elapsed time.Duration, target string, cells []Cell) {
 	bin := min(max(0, int(elapsed/j.binWidth)), maxBins-1)
 	j.lastBin = max(j.lastBin, bin)
 	for _, cell := range cells {
@@ -204,7 +204,7 @@
 }
 
 // Verdict assesses all counts taken so far.
-func (j *Judge) Verdict() Verdict {
+func (j *Evaluator) Verdict() Verdict {
 	v := Verdict{Score: math.Inf(-1)}
 	for m := range numMetrics {
 		all := map[targetKey][]sample{} // samples of all routes
@@ -262,7 +262,7 @@
 // score returns the test statistic of the policy. Except under Threshold, the worst
 // of several targets is discounted, because a fault of one target is not a fault of
 // the version.
-func (j *Judge) score(byTarget map[targetKey][]sample) float64 {
+func (j *Evaluator) score(byTarget map[targetKey][]sample) float64 {
 	if j.policy == Threshold {
 		return thresholdScore(byTarget)
 	}
@@ -278,9 +278,9 @@
 	return highest
 }
 
-// Late returns, by route, the time to first event from which an answer counts
+// SlowThresholds returns, by route, the time to first event from which an answer counts
 // as slow. Routes with too few baseline answers are omitted.
-func (j *Judge) Late() map[string]time.Duration {
+func (j *Evaluator) SlowThresholds() map[string]time.Duration {
 	late := map[string]time.Duration{}
 	for name, route := range j.routes {
 		if route.baseline.First.total() >= minThresholdAnswers {
--- a/rollout/judge_test.go
+++ b/rollout/judge_test.go
@@ -14,11 +14,11 @@
 // generator feeds random answers to a judge.
 type generator struct {
 	rng   *rand.Rand
-	judge *Judge
+	judge *Evaluator
 }
 
 func newGenerator(policy Policy) *generator {
-	return &generator{rng: rand.New(rand.NewPCG(3, 1)), judge: NewJudge(policy, testDuration)}
+	return &generator{rng: rand.New(rand.NewPCG(3, 1)), judge: NewEvaluator(policy, testDuration)}
 }
 
 // answers adds n answers of a version, spread over twelve targets in four data
@@ -32,8 +32,8 @@
 		} else {
 			c.Served = 1
 		}
-		c.First = c.First.Note(time.Duration(float64(latency) * (0.7 + 0.6*g.rng.Float64())))
-		g.judge.Take(at, "v2", []Cell{{Key: key, Counts: c}})
+		c.First = c.First.Add(time.Duration(float64(latency) * (0.7 + 0.6*g.rng.Float64())))
+		g.judge.Add(at, "v2", []Cell{{Key: key, Counts: c}})
 	}
 }
 
@@ -95,7 +95,7 @@
 	g := newGenerator(ChangePoint)
 	g.both(0, 10*time.Second, 0.02, 0.02, baselineLatency)
 	broken := Key{Service: "s", Route: "r", Version: "v2", DataHall: "hall-1", Target: "t-broken"}
-	g.judge.Take(9*time.Second, "v2", []Cell{{Key: broken, Counts: Counts{Sent: 9, Failed: 9}}})
+	g.judge.Add(9*time.Second, "v2", []Cell{{Key: broken, Counts: Counts{Sent: 9, Failed: 9}}})
 	require.False(t, g.judge.Verdict().Doubtful)
 }
 
@@ -106,7 +106,7 @@
 	g.both(0, 10*time.Second, 0.02, 0.02, baselineLatency)
 	loseAnswers := func(version, target string, n uint32) {
 		key := Key{Service: "s", Route: "r", Version: version, DataHall: "hall-2", Target: target}
-		g.judge.Take(9*time.Second, "v2", []Cell{{Key: key, Counts: Counts{Sent: n, Lost: n}}})
+		g.judge.Add(9*time.Second, "v2", []Cell{{Key: key, Counts: Counts{Sent: n, Lost: n}}})
 	}
 	loseAnswers("v1", "", 30)
 	for i := range 6 {
@@ -121,13 +121,13 @@
 	g.both(0, 10*time.Second, 0.02, 0.02, baselineLatency)
 	for i := range 30 {
 		oldKey := Key{Service: "s", Route: "seldom", Version: "v1", DataHall: "hall-1"}
-		g.judge.Take(8*time.Second, "v2", []Cell{{Key: oldKey, Counts: Counts{Sent: 3, Served: 3}}})
+		g.judge.Add(8*time.Second, "v2", []Cell{{Key: oldKey, Counts: Counts{Sent: 3, Served: 3}}})
 		newKey := Key{Service: "s", Route: "seldom", Version: "v2", DataHall: "hall-1", Target: fmt.Sprint("t-", i%12)}
 		c := Counts{Sent: 1, Served: 1}
 		if i%3 == 0 {
 			c = Counts{Sent: 1, Failed: 1}
 		}
-		g.judge.Take(8*time.Second, "v2", []Cell{{Key: newKey, Counts: c}})
+		g.judge.Add(8*time.Second, "v2", []Cell{{Key: newKey, Counts: c}})
 	}
 	v := g.judge.Verdict()
 	require.True(t, v.Bad)
@@ -137,7 +137,7 @@
 func TestHistogramDetectsDoubledLatency(t *testing.T) {
 	var h Histogram
 	for range 100 {
-		h = h.Note(30 * time.Millisecond)
+		h = h.Add(30 * time.Millisecond)
 	}
 	require.Greater(t, bucketOf(70*time.Millisecond), h.slowFrom()-1)
 	require.Less(t, bucketOf(40*time.Millisecond), h.slowFrom())
--- a/rollout/plan.go
+++ b/rollout/plan.go
@@ -62,14 +62,14 @@
 	minFocusPart = 0.02
 )
 
-// Situation is the input of a plan.
-type Situation struct {
+// PlanInput is the input of a plan.
+type PlanInput struct {
 	Record    Record
 	Elapsed   time.Duration // since the order
 	ShiftedAt time.Duration // since the order, start of StageShift
 	Sums      map[Key]Counts
-	NewPlaces int  // total slots of the new version's available targets
-	OldPlaces int  // total slots of the old version's targets
+	NewSlots  int  // total slots of the new version's available targets
+	OldSlots  int  // total slots of the old version's targets
 	Streams   bool // the service's answers are streams
 	Verdict   Verdict
 }
@@ -85,7 +85,7 @@
 }
 
 // Plan returns the next step of a rollout.
-func (b Bounds) Plan(s Situation) Step {
+func (b Bounds) Plan(s PlanInput) Step {
 	if reason := s.rollbackReason(); reason != "" {
 		return Step{State: RolledBack, Reason: reason}
 	}
@@ -103,7 +103,7 @@
 }
 
 // rollbackReason returns why the version must be rolled back now, or "".
-func (s *Situation) rollbackReason() string {
+func (s *PlanInput) rollbackReason() string {
 	if s.Verdict.Bad {
 		return "bad: " + s.Verdict.Evidence
 	}
@@ -114,11 +114,11 @@
 }
 
 // unready returns why the version may not be promoted, or "".
-func (s *Situation) unready() string {
+func (s *PlanInput) unready() string {
 	switch {
-	case s.NewPlaces == 0:
+	case s.NewSlots == 0:
 		return "no target of the version"
-	case float64(s.NewPlaces) < minCapacityRatio*float64(s.OldPlaces):
+	case float64(s.NewSlots) < minCapacityRatio*float64(s.OldSlots):
 		return "too few targets of the version"
 	case s.Verdict.Answers < minAnswers:
 		return "too few answers of the version"
@@ -128,13 +128,13 @@
 	return ""
 }
 
-func (s *Situation) endMargin() time.Duration {
+func (s *PlanInput) endMargin() time.Duration {
 	part := time.Duration(endMarginPart * float64(s.Record.Duration))
 	return min(max(part, minEndMargin), maxEndMargin)
 }
 
 // shift plans StageShift until the rollout completes.
-func (b Bounds) shift(s Situation, end time.Duration) Step {
+func (b Bounds) shift(s PlanInput, end time.Duration) Step {
 	shifted := s.Elapsed - s.ShiftedAt
 	all, exposed := s.requests()
 	drained := shifted >= s.shiftMax() || exposed >= b.allowance(all)
@@ -147,14 +147,14 @@
 	return Step{State: Running, Stage: StageShift, Other: 1, Focus: Focus{Part: 1}}
 }
 
-func (s *Situation) shiftMin() time.Duration {
+func (s *PlanInput) shiftMin() time.Duration {
 	if s.Streams {
 		return minStreamShift
 	}
 	return minShift
 }
 
-func (s *Situation) shiftMax() time.Duration {
+func (s *PlanInput) shiftMax() time.Duration {
 	if s.Streams {
 		return maxStreamShift
 	}
@@ -164,7 +164,7 @@
 // shiftTime returns how long before the end StageShift begins: the time that
 // old targets need to drain, shortened so that the requests to the new version
 // stay within the bound up to the deadline.
-func (b Bounds) shiftTime(s Situation) time.Duration {
+func (b Bounds) shiftTime(s PlanInput) time.Duration {
 	wanted := s.shiftMax()
 	all, exposed := s.requests()
 	if s.Elapsed <= 0 || all == 0 {
@@ -185,7 +185,7 @@
 
 // requests returns the number of requests sent since the order, and how many of
 // them went to the new version.
-func (s *Situation) requests() (all, exposed float64) {
+func (s *PlanInput) requests() (all, exposed float64) {
 	for key, counts := range s.Sums {
 		all += float64(counts.Sent)
 		if key.Version == s.Record.Target {
@@ -197,10 +197,10 @@
 
 // canary plans StageCanary. It distributes the canary requests over the routes
 // so that all are sampled about equally.
-func (b Bounds) canary(s Situation) Step {
+func (b Bounds) canary(s PlanInput) Step {
 	step := Step{State: Running, Stage: StageCanary}
 	all, exposed := s.requests()
-	if s.NewPlaces == 0 || exposed > b.allowance(all) {
+	if s.NewSlots == 0 || exposed > b.allowance(all) {
 		return step // no requests to the new version
 	}
 	share := b.canaryShare(s, all)
@@ -216,7 +216,7 @@
 
 // canaryShare returns the share of requests that goes to the new version during
 // StageCanary.
-func (b Bounds) canaryShare(s Situation, all float64) float64 {
+func (b Bounds) canaryShare(s PlanInput, all float64) float64 {
 	if s.Elapsed < settleTime || all == 0 {
 		return minCanaryPart * b.Share
 	}
@@ -234,7 +234,7 @@
 // frontLoad returns the factor on the canary share of streams at this time.
 // More are sent early, because answers that arrive after the canary stage
 // cannot be evaluated.
-func (s *Situation) frontLoad() float64 {
+func (s *PlanInput) frontLoad() float64 {
 	if s.Elapsed.Seconds() < earlyPart*s.Record.Duration.Seconds() {
 		return earlyShare / earlyPart
 	}
--- a/rollout/request.go
+++ b/rollout/request.go
@@ -27,14 +27,14 @@
 
 func (r *Request) recordFirst(latency time.Duration) {
 	if !r.firstRecorded {
-		r.update(func(c *Counts) { c.First = c.First.Note(latency) })
+		r.update(func(c *Counts) { c.First = c.First.Add(latency) })
 	}
 	r.firstRecorded = true
 	delete(r.service.waiting, r)
 }
 
-// First records that the first event, or the complete answer, has arrived.
-func (r *Request) First() {
+// RecordFirstEvent records that the first event, or the complete answer, has arrived.
+func (r *Request) RecordFirstEvent() {
 	if r == nil {
 		return
 	}
@@ -43,21 +43,21 @@
 	r.recordFirst(r.agent.now().Sub(r.sent))
 }
 
-// Pace records the mean interval between the events of a stream.
-func (r *Request) Pace(d time.Duration) {
+// RecordEventInterval records the mean interval between the events of a stream.
+func (r *Request) RecordEventInterval(d time.Duration) {
 	if r == nil {
 		return
 	}
 	r.agent.mu.Lock()
 	defer r.agent.mu.Unlock()
-	r.update(func(c *Counts) { c.Pace = c.Pace.Note(d) })
+	r.update(func(c *Counts) { c.Pace = c.Pace.Add(d) })
 }
 
-// New reports whether the request went to a target of the new version.
-func (r *Request) New() bool { return r != nil && r.key.Target != "" }
+// IsNewVersion reports whether the request went to a target of the new version.
+func (r *Request) IsNewVersion() bool { return r != nil && r.key.Target != "" }
 
-// Ended records the outcome of the request. Only the first call counts.
-func (r *Request) Ended(o Outcome) {
+// Finish records the outcome of the request. Only the first call counts.
+func (r *Request) Finish(o Outcome) {
 	if r == nil {
 		return
 	}
@@ -71,10 +71,10 @@
 	r.update(func(c *Counts) { c.add(o) })
 }
 
-// Dropped ends the request without an outcome, because it says nothing about
+// Discard ends the request without an outcome, because it says nothing about
 // the version: the client disconnected, or the target failed together with
 // others.
-func (r *Request) Dropped() {
+func (r *Request) Discard() {
 	if r == nil {
 		return
 	}
--- a/rollout/tally.go
+++ b/rollout/tally.go
@@ -2,9 +2,9 @@
 
 import "maps"
 
-// Tally aggregates the reports of all nodes. Reports are cumulative since the
+// Aggregator aggregates the reports of all nodes. Reports are cumulative since the
 // node's start, so duplicated and lost reports do not distort the totals.
-type Tally struct {
+type Aggregator struct {
 	last map[reporter]map[Key]Counts
 	sums map[Key]Counts
 }
@@ -15,11 +15,13 @@
 	life uint64
 }
 
-// NewTally returns an empty tally.
-func NewTally() *Tally { return &Tally{last: map[reporter]map[Key]Counts{}, sums: map[Key]Counts{}} }
+// NewAggregator returns an empty tally.
+func NewAggregator() *Aggregator {
+	return &Aggregator{last: map[reporter]map[Key]Counts{}, sums: map[Key]Counts{}}
+}
 
-// Take merges a node's cumulative counts and returns their increments.
-func (t *Tally) Take(node string, life uint64, cells []Cell) []Cell {
+// Merge merges a node's cumulative counts and returns their increments.
+func (t *Aggregator) Merge(node string, life uint64, cells []Cell) []Cell {
 	from := reporter{node, life}
 	if t.last[from] == nil {
 		t.last[from] = map[Key]Counts{}
@@ -41,7 +43,7 @@
 }
 
 // Sums returns the totals of a service over all nodes, by key.
-func (t *Tally) Sums(service string) map[Key]Counts {
+func (t *Aggregator) Sums(service string) map[Key]Counts {
 	sums := map[Key]Counts{}
 	for key, sum := range t.sums {
 		if key.Service == service {
@@ -52,7 +54,7 @@
 }
 
 // Forget removes all counts of a service.
-func (t *Tally) Forget(service string) {
+func (t *Aggregator) Forget(service string) {
 	ofService := func(k Key, _ Counts) bool { return k.Service == service }
 	for _, counts := range t.last {
 		maps.DeleteFunc(counts, ofService)
--- a/route/grant.go
+++ b/route/grant.go
@@ -18,19 +18,19 @@
 const (
 	Unused   Result = iota // nothing was sent
 	Finished               // the stream completed
-	Broken                 // the target refused or broke the connection
+	Failed                 // the target refused or broke the connection
 	Stalled                // the target stopped sending tokens
-	Left                   // canceled by this node
+	Canceled               // canceled by this node
 )
 
 // NoAnswer returns the Result of a request that got no response. If nothing was sent
 // because the target had requested a cooldown, the failure says nothing about its
 // health.
 func NoAnswer(err error) Result {
-	if target.Rests(err) {
+	if target.IsCooldown(err) {
 		return Unused
 	}
-	return Broken
+	return Failed
 }
 
 // Grant is a slot at a target, held until Done.
@@ -54,8 +54,8 @@
 	return max(firstTokenFactor*g.predicted, firstTokenFloor)
 }
 
-// SilenceLimit is the gap between tokens after which the target counts as stalled.
-func (g *Grant) SilenceLimit() time.Duration {
+// StallLimit is the gap between tokens after which the target counts as stalled.
+func (g *Grant) StallLimit() time.Duration {
 	r := g.router
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -104,7 +104,7 @@
 	s := g.state
 	s.active--
 	switch res {
-	case Broken, Stalled:
+	case Failed, Stalled:
 		s.recordFailure(time.Now())
 	case Finished:
 		s.failures = 0
--- a/route/route.go
+++ b/route/route.go
@@ -57,8 +57,8 @@
 // WithInForce sets the check for whether new work may be accepted.
 func WithInForce(f func() bool) Option { return func(c *Config) { c.InForce = f } }
 
-// WithRestLeft sets the function that returns a target's remaining cooldown.
-func WithRestLeft(f func(bundle.Target) time.Duration) Option {
+// WithCooldownLeft sets the function that returns a target's remaining cooldown.
+func WithCooldownLeft(f func(bundle.Target) time.Duration) Option {
 	return func(c *Config) { c.CooldownLeft = f }
 }
 
@@ -362,7 +362,7 @@
 // noTargetError returns the error for a model without available targets.
 func (r *Router) noTargetError(m walnutramp.ModelName) *walnutramp.Error {
 	if remaining := r.modelCooldown(m, time.Now()); remaining > 0 {
-		return walnutramp.NewError(walnutramp.CodeTargetsRest, walnutramp.NotRun,
+		return walnutramp.NewError(walnutramp.CodeTargetsCooldown, walnutramp.NotRun,
 			"all targets of model %s requested a cooldown", m).WithRetryAfter(pause.Behind(remaining, r.rng.Float64()))
 	}
 	return walnutramp.NewError(walnutramp.CodeNoTarget, walnutramp.NotRun,
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -212,7 +212,7 @@
 func TestFailedTargetRecoversAfterBackoff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newRouter(1, 4, nil)
-		mustPick(t, r, request("a", 0, 1)).Done(Broken)
+		mustPick(t, r, request("a", 0, 1)).Done(Failed)
 		_, err := r.Pick(t.Context(), request("a", 0, 1))
 		require.True(t, walnutramp.HasCode(err, walnutramp.CodeNoTarget))
 		require.Positive(t, walnutramp.AsError(err).RetryAfter)
--- a/serve/entry.go
+++ b/serve/entry.go
@@ -73,27 +73,27 @@
 	readyServer    *http.Server
 	rolloutAgent   *rollout.Agent    // nil if roll-outs are disabled
 	requestCounter *metering.Counter // nil if metering is disabled
-	quarantine     *quarantine.Witness
+	quarantine     *quarantine.CrashDetector
 }
 
 func (p *Process) startEntry() error {
 	s, names := p.settings, p.adapter.Names()
 	targets := p.newTracker()
-	pool := targetconn.NewPool(targetconn.WithIdentityHeader(names.Identity), targetconn.WithDialed(
-		func(e targetconn.Endpoint, took time.Duration) { targets.NoteRoundTrip(e.ID, took) }),
-		targetconn.WithKept(func(e targetconn.Endpoint, until time.Time) { targets.SetKept(e.ID, until) }))
-	budgetConfig := balance.BudgetConfig{Ratio: s.RepeatRatio, Slack: s.RepeatSlack, Window: s.RepeatWindow}
-	quotaHolder := quota.NewHolder(budgetConfig.TakenWithin())
-	budgetConfig.Part = quotaHolder.Part
+	pool := targetconn.NewPool(targetconn.WithIdentityHeader(names.Identity), targetconn.WithOnDial(
+		func(e targetconn.Endpoint, took time.Duration) { targets.RecordRoundTrip(e.ID, took) }),
+		targetconn.WithOnKept(func(e targetconn.Endpoint, until time.Time) { targets.SetConnectedUntil(e.ID, until) }))
+	budgetConfig := balance.BudgetConfig{Ratio: s.RetryRatio, Slack: s.RetrySlack, Window: s.RetryWindow}
+	quotaHolder := quota.NewHolder(budgetConfig.SpendPeriod())
+	budgetConfig.Share = quotaHolder.Share
 	budgets := balance.NewBudgets(budgetConfig)
-	monitor := quarantine.NewWitness(quarantine.New(), pool.Dial)
+	monitor := quarantine.NewCrashDetector(quarantine.New(), pool.Dial)
 	sharer, err := p.newSharer(targets, budgets, monitor.Ledger)
 	if err != nil {
 		return err
 	}
 	var g *gateway.Gateway
 	receiver := &targetReceiver{targets: targets, pool: pool, onList: func() { g.Started() }}
-	poller := discovery.NewPoller(p.adapter.Source(true), receiver, discovery.WithPatience(minListWait+rand.N(maxListWait-minListWait)))
+	poller := discovery.NewPoller(p.adapter.Source(true), receiver, discovery.WithInitialDelay(minListWait+rand.N(maxListWait-minListWait)))
 	apply := func(version uint64, doc []byte) error {
 		table, err := p.adapter.Table(doc)
 		if err == nil {
@@ -112,13 +112,13 @@
 	}
 	counter := p.newRequestCounter()
 	options = append(options, gateway.WithMetering(counter))
-	g = gateway.New(targets, pool, budgets, poller.Soon, options...)
+	g = gateway.New(targets, pool, budgets, poller.RequestRead, options...)
 	if s.Scales {
 		p.client.WithDemand(g.Demand)
 	}
 	p.client.WithQuota(quotaHolder)
-	p.client.AsEntry(control.EntryPlace{Address: s.PeerListen, DataHall: s.DataHall, Disk: s.DataDir != ""}, peerUpdater(sharer))
-	p.client.FeedTargets(poller.Fed)
+	p.client.RegisterEntryNode(control.EntryNode{Address: s.PeerListen, DataHall: s.DataHall, Disk: s.DataDir != ""}, peerUpdater(sharer))
+	p.client.OnTargets(poller.ApplyFeed)
 	p.entry = &entry{gateway: g, pool: pool, rolloutAgent: agent, requestCounter: counter, sharer: sharer, quarantine: monitor}
 	if err := p.listenEntry(g); err != nil {
 		return err
@@ -136,19 +136,21 @@
 	onList  func()
 }
 
-// TakeList implements discovery.Taker. The first list lets waiting requests start.
-func (t *targetReceiver) TakeList(list []discovery.Target) {
+// SetList implements discovery.Taker. The first list lets waiting requests start.
+func (t *targetReceiver) SetList(list []discovery.Target) {
 	t.closeConnections(t.targets.Update(list))
 	t.onList()
 }
 
-// TakeChange implements discovery.Taker.
-func (t *targetReceiver) TakeChange(c discovery.Change) { t.closeConnections(t.targets.Change(c)) }
+// ApplyChange implements discovery.Taker.
+func (t *targetReceiver) ApplyChange(c discovery.Change) {
+	t.closeConnections(t.targets.ApplyChange(c))
+}
 
 // closeConnections closes the connections to target incarnations that have ended.
 func (t *targetReceiver) closeConnections(incarnations []string) {
 	for _, incarnation := range incarnations {
-		t.pool.Forget(incarnation)
+		t.pool.CloseIdle(incarnation)
 	}
 }
 
@@ -171,16 +173,16 @@
 	options := []loadshare.Option{loadshare.WithDataHall(s.DataHall), loadshare.WithTopology(s.Topology),
 		loadshare.WithQuarantine(ledger)}
 	if s.DataDir != "" {
-		options = append(options, loadshare.WithMemory(filepath.Join(s.DataDir, tracesFile)))
+		options = append(options, loadshare.WithStateFile(filepath.Join(s.DataDir, tracesFile)))
 	}
 	return loadshare.New(conn, targets, budgets, options...), nil
 }
 
 // peerUpdater returns a callback that passes the site's entries on to a sharer.
-func peerUpdater(sharer *loadshare.Sharer) control.SeenFunc {
-	return func(entries []control.EntryPlace, unchanged bool) {
+func peerUpdater(sharer *loadshare.Sharer) control.EntryNodesFunc {
+	return func(entries []control.EntryNode, unchanged bool) {
 		if unchanged {
-			sharer.PeersStill()
+			sharer.ConfirmPeers()
 			return
 		}
 		peers := make([]loadshare.Peer, len(entries))
@@ -256,11 +258,11 @@
 func (e *entry) stop(grace time.Duration) {
 	schedule := newShutdownSchedule(grace)
 	deadline := uptime.Now().Add(schedule.deadline)
-	e.gateway.Leave(deadline)
+	e.gateway.BeginShutdown(deadline)
 	time.Sleep(schedule.closeConns)
 	e.gateway.CloseConnections()
 	time.Sleep(schedule.reject - schedule.closeConns)
-	e.gateway.Refuse()
+	e.gateway.RejectRequests()
 	ctx, cancel := context.WithTimeout(context.Background(), uptime.Until(deadline))
 	defer cancel()
 	if err := e.clientServer.Shutdown(ctx); err != nil {
--- a/serve/metering.go
+++ b/serve/metering.go
@@ -29,7 +29,7 @@
 // usage is the metering side of a control group member.
 type usage struct {
 	timekeeper *control.Timekeeper
-	reports    *control.Reports
+	reports    *control.ReportCollector
 	controller *control.UsageController
 }
 
@@ -41,7 +41,7 @@
 	}
 	u := &usage{
 		timekeeper: control.NewTimekeeper(p.peers, self.Node, m, server),
-		reports:    control.NewReports(p.peers, m, server),
+		reports:    control.NewReportCollector(p.peers, m, server),
 	}
 	return u
 }
@@ -77,7 +77,7 @@
 		return
 	}
 	agreement := u.timekeeper.Agreement()
-	fmt.Fprintf(w, "walnutramp_clock_members_heard %d\n", agreement.Heard)
+	fmt.Fprintf(w, "walnutramp_clock_members_heard %d\n", agreement.Samples)
 	fmt.Fprintf(w, "walnutramp_clock_spread_seconds %g\n", agreement.Spread.Seconds())
 	writeClock(w, u.timekeeper.Clock())
 	if u.controller == nil {
@@ -85,10 +85,10 @@
 	}
 	s := u.controller.Stats()
 	fmt.Fprintf(w, "walnutramp_metering_windows_closed_total %d\n", s.Closed)
-	fmt.Fprintf(w, "walnutramp_metering_windows_told_total %d\n", s.Told)
+	fmt.Fprintf(w, "walnutramp_metering_windows_told_total %d\n", s.Reported)
 	fmt.Fprintf(w, "walnutramp_metering_windows_given_up_total %d\n", s.GivenUp)
 	fmt.Fprintf(w, "walnutramp_metering_calls_failed_total %d\n", s.Failures)
-	fmt.Fprintf(w, "walnutramp_metering_windows_untold %d\n", s.Untold)
+	fmt.Fprintf(w, "walnutramp_metering_windows_untold %d\n", s.Unreported)
 	fmt.Fprintf(w, "walnutramp_metering_oldest_untold_window %d\n", s.Oldest)
 }
 
@@ -111,5 +111,5 @@
 	s := c.Stats()
 	fmt.Fprintf(w, "walnutramp_metering_rows %d\n", s.Rows)
 	fmt.Fprintf(w, "walnutramp_metering_requests_dropped_total %d\n", s.Dropped)
-	fmt.Fprintf(w, "walnutramp_metering_rows_told_total %d\n", s.Told)
+	fmt.Fprintf(w, "walnutramp_metering_rows_told_total %d\n", s.Reported)
 }
--- a/serve/metrics.go
+++ b/serve/metrics.go
@@ -29,7 +29,7 @@
 func (p *Process) writeMetrics(w io.Writer) {
 	metrics.WriteProcessMetrics(w)
 	fmt.Fprintf(w, "walnutramp_build_info{build=%q} 1\n", build.Name())
-	fmt.Fprintf(w, "walnutramp_list_entries_passed_over_total %d\n", p.adapter.PassedOver())
+	fmt.Fprintf(w, "walnutramp_list_entries_passed_over_total %d\n", p.adapter.SkippedEntries())
 	fmt.Fprintf(w, "walnutramp_peer_sent_bytes_total %d\n", p.traffic.Sent.Load())
 	fmt.Fprintf(w, "walnutramp_peer_received_bytes_total %d\n", p.traffic.Received.Load())
 	if p.droppedLogLines != nil {
@@ -87,8 +87,8 @@
 	fmt.Fprintf(w, "walnutramp_sharing_subscribers %d\n", s.Subscribers)
 	fmt.Fprintf(w, "walnutramp_sharing_sent_datagrams_total %d\n", s.Datagrams)
 	fmt.Fprintf(w, "walnutramp_sharing_sent_bytes_total %d\n", s.Bytes)
-	fmt.Fprintf(w, "walnutramp_sharing_told_whole_total %d\n", s.Whole)
-	fmt.Fprintf(w, "walnutramp_sharing_relays_left_total %d\n", s.Silent)
+	fmt.Fprintf(w, "walnutramp_sharing_told_whole_total %d\n", s.Snapshots)
+	fmt.Fprintf(w, "walnutramp_sharing_relays_left_total %d\n", s.RelayFailovers)
 	fmt.Fprintf(w, "walnutramp_repeats_borrowed_total %d\n", s.Borrowed)
 	fmt.Fprintf(w, "walnutramp_repeats_lent_total %d\n", s.Lent)
 	for region, bytes := range s.RegionBytes {
@@ -111,10 +111,10 @@
 	stats := r.member.Stats()
 	fmt.Fprintf(w, "walnutramp_control_elected_total %d\n", stats.Elected)
 	fmt.Fprintf(w, "walnutramp_control_deposed_total %d\n", stats.Deposed)
-	fmt.Fprintf(w, "walnutramp_control_handed_over_total{why=\"asked\"} %d\n", stats.HandedOver)
-	fmt.Fprintf(w, "walnutramp_control_handed_over_total{why=\"nearer\"} %d\n", stats.HandedNearer)
-	fmt.Fprintf(w, "walnutramp_control_hand_overs_failed_total %d\n", stats.HandOverFails)
-	for node, roundTrip := range r.member.Trips() {
+	fmt.Fprintf(w, "walnutramp_control_handed_over_total{why=\"asked\"} %d\n", stats.Transfers)
+	fmt.Fprintf(w, "walnutramp_control_handed_over_total{why=\"nearer\"} %d\n", stats.PlacementTransfers)
+	fmt.Fprintf(w, "walnutramp_control_hand_overs_failed_total %d\n", stats.FailedTransfers)
+	for node, roundTrip := range r.member.RoundTrips() {
 		fmt.Fprintf(w, "walnutramp_control_round_trip_seconds{member=%q} %.6f\n", node, roundTrip.Seconds())
 	}
 	r.usage.writeMetrics(w)
--- a/serve/replica.go
+++ b/serve/replica.go
@@ -48,7 +48,7 @@
 	s := p.settings
 	p.client = control.NewDocumentClient(p.peers, s.Seeds, func(uint64, []byte) error { return nil })
 	peerServer := peer.NewServer(self, &p.traffic)
-	if err := peerServer.Register(control.Service, control.NewGuide(p.client)); err != nil {
+	if err := peerServer.Register(control.Service, control.NewRedirector(p.client)); err != nil {
 		return err
 	}
 	l, err := net.Listen("tcp", s.PeerListen)
@@ -58,7 +58,7 @@
 	go peerServer.Serve(l)
 	p.client.Start()
 	p.replica = &replica{server: peerServer}
-	p.replica.operator, err = listen(s.OperatorAddr, p.adapter.Operator(&documentClient{client: p.client, timeout: s.OperatorIn}))
+	p.replica.operator, err = listen(s.OperatorAddr, p.adapter.Operator(&documentClient{client: p.client, timeout: s.OperatorTimeout}))
 	return err
 }
 
@@ -75,18 +75,18 @@
 	}
 	state := control.NewState(control.WithRule(control.AcceptHighest))
 	member, err := consensus.New(self.Node, identity, disk, initialGroup, p.peers, state,
-		consensus.WithTiming(heartbeatInterval, electionTimeout), consensus.WithCompaction(compactionThreshold), consensus.WithCommitNotes(),
+		consensus.WithTiming(heartbeatInterval, electionTimeout), consensus.WithCompaction(compactionThreshold), consensus.WithPersistedCommits(),
 		consensus.WithSeed(uint64(time.Now().UnixNano())), consensus.WithOnFatal(exitOnDiskFailure))
 	if err != nil {
 		return err
 	}
-	membershipController := control.NewKeeper(self.Node, member)
-	targetList := control.NewRoster()
-	poller := discovery.NewPoller(p.adapter.Source(false), discovery.TakerFunc(targetList.Set), discovery.WithOnly(member.Leads))
+	membershipController := control.NewMembershipManager(self.Node, member)
+	targetList := control.NewTargetList()
+	poller := discovery.NewPoller(p.adapter.Source(false), discovery.ListHandlerFunc(targetList.Set), discovery.WithCondition(member.Leads))
 	server := peer.NewServer(self, &p.traffic)
-	controlServer := control.NewOpenServer(member, state, membershipController, targetList, control.WithLink(s.LinkMbps*bytesPerMegabit), control.WithOrderPatience(s.OrderPatience))
-	budgetConfig := balance.BudgetConfig{Window: s.RepeatWindow}
-	sharing := control.NewSharing(member, controlServer, budgetConfig.TakenWithin())
+	controlServer := control.NewUnsignedServer(member, state, membershipController, targetList, control.WithLink(s.LinkMbps*bytesPerMegabit), control.WithOrderRetryWindow(s.OrderRetryWindow))
+	budgetConfig := balance.BudgetConfig{Window: s.RetryWindow}
+	sharing := control.NewQuotaController(member, controlServer, budgetConfig.SpendPeriod())
 	relay := control.NewRelay(p.peers, self.Node, s.DataHall, member, controlServer)
 	usage := p.newUsage(self, member, controlServer)
 	if s.Rollouts.Enabled() {
@@ -108,10 +108,10 @@
 	go membershipController.Run(p.ctx)
 	go poller.Run(p.ctx)
 	go p.readFirstList(targetList)
-	go onElected(p.ctx, member, poller.Soon)
+	go onElected(p.ctx, member, poller.RequestRead)
 	go relay.Run(p.ctx)
 	go sharing.Run(p.ctx)
-	go control.NewIntroducer(p.peers, member, p.client).Run(p.ctx)
+	go control.NewSeedNotifier(p.peers, member, p.client).Run(p.ctx)
 	go control.NewJoiner(p.peers, self.Node, identity, member, p.client).Run(p.ctx)
 	duties := p.startDuties(self, member, controlServer)
 	fleet, err := p.startFleet(member, controlServer, duties)
@@ -119,26 +119,26 @@
 		return err
 	}
 	if fleet != nil && usage != nil {
-		usage.reports.SetDemandSink(fleet.Take)
+		usage.reports.SetDemandSink(fleet.RecordDemand)
 	}
 	usage.run(p.ctx)
 	if err := p.startUsageReporting(usage, member, controlServer, duties); err != nil {
 		return err
 	}
 	p.replica = &replica{member: member, server: server, duties: duties, usage: usage, fleet: fleet}
-	p.replica.operator, err = listen(s.OperatorAddr, p.adapter.Operator(&documentClient{client: p.client, member: member, timeout: s.OperatorIn}))
+	p.replica.operator, err = listen(s.OperatorAddr, p.adapter.Operator(&documentClient{client: p.client, member: member, timeout: s.OperatorTimeout}))
 	return err
 }
 
 // readFirstList reads the target list before a leader is elected, for entries that
 // start together with this member. A list of many pages is left to the leader.
-func (p *Process) readFirstList(targetList *control.Roster) {
+func (p *Process) readFirstList(targetList *control.TargetList) {
 	list, err := p.adapter.ShortSource().Targets(p.ctx)
 	if err != nil {
 		klog.InfoS("Initial target list not read, the leader reads it", "err", err)
 		return
 	}
-	targetList.SetFirst(list)
+	targetList.SetIfEmpty(list)
 }
 
 // leaderPollInterval is the interval between checks for leadership.
@@ -161,11 +161,11 @@
 // has to join the group.
 func (p *Process) identity(disk wal.FS, self walnutramp.NodeName) (consensus.Identity, error) {
 	if p.settings.Founder && slices.Contains(p.settings.Seeds, self) {
-		if err := control.FoundIdentity(disk); err != nil {
+		if err := control.WriteFounderIdentity(disk); err != nil {
 			klog.V(1).InfoS("Disk not marked as a founder's", "err", err)
 		}
 	}
-	return control.ReadIdentity(disk)
+	return control.LoadOrCreateIdentity(disk)
 }
 
 // exitOnDiskFailure ends the process: after a failed sync the contents of the log
@@ -181,7 +181,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), replicaStopTimeout)
 	defer cancel()
 	if r.member != nil {
-		r.member.HandOver(ctx) // before the server closes, so that no election is needed
+		r.member.TransferLeadership(ctx) // before the server closes, so that no election is needed
 	}
 	r.operator.Shutdown(ctx)
 	if r.member != nil {
@@ -201,7 +201,7 @@
 // this process's own membership.
 func (d *documentClient) prepareCall(ctx context.Context) (context.Context, context.CancelFunc) {
 	if d.member != nil {
-		d.client.LearnGroup(d.member.Status().Group.Nodes())
+		d.client.SetMembers(d.member.Status().Group.Nodes())
 	}
 	return context.WithTimeout(ctx, d.timeout)
 }
--- a/serve/serve.go
+++ b/serve/serve.go
@@ -36,16 +36,16 @@
 	PeerListen   string // for other nodes
 	MetricsAddr  string
 
-	Seeds      []walnutramp.NodeName // peer addresses of control group members
-	Founder    bool                  // bootstraps the control group if its disk is empty
-	DataDir    string
-	MemoryMB   int
-	LinkMbps   float64       // capacity of the machine's link in Mbit/s; 0 if unknown
-	Grace      time.Duration // grace period from the stop request to the kill
-	OperatorIn time.Duration // timeout of operator calls
-	// OrderPatience is how long operators retry a roll-out order whose response
+	Seeds           []walnutramp.NodeName // peer addresses of control group members
+	Founder         bool                  // bootstraps the control group if its disk is empty
+	DataDir         string
+	MemoryMB        int
+	LinkMbps        float64       // capacity of the machine's link in Mbit/s; 0 if unknown
+	Grace           time.Duration // grace period from the stop request to the kill
+	OperatorTimeout time.Duration // timeout of operator calls
+	// OrderRetryWindow is how long operators retry a roll-out order whose response
 	// was lost.
-	OrderPatience time.Duration
+	OrderRetryWindow time.Duration
 
 	// FailClosed makes entries reject new requests while they can't confirm that
 	// their configuration is the latest.
@@ -66,9 +66,9 @@
 
 	Policy balance.Policy // load balancing policy; empty for the default
 
-	RepeatRatio  float64 // these are parameters of the site's retry budget; see balance.BudgetConfig
-	RepeatSlack  float64
-	RepeatWindow time.Duration
+	RetryRatio  float64 // these are parameters of the site's retry budget; see balance.BudgetConfig
+	RetrySlack  float64
+	RetryWindow time.Duration
 }
 
 // Adapter connects the process to a site's settings, protocols and platform.
@@ -84,8 +84,8 @@
 	Source(reliant bool) discovery.Source
 	// ShortSource returns a source that reads the list only if it has few pages.
 	ShortSource() discovery.Source
-	// PassedOver returns how many list entries were skipped as unusable so far.
-	PassedOver() uint64
+	// SkippedEntries returns how many list entries were skipped as unusable so far.
+	SkippedEntries() uint64
 	// Operator returns the handler of the operator API.
 	Operator(d Documents) http.Handler
 	// Ready returns the handler of the load balancer's readiness checks.
--- a/target/pool.go
+++ b/target/pool.go
@@ -56,9 +56,9 @@
 	}
 }
 
-// RestLeft returns how much longer this node must not send requests to a target; 0 or
+// CooldownLeft returns how much longer this node must not send requests to a target; 0 or
 // less if it may.
-func (p *Pool) RestLeft(t bundle.Target) time.Duration { return p.backoffs.left(t.Address) }
+func (p *Pool) CooldownLeft(t bundle.Target) time.Duration { return p.backoffs.left(t.Address) }
 
 // Engine returns the adapter of an engine target.
 func (p *Pool) Engine(t bundle.Target) Engine {
--- a/target/rest.go
+++ b/target/rest.go
@@ -11,17 +11,17 @@
 	"github.com/walnutramp/walnutramp/internal/uptime"
 )
 
-// BackoffError reports that nothing was sent because the target had asked for backoff.
-type BackoffError struct {
+// CooldownError reports that nothing was sent because the target had asked for backoff.
+type CooldownError struct {
 	Left time.Duration // until the target accepts requests
 }
 
 // Error implements the error interface.
-func (e *BackoffError) Error() string { return fmt.Sprintf("target in backoff for %v", e.Left) }
+func (e *CooldownError) Error() string { return fmt.Sprintf("target in backoff for %v", e.Left) }
 
-// Rests reports whether err is a BackoffError.
-func Rests(err error) bool {
-	var backoff *BackoffError
+// IsCooldown reports whether err is a BackoffError.
+func IsCooldown(err error) bool {
+	var backoff *CooldownError
 	return errors.As(err, &backoff)
 }
 
@@ -73,7 +73,7 @@
 		if r.Body != nil {
 			r.Body.Close()
 		}
-		return nil, &NotSentError{Err: &BackoffError{Left: left}}
+		return nil, &NotSentError{Err: &CooldownError{Left: left}}
 	}
 	answer, err := t.next.RoundTrip(r)
 	if err == nil {
--- a/target/watch.go
+++ b/target/watch.go
@@ -18,9 +18,9 @@
 	Unreachable(name walnutramp.TargetName)
 }
 
-// Watch polls the load of each target, with one goroutine per target. To plain services
+// LoadPoller polls the load of each target, with one goroutine per target. To plain services
 // it only connects. A poll of an engine in backoff delivers no result.
-type Watch struct {
+type LoadPoller struct {
 	pool     *Pool
 	sink     ReportSink
 	interval time.Duration
@@ -37,16 +37,16 @@
 	cancel context.CancelFunc
 }
 
-// NewWatch returns a watch of no targets; seed seeds the jitter of the polls.
-func NewWatch(pool *Pool, sink ReportSink, interval time.Duration, seed uint64) *Watch {
-	return &Watch{
+// NewLoadPoller returns a watch of no targets; seed seeds the jitter of the polls.
+func NewLoadPoller(pool *Pool, sink ReportSink, interval time.Duration, seed uint64) *LoadPoller {
+	return &LoadPoller{
 		pool: pool, sink: sink, interval: interval,
 		rng: rand.New(rand.NewPCG(seed, 6)), tasks: map[walnutramp.TargetName]*watchTask{},
 	}
 }
 
 // Apply sets the targets to poll.
-func (w *Watch) Apply(targets []bundle.Target) {
+func (w *LoadPoller) Apply(targets []bundle.Target) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.closed {
@@ -72,7 +72,7 @@
 	}
 }
 
-func (w *Watch) start(t bundle.Target) {
+func (w *LoadPoller) start(t bundle.Target) {
 	ctx, cancel := context.WithCancel(context.Background())
 	w.tasks[t.Name] = &watchTask{target: t, cancel: cancel}
 	w.wait.Add(1)
@@ -83,7 +83,7 @@
 }
 
 // Close stops polling and waits for polls in flight.
-func (w *Watch) Close() {
+func (w *LoadPoller) Close() {
 	w.mu.Lock()
 	w.closed = true
 	for _, task := range w.tasks {
@@ -93,7 +93,7 @@
 	w.wait.Wait()
 }
 
-func (w *Watch) run(ctx context.Context, t bundle.Target) {
+func (w *LoadPoller) run(ctx context.Context, t bundle.Target) {
 	for ctx.Err() == nil {
 		w.poll(ctx, t)
 		timer := time.NewTimer(w.jitteredInterval())
@@ -105,23 +105,23 @@
 	}
 }
 
-// AsksPerSecond bounds the polls of a node per second, over all targets.
-const AsksPerSecond = 60
+// MaxPollsPerSecond bounds the polls of a node per second, over all targets.
+const MaxPollsPerSecond = 60
 
-func (w *Watch) jitteredInterval() time.Duration {
+func (w *LoadPoller) jitteredInterval() time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	interval := max(w.interval, time.Duration(len(w.tasks))*time.Second/AsksPerSecond)
+	interval := max(w.interval, time.Duration(len(w.tasks))*time.Second/MaxPollsPerSecond)
 	return time.Duration(float64(interval) * (0.8 + 0.4*w.rng.Float64()))
 }
 
-func (w *Watch) poll(ctx context.Context, t bundle.Target) {
+func (w *LoadPoller) poll(ctx context.Context, t bundle.Target) {
 	if t.Kind == bundle.KindService {
 		w.pollService(ctx, t)
 		return
 	}
 	r, err := w.pool.Engine(t).Load(ctx)
-	if ctx.Err() != nil || Rests(err) {
+	if ctx.Err() != nil || IsCooldown(err) {
 		return
 	}
 	if err != nil {
@@ -132,7 +132,7 @@
 }
 
 // pollService only connects, since plain services report no load.
-func (w *Watch) pollService(ctx context.Context, t bundle.Target) {
+func (w *LoadPoller) pollService(ctx context.Context, t bundle.Target) {
 	dialCtx, cancel := context.WithTimeout(ctx, controlTimeout)
 	defer cancel()
 	c, err := w.pool.shared.DialContext(dialCtx, "tcp", t.Address)
--- a/target/watch_test.go
+++ b/target/watch_test.go
@@ -28,7 +28,7 @@
 		<-ctx.Done()
 		return near, nil
 	}
-	w := target.NewWatch(target.NewPool(dial), discardSink{}, time.Hour, 1)
+	w := target.NewLoadPoller(target.NewPool(dial), discardSink{}, time.Hour, 1)
 	w.Apply([]bundle.Target{{Name: "desk", Kind: bundle.KindService, Address: "10.0.0.1:80"}})
 	<-dialing
 	w.Close()
--- a/targetconn/pool.go
+++ b/targetconn/pool.go
@@ -32,15 +32,15 @@
 // WithDial sets the function that opens connections.
 func WithDial(dial DialFunc) Option { return func(c *Config) { c.Dial = dial } }
 
-// WithDialed sets a callback that receives the time taken to open a connection, which is
+// WithOnDial sets a callback that receives the time taken to open a connection, which is
 // about one round trip to the target.
-func WithDialed(dialed func(e Endpoint, took time.Duration)) Option {
+func WithOnDial(dialed func(e Endpoint, took time.Duration)) Option {
 	return func(c *Config) { c.OnDial = dialed }
 }
 
-// WithKept sets a callback that receives the time until which an idle connection to an
+// WithOnKept sets a callback that receives the time until which an idle connection to an
 // endpoint can be used; zero for none. It must not call the pool.
-func WithKept(kept func(e Endpoint, until time.Time)) Option {
+func WithOnKept(kept func(e Endpoint, until time.Time)) Option {
 	return func(c *Config) { c.OnKept = kept }
 }
 
@@ -91,8 +91,8 @@
 // Dialed returns the number of dials, failed ones included.
 func (p *Pool) Dialed() int64 { return p.dialCount.Load() }
 
-// Forget closes the idle connections to a target that is gone.
-func (p *Pool) Forget(id string) {
+// CloseIdle closes the idle connections to a target that is gone.
+func (p *Pool) CloseIdle(id string) {
 	p.mu.Lock()
 	conns := p.idle[id]
 	delete(p.idle, id)
--- a/targetconn/targetconn_test.go
+++ b/targetconn/targetconn_test.go
@@ -252,7 +252,7 @@
 	e, _ := serve(t, func(c net.Conn, r *http.Request, _ int) { io.WriteString(c, ok(r.Header.Get("X-Request-Id"), "x")) })
 	p := NewPool()
 	outcome(p, e, request("one"))
-	p.Forget(e.ID)
+	p.CloseIdle(e.ID)
 	outcome(p, e, request("two"))
 	require.EqualValues(t, 2, p.Dialed())
 }
--- a/topology/roundtrip.go
+++ b/topology/roundtrip.go
@@ -41,8 +41,8 @@
 	r.halls[hall] = known
 }
 
-// To returns the mean round trip to a data hall; false if none was measured recently.
-func (r *RoundTrips) To(hall string, now time.Time) (time.Duration, bool) {
+// Mean returns the mean round trip to a data hall; false if none was measured recently.
+func (r *RoundTrips) Mean(hall string, now time.Time) (time.Duration, bool) {
 	known, ok := r.halls[hall]
 	if !ok || now.Sub(known.updatedAt) > roundTripTTL {
 		return 0, false
--- a/topology/topology.go
+++ b/topology/topology.go
@@ -66,5 +66,5 @@
 	return names
 }
 
-// Several reports whether there is more than one region.
-func (m Map) Several() bool { return m.several }
+// MultiRegion reports whether there is more than one region.
+func (m Map) MultiRegion() bool { return m.several }
--- a/topology/topology_test.go
+++ b/topology/topology_test.go
@@ -13,12 +13,12 @@
 	require.Equal(t, OtherRegion, m.Distance("b1"))
 	require.Equal(t, SameRegion, m.Distance("unlisted"))
 	require.Equal(t, []string{"a", "b"}, m.Regions())
-	require.True(t, m.Several())
+	require.True(t, m.MultiRegion())
 }
 
 func TestSiteWithoutRegions(t *testing.T) {
 	var m Map
 	require.Equal(t, SameRegion, m.Distance("other"))
-	require.False(t, m.Several())
-	require.False(t, New("a1", map[string]string{"a1": "a", "a2": "a"}).Several())
+	require.False(t, m.MultiRegion())
+	require.False(t, New("a1", map[string]string{"a1": "a", "a2": "a"}).MultiRegion())
 }
