--- a/control/duty_calls.go
+++ b/control/duty_calls.go
@@ -19,7 +19,8 @@
 const maxLoggedContent = 80
 
 // Do implements duty.Caller. It waits for the rate limit and for another call on the
-// same subject, makes one attempt, and returns NotSent if no call may be made now. Callers recompute what to send and retry.
+// same subject, makes one attempt, and returns NotSent if no call may be made now.
+// Callers recompute what to send and retry.
 func (h *DutyHolder) Do(ctx context.Context, c duty.Call) duty.Outcome {
 	if !h.ready() || h.limiter.Wait(ctx) != nil || !h.acquireSubject(ctx, c.Subject) {
 		return duty.NotSent
@@ -74,7 +75,7 @@
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.gate.Pause(uptime.Now()) == 0
+	return h.gate.BackoffLeft(uptime.Now()) == 0
 }
 
 // permissionFor returns the permission for a call. It takes a new grant if the
@@ -125,7 +126,7 @@
 func (h *DutyHolder) recordOutcome(c duty.Call, p duty.Permission, o duty.Outcome, sent time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.gate.Note(c, p, o, sent, uptime.Now())
+	h.gate.RecordOutcome(c, p, o, sent, uptime.Now())
 }
 
 // resolveConflict tells whether a Conflict was Fenced or Rejected. If a majority
