--- a/cmd/walnutramp/experiment.go
+++ b/cmd/walnutramp/experiment.go
@@ -71,12 +71,12 @@
 // versions returns a good version, and bad ones for each kind of defect.
 func (c *rolloutsCommand) versions() []experiment.Version {
 	versions := []experiment.Version{{}}
-	for _, way := range experiment.FailureConditions() {
+	for _, when := range experiment.FailureConditions() {
 		for _, fails := range c.Fails {
-			versions = append(versions, experiment.Version{Fails: fails, When: way})
+			versions = append(versions, experiment.Version{Fails: fails, When: when})
 		}
 		if c.Slow > 1 {
-			versions = append(versions, experiment.Version{Slow: c.Slow, When: way})
+			versions = append(versions, experiment.Version{Slow: c.Slow, When: when})
 		}
 	}
 	return versions
--- a/discovery/poller.go
+++ b/discovery/poller.go
@@ -39,19 +39,19 @@
 	ApplyChange(c Change)
 }
 
-// ListHandlerFunc adapts a function to a Taker that ignores changes, for pollers without a feed.
+// ListHandlerFunc adapts a function to a ListHandler that ignores changes, for pollers without a feed.
 type ListHandlerFunc func(list []Target)
 
-// SetList implements Taker.
+// SetList implements ListHandler.
 func (f ListHandlerFunc) SetList(list []Target) { f(list) }
 
-// ApplyChange implements Taker.
+// ApplyChange implements ListHandler.
 func (f ListHandlerFunc) ApplyChange(Change) {}
 
 // Poller periodically reads a Source.
 type Poller struct {
 	source    Source
-	taker     ListHandler
+	handler   ListHandler
 	cfg       PollerConfig
 	pollNow   chan struct{}
 	notBefore time.Time // no reads before this time
@@ -95,14 +95,14 @@
 	Interval() time.Duration
 }
 
-// NewPoller returns a poller that passes every list it reads, and the updates of Fed, to
-// a taker. It calls the taker with its mutex held, so the taker must not call Fed.
-func NewPoller(source Source, taker ListHandler, opts ...PollerOption) *Poller {
+// NewPoller returns a poller that passes every list it reads, and the updates of ApplyFeed, to
+// a handler. It calls the handler with its mutex held, so the handler must not call ApplyFeed.
+func NewPoller(source Source, handler ListHandler, opts ...PollerOption) *Poller {
 	cfg := PollerConfig{Interval: time.Second, MinInterval: 300 * time.Millisecond, Timeout: 3 * time.Second, FeedTimeout: 1600 * time.Millisecond, MaxFeedAge: 3200 * time.Millisecond}
 	for _, opt := range opts {
 		opt(&cfg)
 	}
-	return &Poller{source: source, taker: taker, cfg: cfg, pollNow: make(chan struct{}, 1), notBefore: uptime.Now().Add(cfg.InitialDelay)}
+	return &Poller{source: source, handler: handler, cfg: cfg, pollNow: make(chan struct{}, 1), notBefore: uptime.Now().Add(cfg.InitialDelay)}
 }
 
 // RequestRead requests a read before the next one is due. It has no effect while reads are
@@ -126,10 +126,10 @@
 	newer := p.recordFeed(f)
 	switch {
 	case f.Change != nil:
-		p.taker.ApplyChange(*f.Change)
+		p.handler.ApplyChange(*f.Change)
 	case f.List != nil && newer:
 		p.ownList = false
-		p.taker.SetList(f.List)
+		p.handler.SetList(f.List)
 	case f.List != nil:
 		p.ownList = true
 	}
@@ -197,14 +197,14 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.readAt, p.ownList = began, true
-	p.taker.SetList(list)
+	p.handler.SetList(list)
 	return nil
 }
 
 // interval returns the time between reads.
 func (p *Poller) interval() time.Duration {
-	if paced, ok := p.source.(RateLimitedSource); ok {
-		return max(p.cfg.Interval, paced.Interval())
+	if limited, ok := p.source.(RateLimitedSource); ok {
+		return max(p.cfg.Interval, limited.Interval())
 	}
 	return p.cfg.Interval
 }
--- a/discovery/poller_test.go
+++ b/discovery/poller_test.go
@@ -22,18 +22,18 @@
 	return []Target{{ID: "own"}}, s.err
 }
 
-// recordingTaker records the first target of each list or change.
-type recordingTaker struct{ taken *atomic.Value }
+// recordingHandler records the first target of each list or change.
+type recordingHandler struct{ taken *atomic.Value }
 
-func (n *recordingTaker) SetList(list []Target) { n.taken.Store(list[0].ID) }
-func (n *recordingTaker) ApplyChange(c Change)  { n.taken.Store(c.Put[0].ID) }
+func (n *recordingHandler) SetList(list []Target) { n.taken.Store(list[0].ID) }
+func (n *recordingHandler) ApplyChange(c Change)  { n.taken.Store(c.Put[0].ID) }
 
-// start runs a poller and returns the last value recorded by its taker.
+// start runs a poller and returns the last value recorded by its handler.
 func start(t *testing.T, s Source, opts ...PollerOption) (*Poller, *atomic.Value) {
 	t.Helper()
 	var taken atomic.Value
 	taken.Store("")
-	p := NewPoller(s, &recordingTaker{taken: &taken}, opts...)
+	p := NewPoller(s, &recordingHandler{taken: &taken}, opts...)
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	go p.Run(ctx)
@@ -177,7 +177,7 @@
 
 func (*pacedSource) Interval() time.Duration { return 3 * time.Second }
 
-func TestPacedSourceSetsInterval(t *testing.T) {
+func TestRateLimitedSourceSetsInterval(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &pacedSource{}
 		start(t, s)
--- a/explain/explain_test.go
+++ b/explain/explain_test.go
@@ -54,8 +54,8 @@
 }
 
 // The reason of a rejection can be in another request's line, here the target's
-// earlier request to back off.
-func TestRequestRejectedWhileTargetsBackOff(t *testing.T) {
+// earlier request for a cooldown.
+func TestRequestRejectedWhileTargetsAreInCooldown(t *testing.T) {
 	const text = `I0807 10:00:01.100000   13212 ask.go:90] "Target asks for rest" request="a0" target="i-1" status=503 rest_ms=3000
 I0807 10:00:01.100100   13212 plain.go:99] "Target turned the request away" request="a1" target="i-1" status=503
 I0807 10:00:01.100050   13212 ask.go:90] "Target asks for rest" request="a1" target="i-1" status=503 rest_ms=3000
--- a/fleet/demand.go
+++ b/fleet/demand.go
@@ -8,7 +8,7 @@
 
 // Aggregator aggregates the demand reports of all nodes. Reports are cumulative, so
 // duplicated and lost reports do not distort the totals. The first report of a
-// process only sets its baseline, since most of it predates the tally.
+// process only sets its baseline, since most of it predates the Aggregator.
 type Aggregator struct {
 	nodes map[string]*nodeDemand
 	total map[string]Demand // by service
@@ -16,20 +16,20 @@
 
 // nodeDemand is the last report of a node's current process.
 type nodeDemand struct {
-	life uint64
-	rows map[string]Demand // by service
+	incarnation uint64
+	rows        map[string]Demand // by service
 }
 
-// NewAggregator returns an empty tally.
+// NewAggregator returns an empty Aggregator.
 func NewAggregator() *Aggregator {
 	return &Aggregator{nodes: map[string]*nodeDemand{}, total: map[string]Demand{}}
 }
 
-// Merge merges a node's report; life identifies its process.
-func (t *Aggregator) Merge(node string, life uint64, rows []Demand) {
+// Merge merges a node's report; incarnation identifies its process.
+func (t *Aggregator) Merge(node string, incarnation uint64, rows []Demand) {
 	n := t.nodes[node]
-	if n == nil || n.life != life {
-		n = &nodeDemand{life: life, rows: map[string]Demand{}}
+	if n == nil || n.incarnation != incarnation {
+		n = &nodeDemand{incarnation: incarnation, rows: map[string]Demand{}}
 		for _, row := range rows {
 			n.rows[row.Service] = row
 		}
--- a/fleet/demand_test.go
+++ b/fleet/demand_test.go
@@ -14,27 +14,27 @@
 	return []fleet.Demand{{Service: "engines", Requests: requests, ReadMS: 10 * requests}}
 }
 
-func TestTallyNeverDecreases(t *testing.T) {
-	tally := fleet.NewAggregator()
+func TestAggregatorNeverDecreases(t *testing.T) {
+	aggregator := fleet.NewAggregator()
 	total := func() uint64 {
-		d, _ := tally.Of("engines")
+		d, _ := aggregator.Of("engines")
 		return d.Requests
 	}
-	tally.Merge("n1", 1, rows(100))
+	aggregator.Merge("n1", 1, rows(100))
 	require.Zero(t, total(), "the first report only sets the baseline")
-	tally.Merge("n1", 1, rows(130))
+	aggregator.Merge("n1", 1, rows(130))
 	require.EqualValues(t, 30, total())
-	tally.Merge("n1", 1, rows(130))
+	aggregator.Merge("n1", 1, rows(130))
 	require.EqualValues(t, 30, total(), "duplicate report")
-	tally.Merge("n1", 1, rows(120))
+	aggregator.Merge("n1", 1, rows(120))
 	require.EqualValues(t, 30, total(), "reordered report")
-	tally.Merge("n1", 2, rows(5))
-	tally.Merge("n1", 2, rows(9))
+	aggregator.Merge("n1", 2, rows(5))
+	aggregator.Merge("n1", 2, rows(9))
 	require.EqualValues(t, 34, total(), "restarted node")
-	tally.Merge("n2", 7, nil)
-	tally.Merge("n2", 7, rows(6))
+	aggregator.Merge("n2", 7, nil)
+	aggregator.Merge("n2", 7, rows(6))
 	require.EqualValues(t, 40, total(), "node that reported before its first request")
-	require.Equal(t, []fleet.Demand{{Service: "engines", Requests: 40, ReadMS: 400}}, tally.Total())
+	require.Equal(t, []fleet.Demand{{Service: "engines", Requests: 40, ReadMS: 400}}, aggregator.Total())
 }
 
 func TestForecastIsUnknownBeforeFullWindow(t *testing.T) {
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -212,12 +212,12 @@
 
 // FuzzPlan checks that for any input the counts stay within their limits and
 // suffice to serve the load, as far as capacity is available. Bit 2*hall+kind of
-// stuck is set if the platform has no capacity for that place.
+// exhausted is set if the platform has no capacity for that place.
 func FuzzPlan(f *testing.F) {
 	f.Add(1, 120, 0.15, 1.0, 0.8, 1.25, 41.0, 200.0, 2e6, uint8(0))
 	f.Add(0, 5, 0.0, 1.0, 1.0, 1.0, 4e3, 1e5, 1e9, uint8(3))
 	f.Add(3, 20, 1.0, 1e3, 1e-3, 1.0, 10.0, 10.0, 1e5, uint8(63))
-	f.Fuzz(func(t *testing.T, minTargets, maxTargets int, spot, priceA, priceB, priceC, reading, running, held float64, stuck uint8) {
+	f.Fuzz(func(t *testing.T, minTargets, maxTargets int, spot, priceA, priceB, priceC, reading, running, held float64, exhausted uint8) {
 		if minTargets < 0 || maxTargets < minTargets || maxTargets > 200 || !inRange(spot, 0, 1) || !inRange(priceA, 0, 1e4) || !inRange(priceB, 0, 1e4) || !inRange(priceC, 0, 1e4) ||
 			!inRange(reading, 0, 1e6) || !inRange(running, 0, 1e6) || !inRange(held, 0, 1e12) {
 			t.Skip()
@@ -232,7 +232,7 @@
 		for i, hall := range simHalls {
 			free := false
 			for kind := range 2 {
-				if stuck>>(2*i+kind)&1 == 1 {
+				if exhausted>>(2*i+kind)&1 == 1 {
 					s.Exhausted[fleet.Place{DataHall: hall, Kind: fleet.Kind(kind)}] = 0
 				} else if fleet.Kind(kind) == fleet.OnDemand || spot > 0 {
 					free = true
@@ -260,7 +260,7 @@
 		if n < 0 || wanted.Hall(p.DataHall) > s.Scaling.Max {
 			t.Errorf("%d of %v, want at most %d in its hall", n, p, s.Scaling.Max)
 		}
-		if available, stuck := s.Exhausted[p]; stuck && n > available {
+		if available, exhausted := s.Exhausted[p]; exhausted && n > available {
 			t.Errorf("%d of %v, want at most the %d available", n, p, available)
 		}
 	}
--- a/fleet/mover.go
+++ b/fleet/mover.go
@@ -9,7 +9,7 @@
 	"github.com/walnutramp/walnutramp/duty"
 )
 
-// Parameters of a Mover.
+// Parameters of a Reconciler.
 const (
 	// listLag is the delay until a change shows on the platform's target list.
 	listLag = 3 * time.Second
@@ -38,11 +38,11 @@
 	// recoveredPart is the fraction of the ordered spot targets that must serve
 	// for a reclaim to count as over.
 	recoveredPart = 0.75
-	// drainTime is how long removed targets may be listed as leaving.
+	// drainTime is how long removed targets may be listed as draining.
 	drainTime = 20 * time.Second
 )
 
-// ReconcileInput is the input of a Mover.
+// ReconcileInput is the input of a Reconciler.
 type ReconcileInput struct {
 	Scaling  Scaling
 	Wanted   Counts
@@ -88,7 +88,7 @@
 
 // placeState is the state of the orders for one place.
 type placeState struct {
-	lastSent     time.Time // last call of this Mover; zero if there was none
+	lastSent     time.Time // last call of this Reconciler; zero if there was none
 	lastScaledUp time.Time // last scale-up
 	unclear      int       // consecutive calls with an unclear outcome
 	repeated     int       // of an acknowledged order that did not take effect
@@ -100,7 +100,7 @@
 	removedAt    time.Time
 }
 
-// NewReconciler returns a mover for a service without any orders.
+// NewReconciler returns a Reconciler for a service without any orders.
 func NewReconciler(service string) *Reconciler {
 	return &Reconciler{service: service, places: map[Place]*placeState{}, lastScaledDown: map[string]time.Time{}}
 }
@@ -161,13 +161,13 @@
 // Exhausted returns the places without further capacity at present, with the count
 // that serves there.
 func (m *Reconciler) Exhausted(now time.Time, serving Counts) Counts {
-	stuck := Counts{}
+	exhausted := Counts{}
 	for p, s := range m.places {
 		if now.Before(s.backoffUntil) {
-			stuck[p] = serving[p]
+			exhausted[p] = serving[p]
 		}
 	}
-	return stuck
+	return exhausted
 }
 
 // RecordOutcome records the outcome of a call that was started at the given time.
--- a/fleet/plan.go
+++ b/fleet/plan.go
@@ -84,7 +84,7 @@
 // and any capacity shortage.
 func (s *PlanInput) maxAt(c Counts, p Place) int {
 	limit := max(0, s.Scaling.Max-c[Place{p.DataHall, 1 - p.Kind}])
-	if available, stuck := s.Exhausted[p]; stuck {
+	if available, exhausted := s.Exhausted[p]; exhausted {
 		limit = min(limit, available)
 	}
 	return limit
--- a/fleet/record.go
+++ b/fleet/record.go
@@ -46,11 +46,11 @@
 
 // OrderCounts returns the counts of the latest orders.
 func (r *Record) OrderCounts() Counts {
-	given := Counts{}
+	counts := Counts{}
 	for _, o := range r.Orders {
-		given[o.Place()] = o.Count
+		counts[o.Place()] = o.Count
 	}
-	return given
+	return counts
 }
 
 // BaseCounts returns Base as a map by data hall.
--- a/fleet/simulation_test.go
+++ b/fleet/simulation_test.go
@@ -9,7 +9,7 @@
 	"github.com/walnutramp/walnutramp/fleet"
 )
 
-// The simulation runs the tally, the forecast, the plan and the mover, as the leader
+// The simulation runs the aggregator, the forecast, the plan and the reconciler, as the leader
 // does, against a model of a platform and a load. It adds up the cost and the refused
 // requests.
 
@@ -51,16 +51,16 @@
 	noCapacity      map[fleet.Place]func(time.Duration) bool
 	leaders         []time.Duration // times of leader changes
 
-	now      time.Duration
-	targets  []*simTarget
-	history  []simList
-	delayed  []simDelayed
-	record   fleet.Record
-	mover    *fleet.Reconciler
-	tally    *fleet.Aggregator
-	forecast *fleet.Forecast
-	demand   fleet.Demand
-	life     uint64 // of the only reporting process; never changes
+	now         time.Duration
+	targets     []*simTarget
+	history     []simList
+	delayed     []simDelayed
+	record      fleet.Record
+	reconciler  *fleet.Reconciler
+	aggregator  *fleet.Aggregator
+	forecast    *fleet.Forecast
+	demand      fleet.Demand
+	incarnation uint64 // of the only reporting process; never changes
 
 	cost       float64
 	requests   float64
@@ -72,8 +72,8 @@
 
 // simList is the platform's target list at one time.
 type simList struct {
-	at               time.Duration
-	serving, leaving fleet.Counts
+	at                time.Duration
+	serving, draining fleet.Counts
 }
 
 // simDelayed is an order that the platform executes later.
@@ -122,7 +122,7 @@
 
 // lead starts a new leader, which knows only the record.
 func (s *simulation) lead() {
-	s.mover, s.tally, s.forecast = fleet.NewReconciler("engines"), fleet.NewAggregator(), &fleet.Forecast{}
+	s.reconciler, s.aggregator, s.forecast = fleet.NewReconciler("engines"), fleet.NewAggregator(), &fleet.Forecast{}
 }
 
 func (s *simulation) clock() time.Time { return time.Unix(0, 0).Add(s.now) }
@@ -133,7 +133,7 @@
 		s.execute(s.delayed[0].order)
 		s.delayed = s.delayed[1:]
 	}
-	serving, remaining, listed := 0, s.targets[:0], simList{at: s.now, serving: fleet.Counts{}, leaving: fleet.Counts{}}
+	serving, remaining, listed := 0, s.targets[:0], simList{at: s.now, serving: fleet.Counts{}, draining: fleet.Counts{}}
 	for _, t := range s.targets {
 		if t.drainsAt > 0 && s.now >= t.endsAt {
 			continue
@@ -142,7 +142,7 @@
 		s.cost += simStep.Seconds() * s.scaling.Cost(fleet.Counts{t.place: 1})
 		switch {
 		case t.drainsAt > 0:
-			listed.leaving[t.place]++
+			listed.draining[t.place]++
 		case s.now >= t.servesAt:
 			listed.serving[t.place]++
 			serving++
@@ -176,8 +176,8 @@
 	if !ok {
 		return
 	}
-	s.tally.Merge("node", s.life, []fleet.Demand{s.demand})
-	total, _ := s.tally.Of("engines")
+	s.aggregator.Merge("node", s.incarnation, []fleet.Demand{s.demand})
+	total, _ := s.aggregator.Of("engines")
 	s.forecast.Observe(s.clock(), total)
 	load := s.record.Load
 	if s.forecast.Known() {
@@ -185,16 +185,16 @@
 		load = &expected
 	}
 	view := fleet.ReconcileInput{
-		Scaling: s.scaling, Ordered: s.record.Ordered(), Explicit: s.record.OrderCounts(), Serving: listed.serving, Draining: listed.leaving,
+		Scaling: s.scaling, Ordered: s.record.Ordered(), Explicit: s.record.OrderCounts(), Serving: listed.serving, Draining: listed.draining,
 		Idle: load == nil && s.demand.Requests == 0,
 	}
-	s.mover.Observe(s.clock(), &view)
-	situation := fleet.PlanInput{
+	s.reconciler.Observe(s.clock(), &view)
+	input := fleet.PlanInput{
 		Scaling: s.scaling, Engine: simEngine(), Risks: fleet.AssumedRisks(), Base: s.record.BaseCounts(), Load: load,
-		Exhausted: s.mover.Exhausted(s.clock(), listed.serving),
+		Exhausted: s.reconciler.Exhausted(s.clock(), listed.serving),
 	}
-	view.Wanted, view.Least = situation.Plan().Wanted, situation.Least()
-	for _, step := range s.mover.Next(s.clock(), &view) {
+	view.Wanted, view.Least = input.Plan().Wanted, input.Least()
+	for _, step := range s.reconciler.Next(s.clock(), &view) {
 		s.steps = append(s.steps, simOrder{s.now, step})
 		s.record.Put([]fleet.Order{step.Order})
 		s.record.Load = load
@@ -204,7 +204,7 @@
 			before.Count = step.Before
 			s.record.Put([]fleet.Order{before})
 		}
-		s.mover.RecordOutcome(s.clock(), step, outcome, s.scaling.Boot)
+		s.reconciler.RecordOutcome(s.clock(), step, outcome, s.scaling.Boot)
 	}
 }
 
--- a/gateway/ask.go
+++ b/gateway/ask.go
@@ -11,7 +11,7 @@
 	"k8s.io/klog/v2"
 )
 
-// Backpressure are the backpressure signals in a target's answer.
+// Backpressure holds the signals of load in a target's answer.
 type Backpressure struct {
 	// Cooldown is the cooldown that the target requests; 0 for none.
 	Cooldown time.Duration
@@ -104,15 +104,15 @@
 	if g.cfg.Names.ParseBackpressure == nil {
 		return
 	}
-	signs := g.cfg.Names.ParseBackpressure(a.Status, a.Header)
-	if signs.Cooldown > 0 {
-		t.StartCooldown(signs.Cooldown)
+	backpressure := g.cfg.Names.ParseBackpressure(a.Status, a.Header)
+	if backpressure.Cooldown > 0 {
+		t.StartCooldown(backpressure.Cooldown)
 		g.counters.cooldowns.Inc()
-		klog.InfoS("Target asks for rest", "request", request, "target", t.ID, "status", a.Status, "rest_ms", signs.Cooldown.Milliseconds())
+		klog.InfoS("Target asks for rest", "request", request, "target", t.ID, "status", a.Status, "rest_ms", backpressure.Cooldown.Milliseconds())
 	} else {
 		t.RecordResponse()
 	}
-	if signs.Draining && !t.Draining() {
+	if backpressure.Draining && !t.Draining() {
 		t.RecordDraining()
 		klog.InfoS("Target says that it leaves", "request", request, "target", t.ID)
 	}
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -21,7 +21,7 @@
 // value of a copy: for a copy requested with its run, from the address of the holder and
 // the ID of the client request; for an ordered copy, from the address of the run's target
 // and the handle of the copy there. If CopyHandle is nil, no copies are requested with
-// runs; CopyOrders needs it, unless its Make is nil. ParseLoad parses Load, ParseSigns the
+// runs; CopyOrders needs it, unless its Make is nil. ParseLoad parses Load, ParseBackpressure the
 // backpressure signals of an answer, and ParseUsage Usage; what has no parser is ignored,
 // without ParseUsage also Prefix.
 type Names struct {
@@ -267,7 +267,7 @@
 }
 
 // CloseConnections makes every answer from now on close its connection. Requests are
-// still served as after Leave.
+// still served as after BeginShutdown.
 func (g *Gateway) CloseConnections() { g.stopping.Store(phaseClosing) }
 
 // RejectRequests makes the gateway reject all new requests from now on, as not run.
--- a/loadshare/loadshare.go
+++ b/loadshare/loadshare.go
@@ -45,7 +45,7 @@
 
 	mu             sync.Mutex
 	peers          map[string]*net.UDPAddr
-	peersUpdatedAt time.Time                    // when SetPeers or PeersStill was last called
+	peersUpdatedAt time.Time                    // when SetPeers or ConfirmPeers was last called
 	absentSince    map[string]time.Time         // peers missing from the last SetPeers: when they were last listed
 	senders        map[string]*sender           // by address
 	layout         *layout                      // cached; nil if it must be recomputed
@@ -72,7 +72,7 @@
 // WithQuarantine sets the ledger whose crash reports nodes exchange.
 func WithQuarantine(l *quarantine.Ledger) Option { return func(s *Sharer) { s.ledger = l } }
 
-// New returns a sharer that sends and receives on conn once it runs. With WithMemory it
+// New returns a sharer that sends and receives on conn once it runs. With WithStateFile it
 // restores the state file.
 func New(conn net.PacketConn, tracker *balance.Tracker, budgets *balance.Budgets, opts ...Option) *Sharer {
 	s := &Sharer{
@@ -360,9 +360,9 @@
 
 // newCrashes returns the crash reports not yet sent to a peer group.
 func (s *Sharer) newCrashes(a *peerGroup) []crashReport {
-	notes, newest := s.ledger.ReportsAfter(a.crashCursor)
+	crashes, newest := s.ledger.ReportsAfter(a.crashCursor)
 	a.crashCursor = newest
-	return encodeCrashes(notes)
+	return encodeCrashes(crashes)
 }
 
 // allCrashes returns the crash reports for a node that may have missed some.
--- a/loadshare/message.go
+++ b/loadshare/message.go
@@ -24,12 +24,12 @@
 	Ended []string `msgpack:"e,omitempty"`
 	// Suspects are targets whose responses to the sender recently broke off.
 	Suspects []string `msgpack:"s,omitempty"`
-	// Silent are targets that recently stopped responding to the sender.
+	// Silent are targets that recently became unresponsive to the sender.
 	Silent []string `msgpack:"m,omitempty"`
 	// Counts are the sender's requests and retries, by service.
 	Counts map[string]balance.Count `msgpack:"n,omitempty"`
 	// Crashes are the sender's reports of crashes and of successful runs; see
-	// quarantine.Note.
+	// quarantine.Report.
 	Crashes []crashReport `msgpack:"z,omitempty"`
 
 	// Disk says that the sender's traces survive a power loss.
@@ -117,7 +117,7 @@
 	Target   uint32 // short name
 	Read     int    // prompt tokens pending when the run began; 0 after the first event
 	Hold     int    // tokens of KV cache
-	AgeMS    int64  // see balance.Shared
+	AgeMS    int64  // see balance.RunReport
 	Copy     uint32 // short name of the target that holds a copy of its KV cache; 0 for none
 }
 
@@ -139,7 +139,7 @@
 	return balance.Trace{Key: n.Key, CopyName: n.CopyName, Copy: n.Copy, ReadAt: n.ReadAt}
 }
 
-// crashReport is the encoding of a quarantine.Note; see there for the fields.
+// crashReport is the encoding of a quarantine.Report; see there for the fields.
 type crashReport struct {
 	//lint:ignore U1000 msgpack reads its tag: fields are encoded by position, without names
 	_msgpack struct{} `msgpack:",as_array"`
@@ -151,9 +151,9 @@
 	Later    bool
 }
 
-func encodeCrashes(notes []quarantine.Report) []crashReport {
-	reports := make([]crashReport, 0, len(notes))
-	for _, n := range notes {
+func encodeCrashes(crashes []quarantine.Report) []crashReport {
+	reports := make([]crashReport, 0, len(crashes))
+	for _, n := range crashes {
 		reports = append(reports, crashReport{Content: uint64(n.Content), Target: n.Target, Standing: int(n.Standing),
 			AgeMS: n.Age.Milliseconds(), RanMS: n.Ran.Milliseconds(), Later: n.Later})
 	}
@@ -161,12 +161,12 @@
 }
 
 func decodeCrashes(reports []crashReport) []quarantine.Report {
-	notes := make([]quarantine.Report, 0, len(reports))
+	crashes := make([]quarantine.Report, 0, len(reports))
 	for _, e := range reports {
-		notes = append(notes, quarantine.Report{Content: quarantine.Fingerprint(e.Content), Target: e.Target,
+		crashes = append(crashes, quarantine.Report{Content: quarantine.Fingerprint(e.Content), Target: e.Target,
 			Standing: quarantine.Standing(e.Standing), Age: milliseconds(e.AgeMS), Ran: milliseconds(e.RanMS), Later: e.Later})
 	}
-	return notes
+	return crashes
 }
 
 // milliseconds converts a received duration; values out of range are clamped.
@@ -186,7 +186,7 @@
 	Trace *traceUpdate `msgpack:"t,omitempty"` // nil if unknown
 }
 
-// run is the encoding of a balance.Shared; see there for the fields.
+// run is the encoding of a balance.RunReport; see there for the fields.
 type run struct {
 	Number uint64 `msgpack:"n"`
 	Target string `msgpack:"t"`
--- a/loadshare/state.go
+++ b/loadshare/state.go
@@ -70,11 +70,11 @@
 // restoreCrashes restores the crash reports, which stay valid for longer than traces.
 // If the clock was set back meanwhile, their ages are taken as written.
 func (s *Sharer) restoreCrashes(m savedState, age time.Duration) {
-	notes := decodeCrashes(m.Ends)
-	for i := range notes {
-		notes[i].Age += max(0, age)
+	crashes := decodeCrashes(m.Ends)
+	for i := range crashes {
+		crashes[i].Age += max(0, age)
 	}
-	s.ledger.Merge(notes)
+	s.ledger.Merge(crashes)
 }
 
 // newerState returns the newer of two states and its age, negative if the clock was set
--- a/node/node.go
+++ b/node/node.go
@@ -175,7 +175,7 @@
 	instanceWatch *discovery.Watch      // nil without a platform
 	quarantine    *quarantine.CrashDetector
 
-	newNotes    chan struct{}      // signals that there are quarantine notes to send
+	newReports  chan struct{}      // signals that there are crash reports to send
 	stopGossip  context.CancelFunc // stops the task that sends them
 	reportSaver *reportSaver       // nil on nodes without a disk
 
--- a/node/quarantine.go
+++ b/node/quarantine.go
@@ -9,7 +9,7 @@
 	"k8s.io/klog/v2"
 )
 
-// Nodes exchange notes on which request contents crashed targets, so that no node
+// Nodes exchange reports on which request contents crashed targets, so that no node
 // sends such a request again.
 
 // quarantineServiceName is the name of the RPC service.
@@ -17,25 +17,25 @@
 
 // Timing of the exchange.
 const (
-	// gossipDelay is how long notes are batched. It is shorter than the time in
+	// gossipDelay is how long reports are batched. It is shorter than the time in
 	// which an engine starts a run, so a crashing request is not retried meanwhile.
 	gossipDelay = 50 * time.Millisecond
-	// gossipInterval is the interval at which all current notes are sent again, for
+	// gossipInterval is the interval at which all current reports are sent again, for
 	// nodes that started later or were unreachable.
 	gossipInterval = 5 * time.Second
 	gossipTimeout  = time.Second // per call
 )
 
-// quarantineService receives the notes of other nodes.
+// quarantineService receives the reports of other nodes.
 type quarantineService struct{ ledger *quarantine.Ledger }
 
 // TellArgs is the argument of the Tell RPC.
 type TellArgs struct{ Notes []quarantine.Report }
 
-// TellReply is the reply of the Tell RPC: the number of notes that were new to the node.
+// TellReply is the reply of the Tell RPC: the number of reports that were new to the node.
 type TellReply struct{ Fresh int }
 
-// Tell handles the RPC that delivers another node's notes.
+// Tell handles the RPC that delivers another node's reports.
 func (s *quarantineService) Tell(args TellArgs, reply *TellReply) error {
 	reply.Fresh = len(s.ledger.Merge(args.Notes))
 	return nil
@@ -44,36 +44,36 @@
 func (n *Node) setupQuarantine() {
 	ledger := quarantine.New()
 	n.quarantine = quarantine.NewCrashDetector(ledger, quarantine.DialFunc(n.cfg.Dial))
-	n.newNotes = make(chan struct{}, 1)
+	n.newReports = make(chan struct{}, 1)
 	ledger.OnReport(func() {
 		select {
-		case n.newNotes <- struct{}{}:
+		case n.newReports <- struct{}{}:
 		default:
 		}
 	})
 }
 
-// gossipQuarantine sends new notes to the other nodes, and periodically all current
+// gossipQuarantine sends new reports to the other nodes, and periodically all current
 // ones, until ctx is done.
 func (n *Node) gossipQuarantine(ctx context.Context) {
 	ticker := time.NewTicker(gossipInterval)
 	defer ticker.Stop()
 	lastSeen := uint64(0)
 	for {
-		var notes []quarantine.Report
+		var reports []quarantine.Report
 		select {
-		case <-n.newNotes:
+		case <-n.newReports:
 			if !pause.For(ctx, gossipDelay) {
 				return
 			}
-			notes, lastSeen = n.quarantine.ReportsAfter(lastSeen)
+			reports, lastSeen = n.quarantine.ReportsAfter(lastSeen)
 		case <-ticker.C:
-			notes = n.quarantine.AllReports()
+			reports = n.quarantine.AllReports()
 		case <-ctx.Done():
 			return
 		}
-		if len(notes) > 0 {
-			n.broadcast(ctx, TellArgs{Notes: notes})
+		if len(reports) > 0 {
+			n.broadcast(ctx, TellArgs{Notes: reports})
 		}
 	}
 }
--- a/node/rest_test.go
+++ b/node/rest_test.go
@@ -17,21 +17,21 @@
 
 const (
 	overloadDuration = 4 * time.Second
-	restPeriod       = 3 * time.Second
+	cooldown         = 3 * time.Second
 )
 
-// oneNode configures a site with one node, since targets ask each node separately to
-// back off.
+// oneNode configures a site with one node, since targets request a cooldown
+// of each node separately.
 func oneNode(cfg *site.Config) {
 	cfg.Nodes, cfg.Services, cfg.Guard.Replicas = 1, 3, 1
 }
 
-// Guards against requests to an overloaded engine that asked to back off: it must get
+// Guards against requests to an overloaded engine that requested a cooldown: it must get
 // no new drafts, no resumed ones and no load queries, while others serve all drafts.
-func TestEngineBackoffIsHonored(t *testing.T) {
+func TestEngineCooldownIsHonored(t *testing.T) {
 	withSite(t, oneNode, func(t *testing.T, s runningSite) {
 		model := standin.DefaultEngineConfig().Model
-		s.Engines[0].Overload(overloadDuration, restPeriod)
+		s.Engines[0].Overload(overloadDuration, cooldown)
 		s.Engines[1].SetFault(standin.Fault{Kind: standin.FaultDie, AtToken: 100})
 		var drafts sync.WaitGroup
 		for i := range 60 {
@@ -50,8 +50,8 @@
 }
 
 // The same for plain services, with idempotent and other calls. While all services
-// back off, calls must be rejected at once as not run, with a Retry-After.
-func TestServiceBackoffIsHonored(t *testing.T) {
+// are in cooldown, calls must be rejected at once as not run, with a Retry-After.
+func TestServiceCooldownIsHonored(t *testing.T) {
 	for _, tc := range []struct {
 		name, method, path string
 		numOverloaded      int
@@ -63,7 +63,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			withSite(t, func(cfg *site.Config) { oneNode(cfg); cfg.Control = 1 }, func(t *testing.T, s runningSite) {
 				for _, svc := range s.Services[:tc.numOverloaded] {
-					svc.Overload(overloadDuration, restPeriod)
+					svc.Overload(overloadDuration, cooldown)
 				}
 				refused := 0
 				for i := range 140 {
@@ -76,7 +76,7 @@
 						refused++
 						require.Equal(t, walnutramp.NotRun, e.Outcome)
 						require.Positive(t, e.RetryAfter)
-						require.LessOrEqual(t, e.RetryAfter, restPeriod*5/4)
+						require.LessOrEqual(t, e.RetryAfter, cooldown*5/4)
 						require.Less(t, time.Since(start), 100*time.Millisecond)
 					}
 					time.Sleep(100 * time.Millisecond)
--- a/rollout/agent.go
+++ b/rollout/agent.go
@@ -12,12 +12,12 @@
 // Agent is the node-side part of rollouts. It selects the versions that
 // requests may go to and collects statistics of their answers.
 type Agent struct {
-	mu       sync.Mutex
-	view     View
-	services map[string]*service
-	judge    uint64 // ID of the judge that received the last report
-	rng      *rand.Rand
-	now      func() time.Time
+	mu        sync.Mutex
+	view      View
+	services  map[string]*service
+	evaluator uint64 // ID of the evaluator that received the last report
+	rng       *rand.Rand
+	now       func() time.Time
 }
 
 // service is the agent's state of one service's rollout.
@@ -156,7 +156,7 @@
 // targets, to prevent a burst afterwards.
 const maxCredit = 2
 
-// ReturnCredit returns the credit of a Draw for which no target of the new version was
+// ReturnCredit returns the credit of a SelectCanary for which no target of the new version was
 // available.
 func (a *Agent) ReturnCredit(name, route string) {
 	a.mu.Lock()
@@ -174,7 +174,7 @@
 	return s.permitted(a.now()) && s.permit.Other >= 1
 }
 
-// Versions returns the versions that a request may go to: the new one if Draw
+// Versions returns the versions that a request may go to: the new one if SelectCanary
 // selected it, else those in force.
 func (a *Agent) Versions(name string, drawn bool) VersionSet {
 	a.mu.Lock()
@@ -238,7 +238,7 @@
 	return r
 }
 
-// countLate counts the pending requests that are past their Late threshold as
+// countLate counts the pending requests that are past their slow threshold as
 // slow. The caller must hold the mutex.
 func (s *service) countLate(now time.Time) {
 	for r := range s.waiting {
@@ -263,12 +263,12 @@
 }
 
 // Report returns the counts of running rollouts that changed since the last
-// report, or all counts if the last report went to another judge.
-func (a *Agent) Report(judge uint64) []Cell {
+// report, or all counts if the last report went to another evaluator.
+func (a *Agent) Report(evaluator uint64) []Cell {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	all := judge != a.judge
-	a.judge = judge
+	all := evaluator != a.evaluator
+	a.evaluator = evaluator
 	var cells []Cell
 	for _, s := range a.services {
 		if s.record.State != Running {
@@ -290,5 +290,5 @@
 func (a *Agent) ResetReport() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.judge = 0
+	a.evaluator = 0
 }
--- a/rollout/agent_test.go
+++ b/rollout/agent_test.go
@@ -107,7 +107,7 @@
 	require.InDelta(t, 50, drawn, 3, "accumulated credit must not cause a burst")
 }
 
-func TestReportIsIncrementalAndFullForNewJudge(t *testing.T) {
+func TestReportIsIncrementalAndFullForNewEvaluator(t *testing.T) {
 	n := newTestNode(1)
 	require.Nil(t, n.Begin(Key{Service: "s"}), "no rollout")
 	n.SetView(running(1))
@@ -130,21 +130,21 @@
 	require.Len(t, changed, 1)
 	require.Equal(t, "t", changed[0].Key.Target)
 	require.EqualValues(t, 2, changed[0].Counts.Answered())
-	require.Len(t, n.Report(6), 2, "full report for another judge")
+	require.Len(t, n.Report(6), 2, "full report for another evaluator")
 	n.ResetReport()
 	require.Len(t, n.Report(6), 2, "full report after a lost one")
 
-	tally := NewAggregator()
-	require.Len(t, tally.Merge("n", 1, all), 2)
-	fresh := tally.Merge("n", 1, changed)
+	aggregator := NewAggregator()
+	require.Len(t, aggregator.Merge("n", 1, all), 2)
+	fresh := aggregator.Merge("n", 1, changed)
 	require.Len(t, fresh, 1)
 	require.EqualValues(t, 1, fresh[0].Counts.Answered())
-	require.Empty(t, tally.Merge("n", 1, all[:0]))
-	tally.Merge("n", 2, all) // restarted node
-	sums := tally.Sums("s")
+	require.Empty(t, aggregator.Merge("n", 1, all[:0]))
+	aggregator.Merge("n", 2, all) // restarted node
+	sums := aggregator.Sums("s")
 	require.EqualValues(t, 3, sums[changed[0].Key].Lost+sums[changed[0].Key].Failed)
-	tally.Forget("s")
-	require.Empty(t, tally.Sums("s"))
+	aggregator.Forget("s")
+	require.Empty(t, aggregator.Sums("s"))
 }
 
 // Guards against a slow version going undetected because its requests are not
--- a/rollout/experiment/play.go
+++ b/rollout/experiment/play.go
@@ -21,7 +21,7 @@
 	viewDelay        = 60 * time.Millisecond // until most nodes have a new view
 	targetBoot       = 1500 * time.Millisecond
 	crashDuration    = 1200 * time.Millisecond
-	partialShare     = 0.15 // of the targets that have partial failures, under Troubles.Grey
+	partialShare     = 0.15 // of the targets that have partial failures, under Faults.Grey
 	partialErrorRate = 0.4
 	partialDuration  = 5 * time.Second
 	tick             = 10 * time.Millisecond
@@ -79,8 +79,8 @@
 	badLoad     float64       // requests in flight at a target from which it is bad, for Loaded
 	partialFrom time.Duration // start of the partial failures
 
-	tally      *rollout.Aggregator
-	judge      *rollout.Evaluator
+	aggregator *rollout.Aggregator
+	evaluator  *rollout.Evaluator
 	record     rollout.Record
 	step       rollout.Step
 	shiftedAt  time.Duration
@@ -108,8 +108,8 @@
 
 // Simulate simulates one rollout of a version on a site. The same seed gives
 // the same outcome.
-func Simulate(site Site, v Version, troubles Faults, policy rollout.Policy, seed uint64) Outcome {
-	sim := newSimulation(site, v, troubles, policy, seed)
+func Simulate(site Site, v Version, faults Faults, policy rollout.Policy, seed uint64) Outcome {
+	sim := newSimulation(site, v, faults, policy, seed)
 	for sim.now = 0; sim.now < site.Duration; sim.now += tick {
 		sim.deliver()
 		sim.decide()
@@ -120,9 +120,9 @@
 	return sim.out
 }
 
-func newSimulation(site Site, v Version, troubles Faults, policy rollout.Policy, seed uint64) *simulation {
-	sim := &simulation{site: site, version: v, rng: rand.New(rand.NewPCG(seed, 31)), begin: time.Unix(0, 0), tally: rollout.NewAggregator(),
-		judge: rollout.NewEvaluator(policy, site.Duration)}
+func newSimulation(site Site, v Version, faults Faults, policy rollout.Policy, seed uint64) *simulation {
+	sim := &simulation{site: site, version: v, rng: rand.New(rand.NewPCG(seed, 31)), begin: time.Unix(0, 0), aggregator: rollout.NewAggregator(),
+		evaluator: rollout.NewEvaluator(policy, site.Duration)}
 	sim.record = rollout.Record{Service: service, InForce: []string{oldVersion}, Number: 1, Target: newVersion, State: rollout.Running, Duration: site.Duration}
 	for i := range site.Nodes {
 		sim.agents = append(sim.agents, rollout.NewAgent(seed*1000+uint64(i), rollout.WithClock(sim.clock)))
@@ -131,10 +131,10 @@
 		sim.old = append(sim.old, &target{id: fmt.Sprint("o", i), hall: i % site.Halls})
 		sim.new = append(sim.new, &target{id: fmt.Sprint("n", i), hall: i % site.Halls, new: true})
 	}
-	if troubles.Grey {
+	if faults.Grey {
 		sim.addPartialFailures()
 	}
-	if troubles.Crashes {
+	if faults.Crashes {
 		for range 2 {
 			sim.crashes = append(sim.crashes, crash{hall: sim.rng.IntN(site.Halls), from: time.Duration(sim.rng.Float64() * float64(site.Duration))})
 		}
@@ -181,8 +181,8 @@
 	if sim.record.State != rollout.Running || sim.now%decisionPeriod != 0 {
 		return
 	}
-	s := rollout.PlanInput{Record: sim.record, Elapsed: sim.now, ShiftedAt: sim.shiftedAt, Sums: sim.tally.Sums(service), Streams: sim.site.Streams,
-		OldSlots: sim.site.Targets, Verdict: sim.judge.Verdict()}
+	s := rollout.PlanInput{Record: sim.record, Elapsed: sim.now, ShiftedAt: sim.shiftedAt, Sums: sim.aggregator.Sums(service), Streams: sim.site.Streams,
+		OldSlots: sim.site.Targets, Verdict: sim.evaluator.Verdict()}
 	if sim.now >= targetBoot {
 		s.NewSlots = sim.site.Targets
 	}
@@ -208,14 +208,14 @@
 	if sim.record.State != rollout.Running {
 		return
 	}
-	late := sim.judge.SlowThresholds()
+	late := sim.evaluator.SlowThresholds()
 	for i, a := range sim.agents {
 		offset := time.Duration(i%int(reportPeriod/tick)) * tick
 		if sim.now%reportPeriod != offset {
 			continue
 		}
-		increments := sim.tally.Merge(strconv.Itoa(i), 1, a.Report(1))
-		sim.judge.Add(sim.now, newVersion, increments)
+		increments := sim.aggregator.Merge(strconv.Itoa(i), 1, a.Report(1))
+		sim.evaluator.Add(sim.now, newVersion, increments)
 		a.SetPermits([]rollout.Permit{{Service: service, Number: 1, Shares: sim.step.Shares, Other: sim.step.Other, Focus: sim.step.Focus, Late: late, For: rollout.PermitLife}}, sim.clock())
 	}
 }
--- a/rollout/experiment/table.go
+++ b/rollout/experiment/table.go
@@ -31,14 +31,14 @@
 
 // Measure simulates rollouts of a version with consecutive seeds, on all
 // processors. The same seeds give the same row.
-func Measure(site Site, v Version, troubles Faults, policy rollout.Policy, runs int, firstSeed uint64) Row {
+func Measure(site Site, v Version, faults Faults, policy rollout.Policy, runs int, firstSeed uint64) Row {
 	outcomes := make([]Outcome, runs)
 	var workers sync.WaitGroup
 	next := make(chan int)
 	for range runtime.GOMAXPROCS(0) {
 		workers.Go(func() {
 			for i := range next {
-				outcomes[i] = Simulate(site, v, troubles, policy, firstSeed+uint64(i))
+				outcomes[i] = Simulate(site, v, faults, policy, firstSeed+uint64(i))
 			}
 		})
 	}
@@ -47,7 +47,7 @@
 	}
 	close(next)
 	workers.Wait()
-	row := Row{Site: site.Name, Policy: policy, Version: v, Faults: troubles, Runs: runs, Reasons: map[string]int{}}
+	row := Row{Site: site.Name, Policy: policy, Version: v, Faults: faults, Runs: runs, Reasons: map[string]int{}}
 	for _, o := range outcomes {
 		row.add(o, site.Bounds)
 	}
--- a/rollout/judge.go
+++ b/rollout/judge.go
@@ -106,12 +106,12 @@
 	counts Counts
 }
 
-// NewEvaluator returns a judge for a rollout of the given duration.
+// NewEvaluator returns an Evaluator for a rollout of the given duration.
 func NewEvaluator(policy Policy, duration time.Duration) *Evaluator {
 	return &Evaluator{policy: policy, binWidth: max(minBinWidth, duration/(maxBins-1)), routes: map[string]*routeEvidence{}}
 }
 
-// Add adds the counts that nodes have reported since the previous call. Target
+// Add includes the counts that nodes have reported since the previous call. Target
 // is the new version.
 func (j *Evaluator) Add(elapsed time.Duration, target string, cells []Cell) {
 	bin := min(max(0, int(elapsed/j.binWidth)), maxBins-1)
--- a/rollout/judge_test.go
+++ b/rollout/judge_test.go
@@ -11,14 +11,14 @@
 
 const testDuration = 12 * time.Second
 
-// generator feeds random answers to a judge.
+// generator feeds random answers to an Evaluator.
 type generator struct {
-	rng   *rand.Rand
-	judge *Evaluator
+	rng       *rand.Rand
+	evaluator *Evaluator
 }
 
 func newGenerator(policy Policy) *generator {
-	return &generator{rng: rand.New(rand.NewPCG(3, 1)), judge: NewEvaluator(policy, testDuration)}
+	return &generator{rng: rand.New(rand.NewPCG(3, 1)), evaluator: NewEvaluator(policy, testDuration)}
 }
 
 // answers adds n answers of a version, spread over twelve targets in four data
@@ -33,7 +33,7 @@
 			c.Served = 1
 		}
 		c.First = c.First.Add(time.Duration(float64(latency) * (0.7 + 0.6*g.rng.Float64())))
-		g.judge.Add(at, "v2", []Cell{{Key: key, Counts: c}})
+		g.evaluator.Add(at, "v2", []Cell{{Key: key, Counts: c}})
 	}
 }
 
@@ -52,7 +52,7 @@
 	for _, errorRate := range []float64{0, 0.02, 0.14, 0.5} {
 		g := newGenerator(ChangePoint)
 		g.both(0, 10*time.Second, errorRate, errorRate, baselineLatency)
-		v := g.judge.Verdict()
+		v := g.evaluator.Verdict()
 		require.False(t, v.Doubtful, "%v: %+v", errorRate, v)
 		require.EqualValues(t, 120, v.Answers)
 	}
@@ -62,7 +62,7 @@
 	for _, policy := range Policies() {
 		g := newGenerator(policy)
 		g.both(0, 10*time.Second, 0.02, 0.3, baselineLatency)
-		v := g.judge.Verdict()
+		v := g.evaluator.Verdict()
 		require.True(t, v.Bad, "%s: %+v", policy, v)
 		require.Contains(t, v.Evidence, "failed")
 		require.Positive(t, v.Excess)
@@ -72,7 +72,7 @@
 func TestLatencyRegressionIsBad(t *testing.T) {
 	g := newGenerator(ChangePoint)
 	g.both(0, 4*time.Second, 0.02, 0.02, 3*baselineLatency)
-	v := g.judge.Verdict()
+	v := g.evaluator.Verdict()
 	require.True(t, v.Bad)
 	require.Contains(t, v.Evidence, "slow to begin")
 }
@@ -83,7 +83,7 @@
 		g := newGenerator(p)
 		g.both(0, 8*time.Second, 0.02, 0.01, baselineLatency)
 		g.both(8*time.Second, 10*time.Second, 0.02, 0.4, baselineLatency)
-		return g.judge.Verdict()
+		return g.evaluator.Verdict()
 	}
 	require.True(t, verdict(ChangePoint).Bad)
 	require.False(t, verdict(Threshold).Bad)
@@ -95,8 +95,8 @@
 	g := newGenerator(ChangePoint)
 	g.both(0, 10*time.Second, 0.02, 0.02, baselineLatency)
 	broken := Key{Service: "s", Route: "r", Version: "v2", DataHall: "hall-1", Target: "t-broken"}
-	g.judge.Add(9*time.Second, "v2", []Cell{{Key: broken, Counts: Counts{Sent: 9, Failed: 9}}})
-	require.False(t, g.judge.Verdict().Doubtful)
+	g.evaluator.Add(9*time.Second, "v2", []Cell{{Key: broken, Counts: Counts{Sent: 9, Failed: 9}}})
+	require.False(t, g.evaluator.Verdict().Doubtful)
 }
 
 // Guards against rolling back a version because of a data hall outage, which
@@ -106,13 +106,13 @@
 	g.both(0, 10*time.Second, 0.02, 0.02, baselineLatency)
 	loseAnswers := func(version, target string, n uint32) {
 		key := Key{Service: "s", Route: "r", Version: version, DataHall: "hall-2", Target: target}
-		g.judge.Add(9*time.Second, "v2", []Cell{{Key: key, Counts: Counts{Sent: n, Lost: n}}})
+		g.evaluator.Add(9*time.Second, "v2", []Cell{{Key: key, Counts: Counts{Sent: n, Lost: n}}})
 	}
 	loseAnswers("v1", "", 30)
 	for i := range 6 {
 		loseAnswers("v2", fmt.Sprint("t-", i), 2)
 	}
-	require.False(t, g.judge.Verdict().Doubtful)
+	require.False(t, g.evaluator.Verdict().Doubtful)
 }
 
 // Guards against a regression on a low-traffic route going undetected.
@@ -121,15 +121,15 @@
 	g.both(0, 10*time.Second, 0.02, 0.02, baselineLatency)
 	for i := range 30 {
 		oldKey := Key{Service: "s", Route: "seldom", Version: "v1", DataHall: "hall-1"}
-		g.judge.Add(8*time.Second, "v2", []Cell{{Key: oldKey, Counts: Counts{Sent: 3, Served: 3}}})
+		g.evaluator.Add(8*time.Second, "v2", []Cell{{Key: oldKey, Counts: Counts{Sent: 3, Served: 3}}})
 		newKey := Key{Service: "s", Route: "seldom", Version: "v2", DataHall: "hall-1", Target: fmt.Sprint("t-", i%12)}
 		c := Counts{Sent: 1, Served: 1}
 		if i%3 == 0 {
 			c = Counts{Sent: 1, Failed: 1}
 		}
-		g.judge.Add(8*time.Second, "v2", []Cell{{Key: newKey, Counts: c}})
+		g.evaluator.Add(8*time.Second, "v2", []Cell{{Key: newKey, Counts: c}})
 	}
-	v := g.judge.Verdict()
+	v := g.evaluator.Verdict()
 	require.True(t, v.Bad)
 	require.Equal(t, "answers failed on route seldom", v.Evidence)
 }
--- a/rollout/plan_test.go
+++ b/rollout/plan_test.go
@@ -9,9 +9,9 @@
 
 var testBounds = Bounds{Share: 0.1, Slack: 50, StopWithin: 5 * time.Second}
 
-// situation returns a plain service with 270 requests/s on two routes (217 and
+// planInput returns a plain service with 270 requests/s on two routes (217 and
 // 53), of which the new version gets 7 and 6.
-func situation(elapsed time.Duration) PlanInput {
+func planInput(elapsed time.Duration) PlanInput {
 	s := elapsed.Seconds()
 	counts := func(perS float64) Counts { return Counts{Sent: uint32(perS * s)} }
 	return PlanInput{
@@ -53,7 +53,7 @@
 		{"past the deadline", func(*PlanInput) {}, time.Minute, RolledBack, StageCanary, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			s := situation(c.at)
+			s := planInput(c.at)
 			c.change(&s)
 			step := testBounds.Plan(s)
 			require.Equal(t, c.state, step.State, step.Reason)
@@ -68,7 +68,7 @@
 // Checks that the new version's requests stay within the bound up to the
 // deadline, and that the low-traffic route is sampled as often as the other.
 func TestCanaryStaysWithinBound(t *testing.T) {
-	s := situation(5 * time.Second)
+	s := planInput(5 * time.Second)
 	step := testBounds.Plan(s)
 	often, seldom := 217*step.Shares["often"], 53*step.Shares["seldom"]
 	require.InDelta(t, often, seldom, 1)
@@ -81,7 +81,7 @@
 }
 
 func TestLowTrafficCanaryUsesSlack(t *testing.T) {
-	s := situation(5 * time.Second)
+	s := planInput(5 * time.Second)
 	s.Sums = map[Key]Counts{{Service: "s", Route: "r", Version: "v1"}: {Sent: 30}}
 	s.Streams = true
 	require.InDelta(t, maxCanaryShare, testBounds.Plan(s).Shares["r"], 0.15, "Slack must be used")
--- a/rollout/tally.go
+++ b/rollout/tally.go
@@ -11,18 +11,18 @@
 
 // reporter identifies one process of a node.
 type reporter struct {
-	node string
-	life uint64
+	node        string
+	incarnation uint64
 }
 
-// NewAggregator returns an empty tally.
+// NewAggregator returns an empty Aggregator.
 func NewAggregator() *Aggregator {
 	return &Aggregator{last: map[reporter]map[Key]Counts{}, sums: map[Key]Counts{}}
 }
 
 // Merge merges a node's cumulative counts and returns their increments.
-func (t *Aggregator) Merge(node string, life uint64, cells []Cell) []Cell {
-	from := reporter{node, life}
+func (t *Aggregator) Merge(node string, incarnation uint64, cells []Cell) []Cell {
+	from := reporter{node, incarnation}
 	if t.last[from] == nil {
 		t.last[from] = map[Key]Counts{}
 	}
--- a/serve/entry.go
+++ b/serve/entry.go
@@ -136,13 +136,13 @@
 	onList  func()
 }
 
-// SetList implements discovery.Taker. The first list lets waiting requests start.
+// SetList implements discovery.ListHandler. The first list lets waiting requests start.
 func (t *targetReceiver) SetList(list []discovery.Target) {
 	t.closeConnections(t.targets.Update(list))
 	t.onList()
 }
 
-// ApplyChange implements discovery.Taker.
+// ApplyChange implements discovery.ListHandler.
 func (t *targetReceiver) ApplyChange(c discovery.Change) {
 	t.closeConnections(t.targets.ApplyChange(c))
 }
--- a/target/pool.go
+++ b/target/pool.go
@@ -22,10 +22,10 @@
 
 // Pool provides the clients of targets.
 type Pool struct {
-	shared   *http.Transport // for engines and calls that may be retried
-	perCall  *http.Transport // opens a connection for each call
-	client   *Client
-	backoffs *backoffTable
+	shared    *http.Transport // for engines and calls that may be retried
+	perCall   *http.Transport // opens a connection for each call
+	client    *Client
+	cooldowns *cooldownTable
 
 	mu      sync.Mutex
 	engines map[string]Engine
@@ -49,16 +49,16 @@
 		DisableCompression:  true,
 	}
 	perCall := &http.Transport{DialContext: bounded, DisableKeepAlives: true, DisableCompression: true}
-	backoffs := &backoffTable{until: map[string]time.Time{}}
+	cooldowns := &cooldownTable{until: map[string]time.Time{}}
 	return &Pool{
-		shared: shared, perCall: perCall, backoffs: backoffs,
-		client: NewClient(backoffTransport{shared, backoffs}, shared), engines: map[string]Engine{},
+		shared: shared, perCall: perCall, cooldowns: cooldowns,
+		client: NewClient(cooldownTransport{shared, cooldowns}, shared), engines: map[string]Engine{},
 	}
 }
 
 // CooldownLeft returns how much longer this node must not send requests to a target; 0 or
 // less if it may.
-func (p *Pool) CooldownLeft(t bundle.Target) time.Duration { return p.backoffs.left(t.Address) }
+func (p *Pool) CooldownLeft(t bundle.Target) time.Duration { return p.cooldowns.left(t.Address) }
 
 // Engine returns the adapter of an engine target.
 func (p *Pool) Engine(t bundle.Target) Engine {
@@ -79,9 +79,9 @@
 // must not be sent twice.
 func (p *Pool) Service(t bundle.Target, once bool) *Service {
 	if once {
-		return NewService(backoffTransport{p.perCall, p.backoffs}, t.Address)
+		return NewService(cooldownTransport{p.perCall, p.cooldowns}, t.Address)
 	}
-	return NewService(backoffTransport{p.shared, p.backoffs}, t.Address)
+	return NewService(cooldownTransport{p.shared, p.cooldowns}, t.Address)
 }
 
 // Close closes idle connections.
--- a/target/rest.go
+++ b/target/rest.go
@@ -11,7 +11,7 @@
 	"github.com/walnutramp/walnutramp/internal/uptime"
 )
 
-// CooldownError reports that nothing was sent because the target had asked for backoff.
+// CooldownError reports that nothing was sent because the target has requested a cooldown.
 type CooldownError struct {
 	Left time.Duration // until the target accepts requests
 }
@@ -19,20 +19,20 @@
 // Error implements the error interface.
 func (e *CooldownError) Error() string { return fmt.Sprintf("target in backoff for %v", e.Left) }
 
-// IsCooldown reports whether err is a BackoffError.
+// IsCooldown reports whether err is a CooldownError.
 func IsCooldown(err error) bool {
-	var backoff *CooldownError
-	return errors.As(err, &backoff)
+	var cooldown *CooldownError
+	return errors.As(err, &cooldown)
 }
 
-// backoffTable holds the backoffs that targets requested, by address.
-type backoffTable struct {
+// cooldownTable holds the cooldowns that targets requested, by address.
+type cooldownTable struct {
 	mu    sync.Mutex
 	until map[string]time.Time
 }
 
-// left returns the remaining backoff of a target, 0 or less if there is none.
-func (t *backoffTable) left(address string) time.Duration {
+// left returns the remaining cooldown of a target, 0 or less if there is none.
+func (t *cooldownTable) left(address string) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	until, ok := t.until[address]
@@ -46,13 +46,13 @@
 	return left
 }
 
-// record records the backoff that an answer requests, if any.
-func (t *backoffTable) record(address string, answer *http.Response) {
-	backoff := retryafter.Of(answer.StatusCode, answer.Header)
-	if backoff == 0 {
+// record records the cooldown that an answer requests, if any.
+func (t *cooldownTable) record(address string, answer *http.Response) {
+	cooldown := retryafter.Of(answer.StatusCode, answer.Header)
+	if cooldown == 0 {
 		return
 	}
-	until := uptime.Now().Add(backoff)
+	until := uptime.Now().Add(cooldown)
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if until.After(t.until[address]) {
@@ -60,16 +60,16 @@
 	}
 }
 
-// backoffTransport sends nothing to targets during their backoff.
-type backoffTransport struct {
-	next     http.RoundTripper
-	backoffs *backoffTable
+// cooldownTransport sends nothing to targets during their cooldown.
+type cooldownTransport struct {
+	next      http.RoundTripper
+	cooldowns *cooldownTable
 }
 
 // RoundTrip implements http.RoundTripper.
-func (t backoffTransport) RoundTrip(r *http.Request) (*http.Response, error) {
+func (t cooldownTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	address := r.URL.Host
-	if left := t.backoffs.left(address); left > 0 {
+	if left := t.cooldowns.left(address); left > 0 {
 		if r.Body != nil {
 			r.Body.Close()
 		}
@@ -77,7 +77,7 @@
 	}
 	answer, err := t.next.RoundTrip(r)
 	if err == nil {
-		t.backoffs.record(address, answer)
+		t.cooldowns.record(address, answer)
 	}
 	return answer, err
 }
--- a/target/watch.go
+++ b/target/watch.go
@@ -10,7 +10,7 @@
 	"github.com/walnutramp/walnutramp/bundle"
 )
 
-// ReportSink receives the results of a Watch.
+// ReportSink receives the results of a LoadPoller.
 type ReportSink interface {
 	// Report delivers a load report.
 	Report(name walnutramp.TargetName, r LoadReport)
@@ -19,7 +19,7 @@
 }
 
 // LoadPoller polls the load of each target, with one goroutine per target. To plain services
-// it only connects. A poll of an engine in backoff delivers no result.
+// it only connects. A poll of an engine in cooldown delivers no result.
 type LoadPoller struct {
 	pool     *Pool
 	sink     ReportSink
@@ -28,20 +28,20 @@
 	mu     sync.Mutex
 	rng    *rand.Rand
 	closed bool
-	tasks  map[walnutramp.TargetName]*watchTask
+	tasks  map[walnutramp.TargetName]*pollTask
 	wait   sync.WaitGroup
 }
 
-type watchTask struct {
+type pollTask struct {
 	target bundle.Target
 	cancel context.CancelFunc
 }
 
-// NewLoadPoller returns a watch of no targets; seed seeds the jitter of the polls.
+// NewLoadPoller returns a poller of no targets; seed seeds the jitter of the polls.
 func NewLoadPoller(pool *Pool, sink ReportSink, interval time.Duration, seed uint64) *LoadPoller {
 	return &LoadPoller{
 		pool: pool, sink: sink, interval: interval,
-		rng: rand.New(rand.NewPCG(seed, 6)), tasks: map[walnutramp.TargetName]*watchTask{},
+		rng: rand.New(rand.NewPCG(seed, 6)), tasks: map[walnutramp.TargetName]*pollTask{},
 	}
 }
 
@@ -74,7 +74,7 @@
 
 func (w *LoadPoller) start(t bundle.Target) {
 	ctx, cancel := context.WithCancel(context.Background())
-	w.tasks[t.Name] = &watchTask{target: t, cancel: cancel}
+	w.tasks[t.Name] = &pollTask{target: t, cancel: cancel}
 	w.wait.Add(1)
 	go func() {
 		defer w.wait.Done()
--- a/target/watch_test.go
+++ b/target/watch_test.go
@@ -18,8 +18,8 @@
 func (discardSink) Report(walnutramp.TargetName, target.LoadReport) {}
 func (discardSink) Unreachable(walnutramp.TargetName)               {}
 
-// A dial may succeed just after the watch was closed: its connection must not leak.
-func TestWatchClosedDuringDialClosesTheConnection(t *testing.T) {
+// A dial may succeed just after the poller was closed: its connection must not leak.
+func TestPollerClosedDuringDialClosesTheConnection(t *testing.T) {
 	near, far := net.Pipe()
 	require.NoError(t, far.SetReadDeadline(time.Now().Add(5*time.Second)))
 	dialing := make(chan struct{})
--- a/targetconn/pool.go
+++ b/targetconn/pool.go
@@ -34,14 +34,14 @@
 
 // WithOnDial sets a callback that receives the time taken to open a connection, which is
 // about one round trip to the target.
-func WithOnDial(dialed func(e Endpoint, took time.Duration)) Option {
-	return func(c *Config) { c.OnDial = dialed }
+func WithOnDial(onDial func(e Endpoint, took time.Duration)) Option {
+	return func(c *Config) { c.OnDial = onDial }
 }
 
 // WithOnKept sets a callback that receives the time until which an idle connection to an
 // endpoint can be used; zero for none. It must not call the pool.
-func WithOnKept(kept func(e Endpoint, until time.Time)) Option {
-	return func(c *Config) { c.OnKept = kept }
+func WithOnKept(onKept func(e Endpoint, until time.Time)) Option {
+	return func(c *Config) { c.OnKept = onKept }
 }
 
 // WithIdentityHeader sets the response header that echoes a request's identity.
