--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -127,7 +127,7 @@
 	})
 }
 
-func TestRepeatedRequestSelectsTheSameTarget(t *testing.T) {
+func TestRetrySelectsTheSameTarget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		list := targetList("s", "north", "1", "2", "3", "4", "5", "6")
 		here, there := newTracker(list...), newTracker(list...)
--- a/balance/budget.go
+++ b/balance/budget.go
@@ -21,7 +21,7 @@
 	Slack  float64
 	Window time.Duration
 	// Share returns the share of Slack, from 0 to 1, that this node may have used within
-	// the last TakenWithin; nil for all of it, on a single node.
+	// the last SpendPeriod; nil for all of it, on a single node.
 	Share func() float64
 }
 
--- a/balance/life_test.go
+++ b/balance/life_test.go
@@ -58,9 +58,9 @@
 	})
 }
 
-func (t *Tracker) shortOf(life string) uint32 {
+func (t *Tracker) shortOf(incarnation string) uint32 {
 	for short, target := range t.byShortName {
-		if target.incarnation == life {
+		if target.incarnation == incarnation {
 			return short
 		}
 	}
@@ -86,11 +86,11 @@
 func TestNewerIncarnationWins(t *testing.T) {
 	tracker := newTracker(startedAt(map[string]int64{"1": 1000})...)
 	tracker.Update(startedAt(map[string]int64{"1": 2000}))
-	life := tracker.byID["1"]
+	target := tracker.byID["1"]
 	for _, born := range []int64{1000, 0, 2000} {
 		require.Empty(t, tracker.Update(startedAt(map[string]int64{"1": born})), "born %d", born)
-		require.Same(t, life, tracker.byID["1"])
-		require.Equal(t, "1@2000", life.Incarnation())
+		require.Same(t, target, tracker.byID["1"])
+		require.Equal(t, "1@2000", target.Incarnation())
 	}
 	both := append(startedAt(map[string]int64{"1": 3000}), startedAt(map[string]int64{"1": 2000})...)
 	require.Contains(t, tracker.Update(both), "1@2000")
@@ -113,10 +113,10 @@
 		var avoided []time.Duration
 		for n := range int64(4) {
 			tracker.Update(startedAt(map[string]int64{"1": 1000 + n}))
-			life := tracker.byID["1"]
-			require.True(t, life.Usable())
-			life.RecordFailure()
-			avoided = append(avoided, time.Until(life.backoffUntil))
+			target := tracker.byID["1"]
+			require.True(t, target.Usable())
+			target.RecordFailure()
+			avoided = append(avoided, time.Until(target.backoffUntil))
 			time.Sleep(4 * time.Second)
 		}
 		require.Equal(t, []time.Duration{400 * time.Millisecond, 800 * time.Millisecond, 1600 * time.Millisecond, 3 * time.Second}, avoided)
--- a/balance/lives.go
+++ b/balance/lives.go
@@ -5,11 +5,11 @@
 func (t *Tracker) Incarnations(short []uint32) []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	lives := make([]string, len(short))
+	incarnations := make([]string, len(short))
 	for i, name := range short {
 		if target := t.byShortName[name]; target != nil {
-			lives[i] = target.incarnation
+			incarnations[i] = target.incarnation
 		}
 	}
-	return lives
+	return incarnations
 }
--- a/balance/readplaces.go
+++ b/balance/readplaces.go
@@ -3,7 +3,7 @@
 import "time"
 
 // An engine caches the prompts that it has prefilled until others displace them. A
-// repeated request, as after a node's power loss, is answered soonest by the target
+// retry, as after a node's power loss, is answered soonest by the target
 // that has prefilled its prompt.
 
 // Bounds of the prompt index.
--- a/balance/readplaces_test.go
+++ b/balance/readplaces_test.go
@@ -9,8 +9,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// repeatedChoice returns the Choice of a repeated request.
-func repeatedChoice(key string) Choice {
+// retriedChoice returns the Choice of a retry.
+func retriedChoice(key string) Choice {
 	c := choice(8000)
 	c.Key, c.Retried = key, true
 	return c
@@ -18,7 +18,7 @@
 
 // otherTarget returns a target other than the key's affinity target.
 func otherTarget(t *Tracker, key string) *Target {
-	affine := t.affinityTarget(repeatedChoice(key), time.Now())
+	affine := t.affinityTarget(retriedChoice(key), time.Now())
 	for _, target := range t.byID {
 		if target != affine {
 			return target
@@ -27,7 +27,7 @@
 	return nil
 }
 
-func TestRepeatedRequestGoesToTargetWithCachedPrompt(t *testing.T) {
+func TestRetryGoesToTargetWithCachedPrompt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		list := targetList("s", "north", "1", "2", "3", "4", "5", "6")
 		here, there := newTracker(list...), newTracker(list...)
@@ -35,15 +35,15 @@
 			key := fmt.Sprint("part-", i)
 			at := otherTarget(here, key)
 			run := at.Begin(Work{PrefillTokens: 8000, MemoryTokens: 8000}, Trace{Key: key})
-			require.NotEqual(t, at, here.Pick(repeatedChoice(key)), "the prompt is not prefilled yet")
+			require.NotEqual(t, at, here.Pick(retriedChoice(key)), "the prompt is not prefilled yet")
 			run.FirstEvent()
 			there.SetPeerRuns("here", here.Runs())
 			run.End(RunEnd{})
 			there.SetPeerRuns("here", nil)
 			for _, tracker := range []*Tracker{here, there} {
-				picked := tracker.Pick(repeatedChoice(key))
+				picked := tracker.Pick(retriedChoice(key))
 				require.Equal(t, at.ID, picked.ID)
-				require.Less(t, tracker.WorkAt(repeatedChoice(key), picked).PrefillTokens, 8000/2)
+				require.Less(t, tracker.WorkAt(retriedChoice(key), picked).PrefillTokens, 8000/2)
 			}
 		}
 		for range 2 {
@@ -66,7 +66,7 @@
 		holder, _ := after.FindCopy("part-1")
 		require.Nil(t, holder, "the copy has expired")
 		time.Sleep(promptEntryTTL / 2)
-		require.Equal(t, at.ID, after.Pick(repeatedChoice("part-1")).ID)
+		require.Equal(t, at.ID, after.Pick(retriedChoice("part-1")).ID)
 	})
 }
 
@@ -86,6 +86,6 @@
 		at := otherTarget(tracker, "part-1")
 		at.Begin(Work{PrefillTokens: 8000, MemoryTokens: 8000}, Trace{Key: "part-1"}).FirstEvent()
 		at.RecordEnded()
-		require.NotEqual(t, at, tracker.Pick(repeatedChoice("part-1")))
+		require.NotEqual(t, at, tracker.Pick(retriedChoice("part-1")))
 	})
 }
--- a/balance/regions.go
+++ b/balance/regions.go
@@ -13,9 +13,9 @@
 // it idle engines.
 
 const (
-	// crossRegionAimShare is the part of Choice.Aim by which a new stream must begin
-	// sooner in another region to be sent there.
-	crossRegionAimShare = 0.5
+	// crossRegionGoalShare is the part of Choice.FirstEventGoal by which a new stream must
+	// begin sooner in another region to be sent there.
+	crossRegionGoalShare = 0.5
 	// defaultRoundTripMS is the round trip to another region until one is measured, in
 	// milliseconds.
 	defaultRoundTripMS = 25.0
@@ -78,7 +78,7 @@
 		return t.cfg.RemoteHallCost // the latency to a copy delays no client
 	}
 	cost := t.cfg.RemoteHallCost + reportDelayCost*float64((t.crossHallLag+t.crossRegionLag).Milliseconds())
-	return max(cost, crossRegionAimShare*float64(c.FirstEventGoal.Milliseconds()))
+	return max(cost, crossRegionGoalShare*float64(c.FirstEventGoal.Milliseconds()))
 }
 
 // suspectHallCost returns the cost of a target in a suspect data hall. If all halls of the
@@ -87,7 +87,7 @@
 	if !t.cfg.Topology.MultiRegion() {
 		return hallSuspectCost
 	}
-	return hallSuspectCost + crossRegionAimShare*float64(c.FirstEventGoal.Milliseconds())
+	return hallSuspectCost + crossRegionGoalShare*float64(c.FirstEventGoal.Milliseconds())
 }
 
 // spillRegions returns the regions that accept new runs from others: those with few
--- a/balance/rest_bench_test.go
+++ b/balance/rest_bench_test.go
@@ -3,7 +3,7 @@
 import "testing"
 
 // BenchmarkTargetWithoutCooldown measures what cooldowns cost a request at a
-// target that never requested one: Admit just before sending, Rests once
+// target that never requested one: Admit just before sending, InCooldown once
 // connected, and Answered at the response.
 func BenchmarkTargetWithoutCooldown(b *testing.B) {
 	tracker := newTracker(targetList("s", "north", "i-1")...)
--- a/balance/rest_test.go
+++ b/balance/rest_test.go
@@ -109,7 +109,7 @@
 	require.True(t, cooling.Admit(), "an unanswered probe blocks others only briefly")
 }
 
-func TestRestLeftIsTheShortestCooldown(t *testing.T) {
+func TestCooldownLeftIsTheShortestCooldown(t *testing.T) {
 	tracker, _, _ := coolingTracker(t, time.Minute)
 	require.Zero(t, tracker.CooldownLeft("s", nil), "one target is not in cooldown")
 	require.Zero(t, tracker.CooldownLeft("unknown", nil))
--- a/balance/score.go
+++ b/balance/score.go
@@ -14,8 +14,8 @@
 type Choice struct {
 	Service string
 	Work    Work
-	// Key identifies the request or the prefix that it shares with others; a repeated
-	// request is best sent to the same target.
+	// Key identifies the request or the prefix that it shares with others; a retry
+	// is best sent to the same target.
 	Key string
 	// Retried says that a request with this key was sent before.
 	Retried bool
@@ -24,7 +24,7 @@
 	// Copy selects a target to hold a copy of a run, rather than to run the request.
 	Copy bool
 	// Admission marks a new request: only a target with capacity for it is selected,
-	// predicted to begin it within Within.
+	// predicted to begin it within MaxWait.
 	Admission bool
 	MaxWait   time.Duration // 0 for no limit
 	// FirstEventGoal is the objective for the time to the first event of a new request; 0 for as
@@ -63,11 +63,11 @@
 	// reportDelayCost is the cost per millisecond of report delay, in milliseconds of wait:
 	// several nodes select the same idle engine during it.
 	reportDelayCost = 4.0
-	// crossHallAimShare is the part of Aim by which a new stream must begin sooner in
-	// another data hall to be sent there. Beginning sooner than Aim gains nothing, and
-	// a link between halls may lose packets.
-	crossHallAimShare = 0.25
-	slotCost          = 30.0 // per request ahead at a plain service, divided by its slots
+	// crossHallGoalShare is the part of FirstEventGoal by which a new stream must begin
+	// sooner in another data hall to be sent there. Beginning sooner than that goal gains
+	// nothing, and a link between halls may lose packets.
+	crossHallGoalShare = 0.25
+	slotCost           = 30.0 // per request ahead at a plain service, divided by its slots
 )
 
 // Pick returns the best target; nil if none is eligible or, for a copy, if the service
@@ -168,7 +168,7 @@
 		return t.cfg.RemoteHallSlotCost
 	}
 	cost := t.cfg.RemoteHallCost + reportDelayCost*float64(t.crossHallLag.Milliseconds())
-	return max(cost, crossHallAimShare*float64(choice.FirstEventGoal.Milliseconds()))
+	return max(cost, crossHallGoalShare*float64(choice.FirstEventGoal.Milliseconds()))
 }
 
 // score returns the predicted wait at a target with the given prefill backlog, plus
--- a/balance/silence.go
+++ b/balance/silence.go
@@ -13,8 +13,9 @@
 // OnUnresponsive sets the function called when a target becomes unresponsive.
 func (t *Tracker) OnUnresponsive(f func()) { t.onUnresponsive = f }
 
-// RecordUnresponsive records that the target does not answer, and implies Broke. unreachable says
-// that the target answers nothing at all; otherwise the run may only have been preempted.
+// RecordUnresponsive records that the target does not answer, and implies RecordFailure.
+// unreachable says that the target answers nothing at all; otherwise the run may only have
+// been preempted.
 func (t *Target) RecordUnresponsive(unreachable bool) {
 	t.tracker.mu.Lock()
 	t.addUnresponsive()
--- a/consensus/handover.go
+++ b/consensus/handover.go
@@ -47,26 +47,26 @@
 // takes longer than an election timeout. Proposals that arrive
 // meanwhile block and are then rejected with CodeNoLeader; entries appended
 // before are committed and acknowledged first.
-func (m *Member) TransferLeadership(ctx context.Context) bool { return m.handOverTo(ctx, "") }
+func (m *Member) TransferLeadership(ctx context.Context) bool { return m.transferTo(ctx, "") }
 
-// handOverTo transfers leadership to the preferred member, or to any if it is
+// transferTo transfers leadership to the preferred member, or to any if it is
 // empty.
-func (m *Member) handOverTo(ctx context.Context, preferred walnutramp.NodeName) bool {
+func (m *Member) transferTo(ctx context.Context, preferred walnutramp.NodeName) bool {
 	ctx, cancel := context.WithTimeout(ctx, m.electionTimeout())
 	defer cancel()
-	target, term, ok := m.beginHandOver(preferred)
+	target, term, ok := m.beginTransfer(preferred)
 	if !ok {
 		return false
 	}
 	began := time.Now()
 	done := m.awaitCaughtUp(ctx, target) && m.sendTimeoutNow(ctx, target, term) && m.awaitSuccessor(ctx)
-	m.endHandOver(done, preferred != "")
+	m.endTransfer(done, preferred != "")
 	klog.InfoS("Leadership transfer finished", "node", m.node, "to", target, "term", term, "done", done, "took", time.Since(began))
 	return done
 }
 
-// beginHandOver blocks new proposals and selects the successor.
-func (m *Member) beginHandOver(preferred walnutramp.NodeName) (target walnutramp.NodeName, term uint64, ok bool) {
+// beginTransfer blocks new proposals and selects the successor.
+func (m *Member) beginTransfer(preferred walnutramp.NodeName) (target walnutramp.NodeName, term uint64, ok bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.role != leader || m.successor != "" || m.fatalErr != nil {
@@ -76,11 +76,11 @@
 	return m.successor, m.store.ballot.Term, m.successor != ""
 }
 
-// endHandOver unblocks proposals and records the outcome.
-func (m *Member) endHandOver(done, toBetterPlaced bool) {
+// endTransfer unblocks proposals and records the outcome.
+func (m *Member) endTransfer(done, toBetterPlaced bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.stats.countHandOver(done, toBetterPlaced)
+	m.stats.countTransfer(done, toBetterPlaced)
 	m.successor = ""
 	m.notifyChanged()
 }
@@ -169,9 +169,9 @@
 	}
 }
 
-// awaitHandOver blocks while a leadership transfer is in progress. It returns
+// awaitTransfer blocks while a leadership transfer is in progress. It returns
 // the designated successor, to which callers redirect proposals.
-func (m *Member) awaitHandOver(ctx context.Context) walnutramp.NodeName {
+func (m *Member) awaitTransfer(ctx context.Context) walnutramp.NodeName {
 	m.mu.Lock()
 	successor := m.successor
 	m.mu.Unlock()
--- a/consensus/handover_test.go
+++ b/consensus/handover_test.go
@@ -13,7 +13,7 @@
 
 // During leadership transfers every proposal is either committed or rejected
 // with CodeNoLeader, so that it can be retried; none has an unknown outcome.
-func TestHandOverLosesNoAcknowledgement(t *testing.T) {
+func TestTransferLosesNoAcknowledgement(t *testing.T) {
 	const (
 		oneWayDelay = 12 * time.Millisecond
 		maxLatency  = 250 * time.Millisecond // maximum latency of a proposal
@@ -70,7 +70,7 @@
 }
 
 // Of the up-to-date followers, the one with the shortest round trip takes over.
-func TestHandOverPrefersNearestMember(t *testing.T) {
+func TestTransferPrefersNearestMember(t *testing.T) {
 	inCluster(t, 6, 2, time.Millisecond, func(t *testing.T, c *cluster) {
 		old := c.awaitLeader()
 		near := c.names[0]
@@ -92,7 +92,7 @@
 }
 
 // After a failed transfer the leader keeps leading and accepts proposals.
-func TestFailedHandOverKeepsLeader(t *testing.T) {
+func TestFailedTransferKeepsLeader(t *testing.T) {
 	inCluster(t, 3, 3, time.Millisecond, func(t *testing.T, c *cluster) {
 		old := c.awaitLeader()
 		c.mu.Lock()
--- a/consensus/placement.go
+++ b/consensus/placement.go
@@ -21,7 +21,7 @@
 	betterRatio       = 0.7                  // another member's quorum round trip must be below this share of the leader's
 	betterMargin      = 3 * time.Millisecond // and shorter by at least this; data halls of one region differ by less
 	betterDuration    = 30 * time.Second     // ignores links that are slow for a short time only
-	handOverInterval  = 5 * time.Minute      // minimum interval between two such transfers
+	transferInterval  = 5 * time.Minute      // minimum interval between two such transfers
 )
 
 // PingArgs requests an immediate reply, to measure the round trip.
@@ -78,7 +78,7 @@
 			continue
 		}
 		klog.InfoS("Transferring leadership to a better placed member", "node", m.node, "other", better)
-		m.handOverTo(m.ctx, better)
+		m.transferTo(m.ctx, better)
 	}
 }
 
@@ -88,7 +88,7 @@
 	if better != p.better {
 		p.better, p.since = better, now
 	}
-	if better == "" || now.Sub(p.since) < betterDuration || !p.lastTransfer.IsZero() && now.Sub(p.lastTransfer) < handOverInterval {
+	if better == "" || now.Sub(p.since) < betterDuration || !p.lastTransfer.IsZero() && now.Sub(p.lastTransfer) < transferInterval {
 		return false
 	}
 	p.lastTransfer, p.since = now, now
--- a/consensus/placement_test.go
+++ b/consensus/placement_test.go
@@ -25,7 +25,7 @@
 		c.mu.Unlock()
 		first := c.awaitLeader()
 		if first.node != c.names[4] {
-			require.True(t, first.handOverTo(t.Context(), c.names[4]))
+			require.True(t, first.transferTo(t.Context(), c.names[4]))
 		}
 		first = c.awaitLeader()
 		require.Equal(t, c.names[4], first.node)
@@ -34,7 +34,7 @@
 		next := c.awaitLeader()
 		require.Contains(t, near, next.node)
 		require.Equal(t, term+1, next.Status().Term)
-		time.Sleep(3 * handOverInterval)
+		time.Sleep(3 * transferInterval)
 		require.Equal(t, next.node, c.awaitLeader().node)
 		require.Equal(t, term+1, next.Status().Term, "no further transfer")
 		require.Equal(t, uint64(1), c.member(c.names[4]).Stats().PlacementTransfers)
@@ -59,7 +59,7 @@
 		c.mu.Unlock()
 		leader := c.awaitLeader()
 		term := leader.Status().Term
-		time.Sleep(2 * handOverInterval)
+		time.Sleep(2 * transferInterval)
 		require.Equal(t, leader.node, c.awaitLeader().node)
 		require.Equal(t, term, leader.Status().Term)
 	})
--- a/consensus/propose.go
+++ b/consensus/propose.go
@@ -87,7 +87,7 @@
 func (m *Member) propose(ctx context.Context, e Entry) ProposeReply {
 	ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
 	defer cancel()
-	successor := m.awaitHandOver(ctx)
+	successor := m.awaitTransfer(ctx)
 	m.mu.Lock()
 	if m.role != leader || m.successor != "" {
 		reply := ProposeReply{Code: walnutramp.CodeNoLeader, Leader: cmp.Or(m.knownLeader, successor)}
--- a/consensus/stats.go
+++ b/consensus/stats.go
@@ -4,7 +4,7 @@
 type Stats struct {
 	Elected            uint64 // elections won
 	Deposed            uint64 // leaderships lost while no transfer was in progress, also by Close or a disk failure
-	Transfers          uint64 // completed transfers requested through HandOver
+	Transfers          uint64 // completed transfers requested through TransferLeadership
 	PlacementTransfers uint64 // completed transfers to a better placed member
 	FailedTransfers    uint64 // transfers that failed
 }
@@ -16,9 +16,9 @@
 	return m.stats
 }
 
-// countHandOver counts a leadership transfer that was completed (done) or failed.
+// countTransfer counts a leadership transfer that was completed (done) or failed.
 // The caller holds the member's mutex.
-func (s *Stats) countHandOver(done, toBetterPlaced bool) {
+func (s *Stats) countTransfer(done, toBetterPlaced bool) {
 	switch {
 	case !done:
 		s.FailedTransfers++
--- a/control/fleet_controller.go
+++ b/control/fleet_controller.go
@@ -35,7 +35,7 @@
 	member   *consensus.Member
 	server   *Server
 	state    *State
-	roster   *TargetList
+	targets  *TargetList
 	caller   duty.Caller
 	scaler   fleet.Scaler
 	services FleetServices
@@ -50,10 +50,10 @@
 	plans        map[string]cachedPlan // by service
 	loggedAt     map[string]time.Time  // by service
 
-	mu        sync.Mutex
-	tally     *fleet.Aggregator
-	completed []completedCall
-	inFlight  map[string]map[string]bool // data halls with a call in flight, by service
+	mu         sync.Mutex
+	aggregator *fleet.Aggregator
+	completed  []completedCall
+	inFlight   map[string]map[string]bool // data halls with a call in flight, by service
 
 	stats map[string]*fleetStats // by service
 }
@@ -67,7 +67,7 @@
 
 // NewFleetController returns a FleetController for a member and its server.
 func NewFleetController(m *consensus.Member, s *Server, caller duty.Caller, scaler fleet.Scaler, services FleetServices) *FleetController {
-	c := &FleetController{member: m, server: s, state: s.state, roster: s.targets, caller: caller, scaler: scaler, services: services}
+	c := &FleetController{member: m, server: s, state: s.state, targets: s.targets, caller: caller, scaler: scaler, services: services}
 	c.reset()
 	return c
 }
@@ -92,7 +92,7 @@
 func (c *FleetController) RecordDemand(node string, incarnation uint64, rows []fleet.Demand) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.tally.Merge(node, incarnation, rows)
+	c.aggregator.Merge(node, incarnation, rows)
 }
 
 // reset drops the state that this member collected as the leader.
@@ -101,7 +101,7 @@
 	c.plans, c.loggedAt = map[string]cachedPlan{}, map[string]time.Time{}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.tally = fleet.NewAggregator()
+	c.aggregator = fleet.NewAggregator()
 	c.completed, c.inFlight, c.stats = nil, map[string]map[string]bool{}, map[string]*fleetStats{}
 }
 
@@ -122,7 +122,7 @@
 // reconcile compares a service's targets with the plan and issues the orders that
 // are due.
 func (c *FleetController) reconcile(ctx context.Context, service string) {
-	listed, list := c.roster.current()
+	listed, list := c.targets.current()
 	if listed == 0 {
 		return
 	}
@@ -173,7 +173,7 @@
 // known.
 func (c *FleetController) expectedLoad(service string, record fleet.Record) *fleet.Load {
 	c.mu.Lock()
-	demand, reported := c.tally.Of(service)
+	demand, reported := c.aggregator.Of(service)
 	c.mu.Unlock()
 	f := c.forecasts[service]
 	if f == nil {
@@ -258,7 +258,7 @@
 func (c *FleetController) hasRequests(service string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	demand, _ := c.tally.Of(service)
+	demand, _ := c.aggregator.Of(service)
 	return demand.Requests > 0
 }
 
--- a/control/fleet_metrics.go
+++ b/control/fleet_metrics.go
@@ -81,5 +81,5 @@
 	f := c.statsOf(service)
 	f.view, f.method, f.load = *view, method, load
 	f.recent = c.forecasts[service].Recent()
-	f.requests, _ = c.tally.Of(service)
+	f.requests, _ = c.aggregator.Of(service)
 }
--- a/control/fleet_test.go
+++ b/control/fleet_test.go
@@ -149,9 +149,9 @@
 	raft, err := consensus.New(name, identity, disk, founding, peers, state,
 		consensus.WithTiming(heartbeat, election), consensus.WithSeed(uint64(len(site.members)+1)), consensus.WithCompaction(compactFrom))
 	require.NoError(site.t, err)
-	keeper := control.NewMembershipManager(name, raft)
+	manager := control.NewMembershipManager(name, raft)
 	m := &testMember{name: name, disk: disk, peers: peers, raft: raft, targets: control.NewTargetList(), server: peer.NewServer(self, traffic), traffic: traffic}
-	answers := control.NewUnsignedServer(raft, state, keeper, m.targets, control.WithLink(memberLink))
+	answers := control.NewUnsignedServer(raft, state, manager, m.targets, control.WithLink(memberLink))
 	m.rpcServer = answers
 	hall := hallOf(len(site.members))
 	relay := control.NewRelay(peers, name, hall, raft, answers)
@@ -166,7 +166,7 @@
 	var ctx context.Context
 	ctx, m.cancel = context.WithCancel(site.ctx)
 	controller := control.NewRolloutController(raft, answers, testBounds)
-	tasks := []func(context.Context){keeper.Run, relay.Run, joiner.Run, controller.Run}
+	tasks := []func(context.Context){manager.Run, relay.Run, joiner.Run, controller.Run}
 	if site.platform != nil {
 		tasks = append(tasks, site.meter(m, peers, answers)...)
 	}
--- a/control/guide.go
+++ b/control/guide.go
@@ -11,7 +11,7 @@
 	client *Client
 }
 
-// NewRedirector returns a guide that knows the group through a client.
+// NewRedirector returns a Redirector that knows the group through a client.
 func NewRedirector(c *Client) *Redirector { return &Redirector{client: c} }
 
 // Newest implements the RPC that renews a node's lease.
--- a/control/introducer.go
+++ b/control/introducer.go
@@ -26,7 +26,7 @@
 	client *Client
 }
 
-// NewSeedNotifier returns an introducer for a member. The client provides the seeds.
+// NewSeedNotifier returns a SeedNotifier for a member. The client provides the seeds.
 func NewSeedNotifier(peers Peers, m *consensus.Member, c *Client) *SeedNotifier {
 	return &SeedNotifier{peers: peers, member: m, client: c}
 }
--- a/control/keeper.go
+++ b/control/keeper.go
@@ -18,17 +18,17 @@
 	joinInterval       = 250 * time.Millisecond
 	joinTimeout        = 500 * time.Millisecond
 	joinRequestTTL     = 2 * time.Second         // since the last join request
-	replaceAfter       = 1500 * time.Millisecond // a voter silent for longer is replaced by a learner that has caught up
+	replaceAfter       = 1500 * time.Millisecond // a voter unresponsive for longer is replaced by a learner that has caught up
 	changeTimeout      = 2 * time.Second
-	suspectAfter       = 500 * time.Millisecond  // a voter silent for longer may have failed
-	removeAfter        = 2500 * time.Millisecond // a voter silent for longer is removed without a replacement
+	suspectAfter       = 500 * time.Millisecond  // a voter unresponsive for longer may have failed
+	removeAfter        = 2500 * time.Millisecond // a voter unresponsive for longer is removed without a replacement
 	minVoters          = 2                       // no voter is replaced at or below this number
 	sufficientVoters   = 3                       // no voter is removed without a replacement at or below this number
 )
 
 // MembershipManager manages the group's membership on the leader, one change at a time. No
 // change needs the vote of a failed member. A joining node is added as a learner
-// and becomes a voter once it has caught up. If a voter is silent by then, it is
+// and becomes a voter once it has caught up. If a voter is unresponsive by then, it is
 // removed first, so that the group does not accumulate failed members. A failed
 // voter above sufficientVoters is removed without a replacement. A member that was
 // only partitioned joins again as a learner.
@@ -45,7 +45,7 @@
 	requestedAt time.Time
 }
 
-// NewMembershipManager returns a keeper for a member.
+// NewMembershipManager returns a MembershipManager for a member.
 func NewMembershipManager(node walnutramp.NodeName, m *consensus.Member) *MembershipManager {
 	return &MembershipManager{member: m, node: node, joinRequests: map[walnutramp.NodeName]joinRequest{}}
 }
@@ -88,18 +88,18 @@
 		}
 		return g.With(consensus.Voter{Node: node, Identity: request.identity, Learner: true}), "node joins"
 	}
-	silent, silence := silentVoter(followers)
-	if silence > removeAfter && g.Counted() > sufficientVoters {
-		return g.Without(silent.Node), "voter silent"
+	unresponsive, since := unresponsiveVoter(followers)
+	if since > removeAfter && g.Counted() > sufficientVoters {
+		return g.Without(unresponsive.Node), "voter silent"
 	}
 	learner, ok := caughtUp(followers)
 	if !ok {
 		return g, ""
 	}
-	if silence > replaceAfter && g.Counted() > minVoters {
-		return g.Without(silent.Node), "voter silent, replacement caught up"
+	if since > replaceAfter && g.Counted() > minVoters {
+		return g.Without(unresponsive.Node), "voter silent, replacement caught up"
 	}
-	if silence > suspectAfter && silence <= replaceAfter {
+	if since > suspectAfter && since <= replaceAfter {
 		return g, "" // that voter may have failed: wait, so that the group does not grow
 	}
 	learner.Learner = false
@@ -131,8 +131,8 @@
 	return consensus.Voter{}, false
 }
 
-// silentVoter returns the voter that has been silent longest, and for how long.
-func silentVoter(followers []consensus.FollowerStatus) (consensus.Voter, time.Duration) {
+// unresponsiveVoter returns the voter that has been unresponsive longest, and for how long.
+func unresponsiveVoter(followers []consensus.FollowerStatus) (consensus.Voter, time.Duration) {
 	var longest consensus.FollowerStatus
 	for _, f := range followers {
 		if !f.Voter.Learner && f.Unresponsive > longest.Unresponsive {
--- a/control/keeper_test.go
+++ b/control/keeper_test.go
@@ -22,21 +22,21 @@
 }
 
 // followers returns the leader's view of the other voters; the leader is the first.
-func followers(g consensus.Group, silent map[string]time.Duration) []consensus.FollowerStatus {
+func followers(g consensus.Group, unresponsive map[string]time.Duration) []consensus.FollowerStatus {
 	var all []consensus.FollowerStatus
 	for _, v := range g.Voters[1:] {
-		all = append(all, consensus.FollowerStatus{Voter: v, Unresponsive: silent[string(v.Node)]})
+		all = append(all, consensus.FollowerStatus{Voter: v, Unresponsive: unresponsive[string(v.Node)]})
 	}
 	return all
 }
 
 // runSteps applies steps until none is left. It returns the final group and the
 // lowest number of counted voters on the way.
-func runSteps(t *testing.T, k *MembershipManager, g consensus.Group, silent map[string]time.Duration) (consensus.Group, int) {
+func runSteps(t *testing.T, k *MembershipManager, g consensus.Group, unresponsive map[string]time.Duration) (consensus.Group, int) {
 	t.Helper()
 	minCounted := g.Counted()
 	for range 20 {
-		next, reason := k.step(g, followers(g, silent))
+		next, reason := k.step(g, followers(g, unresponsive))
 		if reason == "" {
 			return g, minCounted
 		}
@@ -48,16 +48,16 @@
 	return g, 0
 }
 
-func TestKeeperSteps(t *testing.T) {
+func TestMembershipManagerSteps(t *testing.T) {
 	const failed, newDisk = time.Minute, "disk of gone"
 	for _, c := range []struct {
-		name       string
-		before     consensus.Group
-		silent     map[string]time.Duration
-		joining    string
-		identity   consensus.Identity
-		after      []walnutramp.NodeName
-		minCounted int
+		name         string
+		before       consensus.Group
+		unresponsive map[string]time.Duration
+		joining      string
+		identity     consensus.Identity
+		after        []walnutramp.NodeName
+		minCounted   int
 	}{
 		{"nothing to do", group("a", "b", "c"), nil, "", "", []walnutramp.NodeName{"a", "b", "c"}, 3},
 		{"one of three failed, no replacement: kept, as two voters tolerate no failure", group("a", "b", "c"),
@@ -84,7 +84,7 @@
 				}
 				k.requestJoin(JoinArgs{Node: walnutramp.NodeName(c.joining), Identity: id})
 			}
-			after, minCounted := runSteps(t, k, c.before, c.silent)
+			after, minCounted := runSteps(t, k, c.before, c.unresponsive)
 			require.ElementsMatch(t, c.after, after.Nodes())
 			require.Equal(t, after.Counted(), len(after.Voters), "no learner is left")
 			require.Equal(t, c.minCounted, minCounted)
--- a/control/model_site_test.go
+++ b/control/model_site_test.go
@@ -144,18 +144,18 @@
 	if err != nil {
 		panic(err)
 	}
-	keeper := NewMembershipManager(name, n.member)
+	manager := NewMembershipManager(name, n.member)
 	client := NewDocumentClient(peers, m.seeds(), func(uint64, []byte) error { return nil })
 	ctx, cancel := context.WithCancel(context.Background())
 	m.mu.Lock()
 	n.identity, n.client, n.cancel = identity, client, cancel
-	n.server = NewUnsignedServer(n.member, n.state, keeper, NewTargetList())
+	n.server = NewUnsignedServer(n.member, n.state, manager, NewTargetList())
 	n.up = true
 	m.mu.Unlock()
 	n.member.Start()
-	run := keeper.Run
+	run := manager.Run
 	if m.defect == twoMemberChanges {
-		run = func(ctx context.Context) { runTwoMemberChanges(ctx, keeper) }
+		run = func(ctx context.Context) { runTwoMemberChanges(ctx, manager) }
 	}
 	n.tasks.Go(func() { run(ctx) })
 	if m.rollouts {
@@ -169,8 +169,8 @@
 	n.tasks.Go(func() { NewJoiner(peers, name, identity, n.member, client).Run(ctx) })
 }
 
-// runTwoMemberChanges is a keeper with the twoMemberChanges defect: it replaces a silent
-// voter by a new one in one change.
+// runTwoMemberChanges manages the membership with the twoMemberChanges defect: it replaces
+// an unresponsive voter by a new one in one change.
 func runTwoMemberChanges(ctx context.Context, k *MembershipManager) {
 	for ctx.Err() == nil {
 		time.Sleep(membershipInterval)
@@ -178,13 +178,13 @@
 			continue
 		}
 		g := k.member.Status().Group
-		silent, since := silentVoter(k.member.Followers())
+		unresponsive, since := unresponsiveVoter(k.member.Followers())
 		for node, n := range k.pendingJoins() {
 			if _, isVoter := g.Find(node); isVoter {
 				continue
 			}
 			if since > 300*time.Millisecond {
-				g = g.Without(silent.Node)
+				g = g.Without(unresponsive.Node)
 			}
 			k.member.Change(ctx, g.With(consensus.Voter{Node: node, Identity: n.identity}))
 		}
--- a/control/model_test.go
+++ b/control/model_test.go
@@ -18,8 +18,8 @@
 	"github.com/walnutramp/walnutramp/consensus"
 )
 
-// The model check runs the real members, keeper, joiner and clients of a control group
-// in virtual time under a seeded schedule of crashes, disk losses, partitions and
+// The model check runs the real members, membership manager, joiner and clients of a
+// control group in virtual time under a seeded schedule of crashes, disk losses, partitions and
 // replacements. It checks the history of submitted documents and confirmed reads for
 // linearizability. A defect is a bug that is injected to test the check.
 
--- a/control/report_client.go
+++ b/control/report_client.go
@@ -94,13 +94,13 @@
 }
 
 // expectsRows reports whether there are rows of open windows, or were within
-// silentNodeTimeout. An idle node keeps reporting for as long as members wait for
-// silent nodes, so that it does not delay the close of a window.
+// unresponsiveNodeTimeout. An idle node keeps reporting for as long as members wait for
+// unresponsive nodes, so that it does not delay the close of a window.
 func (t *usageReporter) expectsRows(open bool) bool {
 	if open {
 		t.lastOpenAt = time.Now()
 	}
-	return open || !t.lastOpenAt.IsZero() && time.Since(t.lastOpenAt) < silentNodeTimeout
+	return open || !t.lastOpenAt.IsZero() && time.Since(t.lastOpenAt) < unresponsiveNodeTimeout
 }
 
 // changedDemand returns the demand that has changed since it was acknowledged.
--- a/control/reports.go
+++ b/control/reports.go
@@ -27,10 +27,10 @@
 	// reportDelay is the time after a window's end from which a node's report
 	// covers the whole window: requests are counted when they are answered.
 	reportDelay = usageReportInterval + 2*forwardInterval
-	// silentNodeTimeout is how long after its last report a node counts as silent
-	// rather than gone. Windows wait for silent nodes.
-	silentNodeTimeout = 10 * time.Second
-	// sourceRetention is how long the reports of a silent node are kept.
+	// unresponsiveNodeTimeout is how long after its last report a node counts as unresponsive
+	// rather than gone. Windows wait for unresponsive nodes.
+	unresponsiveNodeTimeout = 10 * time.Second
+	// sourceRetention is how long the reports of an unresponsive node are kept.
 	sourceRetention = 1 * time.Minute
 )
 
@@ -49,7 +49,7 @@
 
 	mu          sync.Mutex
 	sink        DemandFunc // receives the demand on the leader; may be nil
-	tally       *metering.Aggregator
+	aggregator  *metering.Aggregator
 	demands     map[metering.Source]*nodeDemand
 	leads       bool // as of the last check
 	leaderSince time.Time
@@ -66,11 +66,11 @@
 	reportedAt time.Time
 }
 
-// NewReportCollector returns a Reports and registers it with a member's server.
+// NewReportCollector returns a ReportCollector and registers it with a member's server.
 func NewReportCollector(peers Peers, m *consensus.Member, s *Server) *ReportCollector {
 	r := &ReportCollector{
 		peers: peers, member: m, state: s.state, instanceID: rand.Uint64() | 1,
-		tally: metering.NewAggregator(), demands: map[metering.Source]*nodeDemand{},
+		aggregator: metering.NewAggregator(), demands: map[metering.Source]*nodeDemand{},
 	}
 	s.reports = r
 	return r
@@ -117,10 +117,10 @@
 func (r *ReportCollector) store(reports []NodeReport, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.tally.RemoveThrough(r.state.newestClosed())
+	r.aggregator.RemoveThrough(r.state.newestClosed())
 	for _, report := range reports {
 		from := metering.Source{Node: report.Node, Incarnation: report.Life}
-		r.tally.Merge(from, report.Usage, now)
+		r.aggregator.Merge(from, report.Usage, now)
 		r.storeDemand(from, report.Demand, now)
 	}
 }
@@ -175,8 +175,8 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	cutoff := time.Now().Add(-sourceRetention)
-	r.tally.RemoveThrough(r.state.newestClosed())
-	r.tally.Forget(cutoff)
+	r.aggregator.RemoveThrough(r.state.newestClosed())
+	r.aggregator.Forget(cutoff)
 	maps.DeleteFunc(r.demands, func(_ metering.Source, d *nodeDemand) bool { return d.reportedAt.Before(cutoff) })
 }
 
@@ -208,7 +208,7 @@
 		}
 		return bySource[from]
 	}
-	for from, rows := range r.tally.Changes(all) {
+	for from, rows := range r.aggregator.Changes(all) {
 		of(from).Usage = rows
 	}
 	for from, d := range r.demands {
@@ -256,9 +256,9 @@
 // windowStatus is the state of a window's counts on this member.
 type windowStatus struct {
 	metering.Sum
-	// Silent is the number of nodes that reported within silentNodeTimeout, but not
+	// Unresponsive is the number of nodes that reported within unresponsiveNodeTimeout, but not
 	// since they could have reported all of the window.
-	Silent int
+	Unresponsive int
 	// Led is how long this member has led; 0 if it does not lead.
 	Led time.Duration
 }
@@ -268,7 +268,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := time.Now()
-	s := windowStatus{Sum: r.tally.Sum(w), Silent: r.tally.Unresponsive(now.Add(-silentNodeTimeout), now.Add(reportDelay-ago))}
+	s := windowStatus{Sum: r.aggregator.Sum(w), Unresponsive: r.aggregator.Unresponsive(now.Add(-unresponsiveNodeTimeout), now.Add(reportDelay-ago))}
 	if r.leads {
 		s.Led = now.Sub(r.leaderSince)
 	}
--- a/control/reports_test.go
+++ b/control/reports_test.go
@@ -81,7 +81,7 @@
 	require.Equal(t, rows, report.Demand)
 }
 
-// An idle node keeps reporting for silentNodeTimeout, so that it does not delay the
+// An idle node keeps reporting for unresponsiveNodeTimeout, so that it does not delay the
 // close of a window.
 func TestIdleNodeKeepsReporting(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -96,7 +96,7 @@
 			reporter.send(t.Context(), time.Second)
 		}
 		require.Equal(t, calls+10, len(p.destinations))
-		time.Sleep(silentNodeTimeout)
+		time.Sleep(unresponsiveNodeTimeout)
 		reporter.send(t.Context(), time.Second)
 		require.Equal(t, calls+10, len(p.destinations), "members no longer wait for it")
 	})
@@ -120,10 +120,10 @@
 
 func TestMemberForwardsEverythingToNewLeader(t *testing.T) {
 	p := &fakeReceiver{instanceID: 1}
-	r := &ReportCollector{peers: p, tally: metering.NewAggregator(), demands: map[metering.Source]*nodeDemand{}}
+	r := &ReportCollector{peers: p, aggregator: metering.NewAggregator(), demands: map[metering.Source]*nodeDemand{}}
 	receive := func(count uint64) {
 		from := metering.Source{Node: "e1"}
-		r.tally.Merge(from, []metering.Row{{Window: 7, Account: "a", Count: count}}, time.Now())
+		r.aggregator.Merge(from, []metering.Row{{Window: 7, Account: "a", Count: count}}, time.Now())
 		r.storeDemand(from, []fleet.Demand{{Service: "s", Requests: count}}, time.Now())
 	}
 	forward := func(leader walnutramp.NodeName) []NodeReport {
--- a/control/rollout_controller.go
+++ b/control/rollout_controller.go
@@ -30,7 +30,7 @@
 	member      *consensus.Member
 	server      *Server
 	state       *State
-	roster      *TargetList
+	targets     *TargetList
 	bounds      rollout.Bounds
 	policy      rollout.Policy
 	listVersion uint64 // newest list whose services all have committed versions; used only by Run
@@ -39,14 +39,14 @@
 	judgeID     uint64    // identifies this term's evaluations; 0 while not leading
 	judgeSince  time.Time // when judgeID was set
 	confirmedAt time.Time
-	tally       *rollout.Aggregator
+	aggregator  *rollout.Aggregator
 	evaluations map[string]*evaluation // by service
 }
 
 // evaluation is the leader's state of one running roll-out.
 type evaluation struct {
 	number        uint64
-	judge         *rollout.Evaluator
+	evaluator     *rollout.Evaluator
 	step          rollout.Step
 	verdict       rollout.Verdict
 	late          map[string]time.Duration // see rollout.Permit
@@ -67,7 +67,7 @@
 // NewRolloutController returns a RolloutController and registers it with a
 // member's server.
 func NewRolloutController(m *consensus.Member, s *Server, bounds rollout.Bounds, opts ...ControllerOption) *RolloutController {
-	c := &RolloutController{member: m, server: s, state: s.state, roster: s.targets, bounds: bounds, policy: rollout.ChangePoint}
+	c := &RolloutController{member: m, server: s, state: s.state, targets: s.targets, bounds: bounds, policy: rollout.ChangePoint}
 	for _, opt := range opts {
 		opt(c)
 	}
@@ -94,7 +94,7 @@
 func (c *RolloutController) stepDown() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.judgeID, c.tally, c.evaluations = 0, nil, nil
+	c.judgeID, c.aggregator, c.evaluations = 0, nil, nil
 }
 
 // confirm has a majority confirm that this member still leads.
@@ -117,7 +117,7 @@
 func (c *RolloutController) startEvaluations() {
 	if c.judgeID == 0 {
 		c.judgeID, c.judgeSince = rand.Uint64()|1, uptime.Now()
-		c.tally, c.evaluations = rollout.NewAggregator(), map[string]*evaluation{}
+		c.aggregator, c.evaluations = rollout.NewAggregator(), map[string]*evaluation{}
 	}
 }
 
@@ -132,7 +132,7 @@
 // recordVersions commits the versions that a service's targets have before any
 // roll-out of it.
 func (c *RolloutController) recordVersions(ctx context.Context) {
-	version, list := c.roster.current()
+	version, list := c.targets.current()
 	if version == c.listVersion {
 		return
 	}
@@ -191,7 +191,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	t := c.evaluationOf(rec, elapsed)
-	t.verdict, t.late = t.judge.Verdict(), t.judge.SlowThresholds()
+	t.verdict, t.late = t.evaluator.Verdict(), t.evaluator.SlowThresholds()
 	situation := c.situation(rec, t, elapsed)
 	t.step = c.bounds.Plan(situation)
 	changes = t.step.State != rollout.Running || t.step.Stage != rec.Stage || uptime.Since(t.notedAt) >= progressInterval
@@ -208,20 +208,20 @@
 func (c *RolloutController) evaluationOf(rec rollout.Record, elapsed time.Duration) *evaluation {
 	t := c.evaluations[rec.Service]
 	if t == nil || t.number != rec.Number {
-		t = &evaluation{number: rec.Number, judge: rollout.NewEvaluator(c.policy, rec.Duration), notedAt: uptime.Now()}
+		t = &evaluation{number: rec.Number, evaluator: rollout.NewEvaluator(c.policy, rec.Duration), notedAt: uptime.Now()}
 		if rec.Stage == rollout.StageShift {
 			t.shiftedAt = elapsed // a new leader knows only that it was before now
 		}
 		c.evaluations[rec.Service] = t
-		c.tally.Forget(rec.Service)
+		c.aggregator.Forget(rec.Service)
 	}
 	return t
 }
 
 // situation collects the input of a plan. The caller holds the mutex.
 func (c *RolloutController) situation(rec rollout.Record, t *evaluation, elapsed time.Duration) rollout.PlanInput {
-	s := rollout.PlanInput{Record: rec, Elapsed: elapsed, ShiftedAt: t.shiftedAt, Sums: c.tally.Sums(rec.Service), Verdict: t.verdict}
-	_, list := c.roster.current()
+	s := rollout.PlanInput{Record: rec, Elapsed: elapsed, ShiftedAt: t.shiftedAt, Sums: c.aggregator.Sums(rec.Service), Verdict: t.verdict}
+	_, list := c.targets.current()
 	for _, target := range list {
 		if target.Service != rec.Service || target.State == discovery.TargetDraining {
 			continue
@@ -270,7 +270,7 @@
 }
 
 // report adds a node's report and returns the node's permits; judge is 0 if this member
-// evaluates no reports. Cells meant for another judge are dropped.
+// evaluates no reports. Cells meant for another evaluator are dropped.
 func (c *RolloutController) report(args ReportArgs) (judge uint64, permits []rollout.Permit) {
 	view := c.state.versions()
 	c.mu.Lock()
@@ -279,11 +279,11 @@
 		return 0, nil
 	}
 	if args.Judge != c.judgeID {
-		// The reports to an earlier judge are missing; the node resends everything
+		// The reports to an earlier evaluator are missing; the node resends everything
 		// next time.
 		args.Cells = nil
 	}
-	newCells := c.tally.Merge(args.Node, args.Life, args.Cells)
+	newCells := c.aggregator.Merge(args.Node, args.Life, args.Cells)
 	permitLife := rollout.PermitLife - uptime.Since(c.confirmedAt)
 	for _, rec := range view.Records {
 		if rec.State != rollout.Running {
@@ -291,7 +291,7 @@
 		}
 		elapsed := c.state.rolloutElapsed(rec)
 		t := c.evaluationOf(rec, elapsed)
-		t.judge.Add(elapsed, rec.Target, cellsOf(newCells, rec.Service))
+		t.evaluator.Add(elapsed, rec.Target, cellsOf(newCells, rec.Service))
 		if t.issuesPermits && permitLife > 0 {
 			permits = append(permits, rollout.Permit{
 				Service: rec.Service, Number: rec.Number, Shares: t.step.Shares, Other: t.step.Other, Focus: t.step.Focus, Late: t.late, For: permitLife,
@@ -320,7 +320,7 @@
 		return nil, rollout.Verdict{}
 	}
 	var cells []rollout.Cell
-	for key, counts := range c.tally.Sums(rec.Service) {
+	for key, counts := range c.aggregator.Sums(rec.Service) {
 		cells = append(cells, rollout.Cell{Key: key, Counts: counts})
 	}
 	return cells, t.verdict
--- a/control/rollout_fleet_test.go
+++ b/control/rollout_fleet_test.go
@@ -357,7 +357,7 @@
 
 // An order that is retried after a lost reply starts no second roll-out, even if the
 // first has ended.
-func TestRepeatedOrderStartsNoRollout(t *testing.T) {
+func TestRetriedOrderStartsNoRollout(t *testing.T) {
 	inTestSite(t, 3, 1, func(t *testing.T, site *testSite) {
 		site.setTargets("v1")
 		time.Sleep(time.Second)
--- a/control/roster.go
+++ b/control/roster.go
@@ -39,7 +39,7 @@
 // maxTargetListVersions is how many readings are kept to compute changes from.
 const maxTargetListVersions = 24
 
-// NewTargetList returns a roster without a list.
+// NewTargetList returns an empty target list.
 func NewTargetList() *TargetList { return &TargetList{changed: make(chan struct{})} }
 
 // TargetListReply holds the target list, or the changes since the requester's
--- a/control/server.go
+++ b/control/server.go
@@ -27,7 +27,7 @@
 	chunkLimiter     *rate.Limiter      // rate of chunks of long payloads
 	offers           singleflight.Group // submissions in progress, by version and digest
 	operators        bundle.Operators
-	keeper           *MembershipManager // nil if the membership is fixed
+	membership       *MembershipManager // nil if the membership is fixed
 	entryNodes       entryRegistry
 	targets          *TargetList        // nil if nodes read the target list themselves
 	relays           relays             // members that relay this one's replies while it leads
@@ -35,7 +35,7 @@
 	rollouts         *RolloutController // nil if there are no roll-outs
 	reports          *ReportCollector   // of usage and demand; nil if unused
 	timekeeper       *Timekeeper        // of the group's time; nil if unused
-	sharing          *QuotaController   // of the retry budget; nil if unused
+	quota            *QuotaController   // of the retry budget; nil if unused
 	orderRetryWindow time.Duration      // how long an operator resends an order that was not answered
 }
 
@@ -53,11 +53,11 @@
 	return func(s *Server) { s.orderRetryWindow = d }
 }
 
-// NewUnsignedServer returns a server of a site without signatures, on which a Keeper
+// NewUnsignedServer returns a server of a site without signatures, on which a MembershipManager
 // manages the membership.
 func NewUnsignedServer(m *consensus.Member, s *State, k *MembershipManager, r *TargetList, opts ...ServerOption) *Server {
 	server := newServer(m, s)
-	server.keeper, server.targets = k, r
+	server.membership, server.targets = k, r
 	for _, opt := range opts {
 		opt(server)
 	}
@@ -80,7 +80,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), args.Wait+confirmTimeout)
 	defer cancel()
 	defer s.addTime(reply, uptime.Now())
-	if s.keeper != nil {
+	if s.membership != nil {
 		reply.Group = s.member.Status().Group.Nodes()
 	}
 	s.registerRequester(args)
@@ -106,7 +106,7 @@
 		return nil
 	}
 	s.fill(args, reply)
-	reply.Share = s.sharing.shareFor(args)
+	reply.Share = s.quota.shareFor(args)
 	s.fillTargets(args, reply)
 	if args.Entry != "" {
 		s.referToRelay(ctx, args, reply)
@@ -157,7 +157,7 @@
 		s.entryNodes.register(EntryNode{Address: entry, DataHall: args.DataHall, Disk: slices.Contains(args.RelayedDisks, entry)})
 	}
 	s.relays.register(args.DataHall, args.Relay)
-	s.sharing.recordQuery(args)
+	s.quota.recordQuery(args)
 }
 
 // fill fills a reply from the state that this member has applied.
@@ -178,7 +178,7 @@
 
 // Offer implements the RPC that submits an unsigned document.
 func (s *Server) Offer(args OfferArgs, reply *DoReply) error {
-	if s.keeper == nil {
+	if s.membership == nil {
 		reply.Code = walnutramp.CodeBundleSignature
 		return nil
 	}
@@ -186,7 +186,7 @@
 	// wait for the first one, so that a large document is not logged again.
 	key := fmt.Sprint(args.Submit.Version, " ", args.Submit.Digest)
 	result, err, _ := s.offers.Do(key, func() (any, error) {
-		s.sharing.openEarly(context.Background())
+		s.quota.openEarly(context.Background())
 		var proposed DoReply
 		err := s.propose(context.Background(), Command{Submit: &args.Submit}, &proposed)
 		s.logAccepted(&args.Submit, &proposed)
@@ -208,11 +208,11 @@
 // Join implements the RPC by which a node asks to become a member.
 func (s *Server) Join(args JoinArgs, reply *JoinReply) error {
 	reply.Group = s.member.Status().Group.Nodes()
-	if s.keeper == nil || !s.member.Leads() {
+	if s.membership == nil || !s.member.Leads() {
 		reply.Code, reply.Leader = walnutramp.CodeNoLeader, s.member.Leader()
 		return nil
 	}
-	s.keeper.requestJoin(args)
+	s.membership.requestJoin(args)
 	reply.Code = walnutramp.CodeOK
 	return nil
 }
--- a/control/sharing.go
+++ b/control/sharing.go
@@ -31,73 +31,73 @@
 	opened bool       // opening the set was proposed, successfully or not
 }
 
-// NewQuotaController returns a Sharing and registers it with a member's server. span is the
-// time window of the budget.
+// NewQuotaController returns a QuotaController and registers it with a member's server.
+// span is the time window of the budget.
 func NewQuotaController(m *consensus.Member, s *Server, span time.Duration) *QuotaController {
-	sh := &QuotaController{member: m, server: s, state: s.state, register: quota.NewRegister(span)}
-	s.sharing = sh
-	return sh
+	c := &QuotaController{member: m, server: s, state: s.state, register: quota.NewRegister(span)}
+	s.quota = c
+	return c
 }
 
 // Run updates the set of entry nodes while this member leads, until ctx is done.
-func (sh *QuotaController) Run(ctx context.Context) {
+func (c *QuotaController) Run(ctx context.Context) {
 	var term uint64 // in which this member last led
 	for pause.For(ctx, sharingInterval) {
-		if !sh.member.Leads() {
+		if !c.member.Leads() {
 			continue
 		}
-		if now := sh.member.Status().Term; now != term {
+		if now := c.member.Status().Term; now != term {
 			term = now
-			sh.register.BecomeLeader()
+			c.register.BecomeLeader()
 		}
-		sh.update(ctx, sh.state.hasDocument())
+		c.update(ctx, c.state.hasDocument())
 	}
 }
 
 // openEarly opens the set before the site's first document is in force, with the
 // entry nodes that wait for it. Nothing is served yet, so they may use their shares
 // at once.
-func (sh *QuotaController) openEarly(ctx context.Context) {
-	if sh == nil || !sh.member.Leads() || sh.state.quotaSet().Open {
+func (c *QuotaController) openEarly(ctx context.Context) {
+	if c == nil || !c.member.Leads() || c.state.quotaSet().Open {
 		return
 	}
 	pause.For(ctx, firstRequestWait)
-	sh.update(ctx, true)
+	c.update(ctx, true)
 }
 
 // update commits the current entry nodes, and opens the set if open is true.
-func (sh *QuotaController) update(ctx context.Context, open bool) {
-	sh.mu.Lock()
-	defer sh.mu.Unlock()
-	set := sh.state.quotaSet()
-	if _, in, out := sh.register.Next(set); len(in)+len(out) == 0 && (set.Open || !open) {
+func (c *QuotaController) update(ctx context.Context, open bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	set := c.state.quotaSet()
+	if _, in, out := c.register.Next(set); len(in)+len(out) == 0 && (set.Open || !open) {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
 	defer cancel()
-	if !sh.member.Confirm(ctx) {
+	if !c.member.Confirm(ctx) {
 		return // the set may be stale on this member
 	}
-	set = sh.state.quotaSet()
-	set.Open = set.Open || sh.opened
-	next, in, out := sh.register.Next(set)
+	set = c.state.quotaSet()
+	set.Open = set.Open || c.opened
+	next, in, out := c.register.Next(set)
 	next.Open = next.Open || open
-	sh.opened = next.Open
-	if _, ok := sh.server.proposeOwn(ctx, Command{Sharers: &next}); !ok {
+	c.opened = next.Open
+	if _, ok := c.server.proposeOwn(ctx, Command{Sharers: &next}); !ok {
 		return
 	}
-	sh.register.Committed(next)
+	c.register.Committed(next)
 	klog.InfoS("Retry budget shared among entry nodes", "in", len(in), "out", out, "entries", len(next.Lives), "open", next.Open)
 }
 
 // recordQuery registers the entry node that sent a query, and those that a relay
 // answers.
-func (sh *QuotaController) recordQuery(args NewestArgs) {
-	if sh == nil {
+func (c *QuotaController) recordQuery(args NewestArgs) {
+	if c == nil {
 		return
 	}
 	for _, n := range args.quotaNodes() {
-		sh.register.RecordRequest(n)
+		c.register.RecordRequest(n)
 	}
 }
 
@@ -115,11 +115,11 @@
 
 // shareFor returns the share of the query's sender, or of each of the entry nodes for
 // which a relay asks. The caller has had leadership confirmed after the query arrived.
-func (sh *QuotaController) shareFor(args NewestArgs) quota.Assignment {
-	if sh == nil || !args.wantsTargets() {
+func (c *QuotaController) shareFor(args NewestArgs) quota.Assignment {
+	if c == nil || !args.wantsTargets() {
 		return quota.Assignment{}
 	}
-	return sh.register.Assignment(sh.state.quotaSet(), args.quotaNodes()...)
+	return c.register.Assignment(c.state.quotaSet(), args.quotaNodes()...)
 }
 
 // quotaSet returns the entry nodes that share the budget, as applied by this
--- a/control/sharing_site_test.go
+++ b/control/sharing_site_test.go
@@ -19,7 +19,7 @@
 	holder *quota.Holder
 }
 
-// startSharing runs a Sharing on each member.
+// startSharing runs a QuotaController on each member.
 func (g *group) startSharing(ctx context.Context) {
 	for _, m := range g.members {
 		go control.NewQuotaController(m.raft, m.server, shareSpan).Run(ctx)
--- a/control/usage_controller.go
+++ b/control/usage_controller.go
@@ -22,10 +22,10 @@
 	// closeDelay is the minimum time between the end of a window and its close.
 	// It leaves time for late counts to arrive, also after one failed call.
 	closeDelay = 1500 * time.Millisecond
-	// silentWaitShare is the share of Config.Due for which the close of a window
-	// waits at most for silent nodes. The rest is for the call to the platform,
+	// unresponsiveWaitShare is the share of Config.Due for which the close of a window
+	// waits at most for unresponsive nodes. The rest is for the call to the platform,
 	// including retries and a leader change.
-	silentWaitShare = 0.4
+	unresponsiveWaitShare = 0.4
 	// usageResyncTime is how long members and nodes take to resend everything to
 	// a new leader.
 	usageResyncTime = 800 * time.Millisecond
@@ -63,7 +63,7 @@
 }
 
 // UsageStats are the counters of a UsageController. Oldest is the oldest window counted
-// by Untold; 0 for none.
+// by Unreported; 0 for none.
 type UsageStats struct {
 	Closed     uint64 // windows closed by this member
 	Reported   uint64 // windows reported to the platform by this member
@@ -74,7 +74,7 @@
 }
 
 // NewUsageController returns a UsageController for a member's server, whose
-// Timekeeper and Reports must exist already.
+// Timekeeper and ReportCollector must exist already.
 func NewUsageController(m *consensus.Member, s *Server, caller duty.Caller, reporter metering.Reporter, cfg metering.Config) *UsageController {
 	return &UsageController{
 		member: m, server: s, state: s.state, clock: s.timekeeper.Clock(), caller: caller, reporter: reporter, cfg: cfg,
@@ -89,6 +89,7 @@
 	tasks.Wait()
 }
 
+// Stats returns the counters.
 func (c *UsageController) Stats() UsageStats {
 	w := c.state.usageWindows()
 	c.mu.Lock()
@@ -131,15 +132,15 @@
 	}
 	c.countClosed()
 	klog.InfoS("Window closed", "window", w.Next, "late_ms", ago.Milliseconds(), "requests", status.Total, "accounts", len(status.Counts),
-		"rows", status.Rows, "nodes", status.Nodes, "silent", status.Silent, "lastWord_ms", newestReportAge(status.Sum))
+		"rows", status.Rows, "nodes", status.Nodes, "silent", status.Unresponsive, "lastWord_ms", newestReportAge(status.Sum))
 	return true
 }
 
 // readyToClose reports whether a window that ended a given time ago can be closed
 // with the counts at hand.
 func (c *UsageController) readyToClose(status windowStatus, ago time.Duration) bool {
-	waited := ago >= time.Duration(silentWaitShare*float64(c.cfg.Due))
-	return status.Led >= usageResyncTime && (status.Silent == 0 || waited)
+	waited := ago >= time.Duration(unresponsiveWaitShare*float64(c.cfg.Due))
+	return status.Led >= usageResyncTime && (status.Unresponsive == 0 || waited)
 }
 
 // newestReportAge returns the age of the newest report for a window in
--- a/duty/gate.go
+++ b/duty/gate.go
@@ -64,7 +64,7 @@
 // Reached reports whether the platform answered the last call.
 func (g *Gate) Reached() bool { return g.lastAnswered }
 
-// ForgetAnswers resets the state behind Silent and Reached.
+// ForgetAnswers resets the state behind Unresponsive and Reached.
 func (g *Gate) ForgetAnswers() { g.unanswered, g.lastAnswered = 0, false }
 
 // Pending reports whether a call ended Unclear less than the given time ago, and
--- a/metering/metering_test.go
+++ b/metering/metering_test.go
@@ -78,10 +78,10 @@
 }
 
 // Reports in any order, with losses and duplicates, add up to the same totals.
-func TestTallyToleratesLostDuplicateAndLateReports(t *testing.T) {
+func TestAggregatorToleratesLostDuplicateAndLateReports(t *testing.T) {
 	for seed := range uint64(50) {
 		rng := rand.New(rand.NewPCG(seed, 1))
-		tally, receiver := NewAggregator(), NewAggregator()
+		aggregator, receiver := NewAggregator(), NewAggregator()
 		var reports []struct {
 			from Source
 			rows []Row
@@ -102,23 +102,23 @@
 		lateReport := reports[rng.IntN(len(reports))]
 		for _, report := range reports {
 			for range rng.IntN(3) { // lost, delivered, or delivered twice
-				tally.Merge(report.from, report.rows, time.Now())
+				aggregator.Merge(report.from, report.rows, time.Now())
 			}
 			if rng.IntN(4) == 0 {
-				forward(tally, receiver, false)
+				forward(aggregator, receiver, false)
 			}
 		}
 		for from, count := range truth {
-			tally.Merge(from, []Row{{7, "x", count}}, time.Now())
+			aggregator.Merge(from, []Row{{7, "x", count}}, time.Now())
 		}
-		tally.Merge(lateReport.from, lateReport.rows, time.Now())
-		forward(tally, receiver, false)
-		require.Equal(t, want, tally.Sum(7).Total, "seed %d", seed)
+		aggregator.Merge(lateReport.from, lateReport.rows, time.Now())
+		forward(aggregator, receiver, false)
+		require.Equal(t, want, aggregator.Sum(7).Total, "seed %d", seed)
 		require.Equal(t, want, receiver.Sum(7).Total, "seed %d", seed)
 		empty := NewAggregator()
-		forward(tally, empty, true)
-		require.Equal(t, tally.Sum(7).Counts, empty.Sum(7).Counts, "a full update contains everything")
-		require.Zero(t, tally.Sum(8).Rows)
+		forward(aggregator, empty, true)
+		require.Equal(t, aggregator.Sum(7).Counts, empty.Sum(7).Counts, "a full update contains everything")
+		require.Zero(t, aggregator.Sum(8).Rows)
 	}
 }
 
@@ -128,33 +128,33 @@
 	}
 }
 
-func TestTallyRemovesClosedWindows(t *testing.T) {
+func TestAggregatorRemovesClosedWindows(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		tally := NewAggregator()
+		aggregator := NewAggregator()
 		from := Source{Node: "a", Incarnation: 1}
-		tally.Merge(from, []Row{{7, "x", 2}, {8, "x", 1}}, time.Now())
-		tally.RemoveThrough(7)
-		tally.Merge(from, []Row{{7, "x", 9}}, time.Now())
-		require.Zero(t, tally.Sum(7).Total, "window already closed")
-		require.EqualValues(t, 1, tally.Sum(8).Total)
+		aggregator.Merge(from, []Row{{7, "x", 2}, {8, "x", 1}}, time.Now())
+		aggregator.RemoveThrough(7)
+		aggregator.Merge(from, []Row{{7, "x", 9}}, time.Now())
+		require.Zero(t, aggregator.Sum(7).Total, "window already closed")
+		require.EqualValues(t, 1, aggregator.Sum(8).Total)
 		time.Sleep(time.Minute)
-		tally.Forget(time.Now())
-		require.Equal(t, 1, tally.Sum(8).Nodes, "a source with rows of an open window is kept")
-		tally.RemoveThrough(8)
-		tally.Forget(time.Now())
-		require.Empty(t, tally.sources)
+		aggregator.Forget(time.Now())
+		require.Equal(t, 1, aggregator.Sum(8).Nodes, "a source with rows of an open window is kept")
+		aggregator.RemoveThrough(8)
+		aggregator.Forget(time.Now())
+		require.Empty(t, aggregator.sources)
 	})
 }
 
-func TestTallyCountsSilentNodes(t *testing.T) {
+func TestAggregatorCountsUnresponsiveNodes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		tally, began := NewAggregator(), time.Now()
-		tally.Merge(Source{Node: "gone", Incarnation: 1}, nil, began)
-		tally.Merge(Source{Node: "anew", Incarnation: 1}, nil, began)
+		aggregator, began := NewAggregator(), time.Now()
+		aggregator.Merge(Source{Node: "gone", Incarnation: 1}, nil, began)
+		aggregator.Merge(Source{Node: "anew", Incarnation: 1}, nil, began)
 		time.Sleep(time.Second)
-		tally.Merge(Source{Node: "anew", Incarnation: 2}, nil, time.Now())
-		tally.Merge(Source{Node: "there", Incarnation: 1}, nil, time.Now())
-		require.Equal(t, 1, tally.Unresponsive(began.Add(-time.Second), time.Now()))
-		require.Zero(t, tally.Unresponsive(began, time.Now()), "nodes silent for longer are not waited for")
+		aggregator.Merge(Source{Node: "anew", Incarnation: 2}, nil, time.Now())
+		aggregator.Merge(Source{Node: "there", Incarnation: 1}, nil, time.Now())
+		require.Equal(t, 1, aggregator.Unresponsive(began.Add(-time.Second), time.Now()))
+		require.Zero(t, aggregator.Unresponsive(began, time.Now()), "nodes silent for longer are not waited for")
 	})
 }
--- a/metering/tally.go
+++ b/metering/tally.go
@@ -22,7 +22,7 @@
 	lastReport time.Time
 }
 
-// NewAggregator returns an empty tally.
+// NewAggregator returns an empty Aggregator.
 func NewAggregator() *Aggregator {
 	return &Aggregator{sources: map[Source]*sourceRows{}, changed: map[Source]map[key]struct{}{}}
 }
@@ -96,13 +96,13 @@
 			newest[from.Node] = node.lastReport
 		}
 	}
-	silent := 0
+	unresponsive := 0
 	for _, heard := range newest {
 		if heard.After(since) && heard.Before(until) {
-			silent++
+			unresponsive++
 		}
 	}
-	return silent
+	return unresponsive
 }
 
 // Changes returns the rows that changed since the last call, or all rows. A
--- a/quarantine/judge.go
+++ b/quarantine/judge.go
@@ -9,10 +9,10 @@
 // given age, and the time of the oldest crash needed for that; the quarantine
 // ends when that crash expires. The caller holds l.mu, as for the methods
 // below.
-func (l *Ledger) judge(content Fingerprint, r *record, now time.Time, age time.Duration) (since time.Time, held bool) {
+func (l *Ledger) judge(content Fingerprint, r *record, now time.Time, age time.Duration) (since time.Time, quarantined bool) {
 	crashes := r.countedCrashes(now)
 	own := weightOf(crashes)
-	if own < heldWeight {
+	if own < quarantineWeight {
 		return time.Time{}, false
 	}
 	provenWeights, tiedWeights := 0, 0
@@ -26,7 +26,7 @@
 		case rivalEqual:
 			tiedWeights += weights[e.standing]
 		}
-		if provenWeights >= heldWeight || provenWeights+tiedWeights >= tiedWeight {
+		if provenWeights >= quarantineWeight || provenWeights+tiedWeights >= tiedWeight {
 			return e.at, true
 		}
 	}
--- a/quarantine/ledger.go
+++ b/quarantine/ledger.go
@@ -16,7 +16,7 @@
 	standing       Standing
 	at             time.Time
 	sent           time.Time // when the request was sent to the target
-	sentAfterKnown bool      // see Note.Later
+	sentAfterKnown bool      // see Report.Later
 }
 
 // record holds the crashes attributed to one content.
@@ -34,15 +34,15 @@
 	mu                  sync.Mutex
 	records             map[Fingerprint]*record
 	atTarget            map[uint32][]Fingerprint // contents that were running when the target crashed
-	outbox              []numberedNote           // local notes, oldest first
-	lastNumber          uint64                   // number of the newest local note
+	outbox              []numberedReport         // local reports, oldest first
+	lastNumber          uint64                   // number of the newest local report
 	evaluationScheduled bool                     // a re-evaluation is scheduled
 }
 
-// numberedNote is a local note with its sequence number.
-type numberedNote struct {
+// numberedReport is a local report with its sequence number.
+type numberedReport struct {
 	number uint64
-	note   Report
+	report Report
 	at     time.Time // time of the crash or of the successful run
 }
 
@@ -55,7 +55,7 @@
 	return &Ledger{cfg: cfg, records: map[Fingerprint]*record{}, atTarget: map[uint32][]Fingerprint{}}
 }
 
-// OnReport sets the callback for new local notes.
+// OnReport sets the callback for new local reports.
 func (l *Ledger) OnReport(f func()) { l.cfg.OnReport = f }
 
 // OnQuarantined sets the callback for newly quarantined contents.
@@ -73,9 +73,9 @@
 	if l.apply(n, now) {
 		l.enqueue(n, now)
 	}
-	held := l.evaluate(now)
+	quarantined := l.evaluate(now)
 	l.mu.Unlock()
-	l.notify(held, true)
+	l.notify(quarantined, true)
 }
 
 // sentAfterKnownCrashes reports whether a run was sent after all known crashes
@@ -95,32 +95,32 @@
 		return
 	}
 	now := l.cfg.Now()
-	note := Report{Content: content}
-	l.apply(note, now)
-	l.enqueue(note, now)
-	held := l.evaluate(now)
+	report := Report{Content: content}
+	l.apply(report, now)
+	l.enqueue(report, now)
+	quarantined := l.evaluate(now)
 	l.mu.Unlock()
-	l.notify(held, true)
+	l.notify(quarantined, true)
 }
 
-// Merge merges notes of another node and returns those that changed the ledger.
-func (l *Ledger) Merge(notes []Report) (fresh []Report) {
-	if len(notes) == 0 {
+// Merge merges reports of another node and returns those that changed the ledger.
+func (l *Ledger) Merge(reports []Report) (fresh []Report) {
+	if len(reports) == 0 {
 		return nil
 	}
 	l.mu.Lock()
 	now := l.cfg.Now()
-	for _, n := range notes {
+	for _, n := range reports {
 		if l.apply(n, now) {
 			fresh = append(fresh, n)
 		}
 	}
-	var held []Fingerprint
+	var quarantined []Fingerprint
 	if len(fresh) > 0 {
-		held = l.evaluate(now)
+		quarantined = l.evaluate(now)
 	}
 	l.mu.Unlock()
-	l.notify(held, false)
+	l.notify(quarantined, false)
 	return fresh
 }
 
@@ -134,7 +134,7 @@
 
 // Quarantined reports whether a content is quarantined, and for how long unless its
 // evaluation changes.
-func (l *Ledger) Quarantined(content Fingerprint) (left time.Duration, held bool) {
+func (l *Ledger) Quarantined(content Fingerprint) (left time.Duration, quarantined bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	r := l.records[content]
@@ -142,14 +142,14 @@
 		return 0, false
 	}
 	now := l.cfg.Now()
-	since, held := l.judge(content, r, now, l.cfg.ReportDelay)
-	if !held {
+	since, quarantined := l.judge(content, r, now, l.cfg.ReportDelay)
+	if !quarantined {
 		return 0, false
 	}
 	return max(since.Add(retention).Sub(now), time.Second), true
 }
 
-// DecisionDelay returns how long to wait for notes of other nodes before a
+// DecisionDelay returns how long to wait for reports of other nodes before a
 // content that local evidence would quarantine is quarantined; 0 for any other
 // content.
 func (l *Ledger) DecisionDelay(content Fingerprint) time.Duration {
@@ -160,7 +160,7 @@
 		return 0
 	}
 	now := l.cfg.Now()
-	if _, held := l.judge(content, r, now, 0); !held {
+	if _, quarantined := l.judge(content, r, now, 0); !quarantined {
 		return 0
 	}
 	return max(0, l.cfg.ReportDelay-now.Sub(r.crashes[len(r.crashes)-1].at))
@@ -173,7 +173,7 @@
 	now := l.cfg.Now()
 	n := 0
 	for content, r := range l.records {
-		if _, held := l.judge(content, r, now, l.cfg.ReportDelay); held {
+		if _, quarantined := l.judge(content, r, now, l.cfg.ReportDelay); quarantined {
 			n++
 		}
 	}
@@ -193,7 +193,7 @@
 	return n
 }
 
-// apply merges a note into the records and reports whether they changed. The
+// apply merges a report into the records and reports whether they changed. The
 // caller holds l.mu, as for the methods below.
 func (l *Ledger) apply(n Report, now time.Time) bool {
 	at := now.Add(-max(0, n.Age))
@@ -318,27 +318,27 @@
 
 // evaluate judges all contents and returns the newly quarantined ones. New
 // evidence about one content can affect others that shared its targets.
-func (l *Ledger) evaluate(now time.Time) (newlyHeld []Fingerprint) {
+func (l *Ledger) evaluate(now time.Time) (newlyQuarantined []Fingerprint) {
 	for content, r := range l.records {
 		if len(r.crashes) < minCrashes && !r.quarantined {
 			continue
 		}
-		_, held := l.judge(content, r, now, l.cfg.ReportDelay)
-		if held && !r.quarantined {
-			newlyHeld = append(newlyHeld, content)
+		_, quarantined := l.judge(content, r, now, l.cfg.ReportDelay)
+		if quarantined && !r.quarantined {
+			newlyQuarantined = append(newlyQuarantined, content)
 		}
-		if r.quarantined && !held {
+		if r.quarantined && !quarantined {
 			klog.InfoS("Content no longer held back", "content", content, "ends", len(r.crashes))
 		}
-		r.quarantined = held
-		if held {
+		r.quarantined = quarantined
+		if quarantined {
 			continue
 		}
 		if _, pending := l.judge(content, r, now, 0); pending {
 			l.scheduleEvaluation()
 		}
 	}
-	return newlyHeld
+	return newlyQuarantined
 }
 
 // scheduleEvaluation evaluates all contents again when their newest crashes are
@@ -351,9 +351,9 @@
 	time.AfterFunc(l.cfg.ReportDelay, func() {
 		l.mu.Lock()
 		l.evaluationScheduled = false
-		held := l.evaluate(l.cfg.Now())
+		quarantined := l.evaluate(l.cfg.Now())
 		l.mu.Unlock()
-		l.notify(held, false)
+		l.notify(quarantined, false)
 	})
 }
 
--- a/quarantine/ledger_test.go
+++ b/quarantine/ledger_test.go
@@ -14,13 +14,13 @@
 // fakeClock is a manually advanced clock.
 type fakeClock struct{ now time.Time }
 
-func (f *fakeClock) read() time.Time         { return f.now }
-func (f *fakeClock) advance(d time.Duration) { f.now = f.now.Add(d) }
-func newClock() *fakeClock                   { return &fakeClock{now: time.Unix(1e9, 0)} }
-func newLedger(clock *fakeClock) *Ledger     { return New(WithNow(clock.read), WithReportDelay(0)) }
-func isHeld(l *Ledger, f Fingerprint) bool   { _, held := l.Quarantined(f); return held }
-func content(n int) Fingerprint              { return Fingerprint(1000 + n) }
-func target(n int) uint32                    { return uint32(n) }
+func (f *fakeClock) read() time.Time              { return f.now }
+func (f *fakeClock) advance(d time.Duration)      { f.now = f.now.Add(d) }
+func newClock() *fakeClock                        { return &fakeClock{now: time.Unix(1e9, 0)} }
+func newLedger(clock *fakeClock) *Ledger          { return New(WithNow(clock.read), WithReportDelay(0)) }
+func isQuarantined(l *Ledger, f Fingerprint) bool { _, q := l.Quarantined(f); return q }
+func content(n int) Fingerprint                   { return Fingerprint(1000 + n) }
+func target(n int) uint32                         { return uint32(n) }
 func (f *fakeClock) recordCrash(l *Ledger, c Fingerprint, t uint32, s Standing) {
 	f.advance(time.Second)
 	l.RecordCrash(Report{Content: c, Target: t, Standing: s, Ran: time.Second})
@@ -33,21 +33,21 @@
 
 func TestThreeCrashesQuarantineContent(t *testing.T) {
 	clock := newClock()
-	var held []Fingerprint
+	var quarantined []Fingerprint
 	l := newLedger(clock)
-	l.OnQuarantined(func(f Fingerprint) { held = append(held, f) })
+	l.OnQuarantined(func(f Fingerprint) { quarantined = append(quarantined, f) })
 	for n := range 2 {
 		clock.recordCrash(l, culprit, target(n), Begun)
-		require.False(t, isHeld(l, culprit), "after %d", n+1)
+		require.False(t, isQuarantined(l, culprit), "after %d", n+1)
 	}
 	require.True(t, l.Suspect(culprit))
 	clock.recordCrash(l, culprit, target(2), Begun)
 	left, ok := l.Quarantined(culprit)
 	require.True(t, ok)
 	require.Equal(t, retention-2*time.Second, left, "until the first crash expires")
-	require.Equal(t, []Fingerprint{culprit}, held)
+	require.Equal(t, []Fingerprint{culprit}, quarantined)
 	require.Equal(t, 1, l.QuarantinedContents())
-	require.False(t, isHeld(l, bystander))
+	require.False(t, isQuarantined(l, bystander))
 	require.False(t, l.Suspect(bystander))
 }
 
@@ -60,9 +60,9 @@
 		clock.recordCrash(l, culprit, target(n), Begun)
 	}
 	clock.advance(retention - 20*time.Second)
-	require.False(t, isHeld(l, culprit))
+	require.False(t, isQuarantined(l, culprit))
 	clock.recordCrash(l, culprit, target(9), Begun)
-	require.True(t, isHeld(l, culprit))
+	require.True(t, isQuarantined(l, culprit))
 }
 
 // A request that shares its targets with the culprit, but was mostly waiting or
@@ -73,11 +73,11 @@
 	for n, s := range []Standing{Waiting, Begun, Waiting, Settled, Waiting, Waiting, Waiting, Waiting, Waiting} {
 		clock.advance(time.Second)
 		l.RecordCrash(Report{Content: bystander, Target: target(n), Standing: s, Ran: time.Second})
-		require.False(t, isHeld(l, bystander), "after %d", n)
+		require.False(t, isQuarantined(l, bystander), "after %d", n)
 		l.RecordCrash(Report{Content: culprit, Target: target(n), Standing: Begun, Ran: time.Second})
-		require.False(t, isHeld(l, bystander), "after %d", n)
+		require.False(t, isQuarantined(l, bystander), "after %d", n)
 	}
-	require.True(t, isHeld(l, culprit))
+	require.True(t, isQuarantined(l, culprit))
 }
 
 // Unary requests all have the same standing. The one that was involved in every
@@ -92,9 +92,9 @@
 			l.RecordCrash(Report{Content: f, Target: target(n), Standing: Begun, Ran: 30 * time.Millisecond})
 		}
 	}
-	require.True(t, isHeld(l, culprit))
+	require.True(t, isQuarantined(l, culprit))
 	for n := range 3 {
-		require.False(t, isHeld(l, content(n+1)))
+		require.False(t, isQuarantined(l, content(n+1)))
 	}
 }
 
@@ -111,19 +111,19 @@
 	for n := range 3 {
 		both(n)
 	}
-	require.False(t, isHeld(l, culprit))
-	require.False(t, isHeld(l, bystander))
+	require.False(t, isQuarantined(l, culprit))
+	require.False(t, isQuarantined(l, bystander))
 
 	separated := newLedger(clock)
 	separated.Merge(l.AllReports())
 	clock.recordCrash(separated, culprit, target(5), Begun)
-	require.True(t, isHeld(separated, culprit))
-	require.False(t, isHeld(separated, bystander))
+	require.True(t, isQuarantined(separated, culprit))
+	require.False(t, isQuarantined(separated, bystander))
 
 	both(3)
 	both(4)
-	require.True(t, isHeld(l, culprit))
-	require.True(t, isHeld(l, bystander))
+	require.True(t, isQuarantined(l, culprit))
+	require.True(t, isQuarantined(l, bystander))
 }
 
 func TestSuccessfulRunClearsContent(t *testing.T) {
@@ -138,7 +138,7 @@
 			l.RecordSuccess(bystander)
 			require.False(t, l.Suspect(bystander))
 		}
-		require.False(t, isHeld(l, bystander))
+		require.False(t, isQuarantined(l, bystander))
 	}
 }
 
@@ -150,12 +150,12 @@
 		clock.advance(20 * time.Millisecond)
 		l.RecordCrash(Report{Content: bystander, Target: target(n), Standing: Begun, Ran: time.Second})
 	}
-	require.False(t, isHeld(l, bystander))
+	require.False(t, isQuarantined(l, bystander))
 	for n := range 2 { // but runs sent one after the other's crash count, however short
 		clock.advance(20 * time.Millisecond)
 		l.RecordCrash(Report{Content: bystander, Target: target(10 + n), Standing: Begun, Ran: 15 * time.Millisecond})
 	}
-	require.True(t, isHeld(l, bystander))
+	require.True(t, isQuarantined(l, bystander))
 }
 
 // The order of short runs reported by their own node takes precedence over
@@ -167,13 +167,13 @@
 	for n := range 3 {
 		clock.advance(20 * time.Millisecond)
 		here.RecordCrash(Report{Content: culprit, Target: target(n), Standing: Begun, Ran: 19 * time.Millisecond})
-		var notes []Report
-		notes, number = here.ReportsAfter(number)
-		notes[0].Age += time.Duration(n) * 5 * time.Millisecond // later crashes appear older
-		there.Merge(notes)
+		var reports []Report
+		reports, number = here.ReportsAfter(number)
+		reports[0].Age += time.Duration(n) * 5 * time.Millisecond // later crashes appear older
+		there.Merge(reports)
 	}
-	require.True(t, isHeld(here, culprit))
-	require.True(t, isHeld(there, culprit))
+	require.True(t, isQuarantined(here, culprit))
+	require.True(t, isQuarantined(there, culprit))
 }
 
 // A Waiting run weighs half: six such crashes reach the threshold.
@@ -183,9 +183,9 @@
 	for n := range 5 {
 		clock.recordCrash(l, culprit, target(n), Waiting)
 	}
-	require.False(t, isHeld(l, culprit))
+	require.False(t, isQuarantined(l, culprit))
 	clock.recordCrash(l, culprit, target(5), Waiting)
-	require.True(t, isHeld(l, culprit))
+	require.True(t, isQuarantined(l, culprit))
 }
 
 // Two crashes of a restarted target count twice.
@@ -196,7 +196,7 @@
 		clock.advance(3 * time.Second)
 		l.RecordCrash(Report{Content: culprit, Target: target(1), Standing: Begun, Ran: time.Second})
 	}
-	require.True(t, isHeld(l, culprit))
+	require.True(t, isQuarantined(l, culprit))
 }
 
 // Expired crashes must not block new ones from being recorded.
@@ -207,41 +207,41 @@
 		clock.recordCrash(l, culprit, target(n), Begun)
 	}
 	clock.advance(retention)
-	require.False(t, isHeld(l, culprit))
+	require.False(t, isQuarantined(l, culprit))
 	for n := range 3 {
 		clock.recordCrash(l, culprit, target(100+n), Begun)
 	}
-	require.True(t, isHeld(l, culprit))
+	require.True(t, isQuarantined(l, culprit))
 }
 
-func TestNodesExchangeNotes(t *testing.T) {
+func TestNodesExchangeReports(t *testing.T) {
 	clock := newClock()
 	here, there := newLedger(clock), newLedger(clock)
 	clock.recordCrash(here, culprit, target(1), Waiting)
-	notes, number := here.ReportsAfter(0)
-	require.Len(t, notes, 1)
+	reports, number := here.ReportsAfter(0)
+	require.Len(t, reports, 1)
 	clock.advance(time.Second)
-	require.Len(t, there.Merge(notes), 1)
-	require.Empty(t, there.Merge(notes), "a duplicate changes nothing")
-	notes, _ = here.ReportsAfter(number)
-	require.Empty(t, notes)
+	require.Len(t, there.Merge(reports), 1)
+	require.Empty(t, there.Merge(reports), "a duplicate changes nothing")
+	reports, _ = here.ReportsAfter(number)
+	require.Empty(t, reports)
 	clock.recordCrash(there, culprit, target(2), Begun)
 	clock.recordCrash(here, culprit, target(3), Begun)
 	clock.recordCrash(here, culprit, target(1), Begun)
-	notes, _ = here.ReportsAfter(number)
-	there.Merge(notes)
-	require.True(t, isHeld(there, culprit))
-	notes, _ = there.ReportsAfter(0)
-	require.Len(t, notes, 1, "received notes are not forwarded")
+	reports, _ = here.ReportsAfter(number)
+	there.Merge(reports)
+	require.True(t, isQuarantined(there, culprit))
+	reports, _ = there.ReportsAfter(0)
+	require.Len(t, reports, 1, "received reports are not forwarded")
 
 	late := newLedger(clock)
 	clock.advance(time.Minute)
 	late.Merge(there.AllReports())
-	require.True(t, isHeld(late, culprit), "a restarted node learns of it")
+	require.True(t, isQuarantined(late, culprit), "a restarted node learns of it")
 }
 
 // A crash reported after a later successful run is ignored.
-func TestNotesOutOfOrder(t *testing.T) {
+func TestReportsOutOfOrder(t *testing.T) {
 	clock := newClock()
 	l := newLedger(clock)
 	clock.recordCrash(l, bystander, target(1), Begun)
@@ -258,30 +258,30 @@
 	require.True(t, l.Suspect(8), "a negative age counts as zero")
 }
 
-// Nodes that receive the same notes in any order, with duplicates, reach the
+// Nodes that receive the same reports in any order, with duplicates, reach the
 // same result.
-func TestOrderOfNotesDoesNotMatter(t *testing.T) {
+func TestOrderOfReportsDoesNotMatter(t *testing.T) {
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 1))
-		var notes []Report
+		var reports []Report
 		for range 60 {
 			n := Report{Content: content(rng.IntN(6)), Target: target(rng.IntN(8)), Standing: Standing(rng.IntN(3)), Ran: time.Second}
 			n.Age = time.Duration(rng.IntN(100)) * 2 * time.Second
-			notes = append(notes, n)
+			reports = append(reports, n)
 		}
 		clock := newClock()
 		one, two := newLedger(clock), newLedger(clock)
-		for _, n := range notes {
+		for _, n := range reports {
 			one.Merge([]Report{n})
 		}
-		rng.Shuffle(len(notes), func(i, j int) { notes[i], notes[j] = notes[j], notes[i] })
-		two.Merge(append(slices.Clone(notes), notes[:10]...))
+		rng.Shuffle(len(reports), func(i, j int) { reports[i], reports[j] = reports[j], reports[i] })
+		two.Merge(append(slices.Clone(reports), reports[:10]...))
 		// A successful run is not recorded before the first crash of its content, so
-		// both take all notes once more.
-		two.Merge(notes)
-		one.Merge(notes)
+		// both take all reports once more.
+		two.Merge(reports)
+		one.Merge(reports)
 		for n := range 6 {
-			require.Equal(t, isHeld(one, content(n)), isHeld(two, content(n)), "seed %d content %d", seed, n)
+			require.Equal(t, isQuarantined(one, content(n)), isQuarantined(two, content(n)), "seed %d content %d", seed, n)
 		}
 	}
 }
@@ -292,24 +292,24 @@
 	for n := range 3 {
 		clock.recordCrash(l, culprit, target(n), Begun)
 	}
-	var notes []Report
+	var reports []Report
 	for n := range 3 * maxContents {
-		notes = append(notes, Report{Content: content(n), Target: target(10 + n), Standing: Begun})
+		reports = append(reports, Report{Content: content(n), Target: target(10 + n), Standing: Begun})
 	}
 	for range 2 {
 		clock.advance(time.Minute)
-		l.Merge(notes)
+		l.Merge(reports)
 	}
 	require.LessOrEqual(t, len(l.records), maxContents)
 	require.LessOrEqual(t, len(l.atTarget), maxContents+3)
-	require.True(t, isHeld(l, culprit), "quarantined contents are not evicted")
-	require.LessOrEqual(t, len(l.AllReports()), maxSevere)
+	require.True(t, isQuarantined(l, culprit), "quarantined contents are not evicted")
+	require.LessOrEqual(t, len(l.AllReports()), maxCritical)
 	for n := range 100 {
 		clock.recordCrash(l, culprit, target(100000+n), Begun)
 	}
 	require.LessOrEqual(t, len(l.records[culprit].crashes), maxCrashes)
-	news, _ := l.ReportsAfter(0)
-	require.LessOrEqual(t, len(news), maxOutbox)
+	outbox, _ := l.ReportsAfter(0)
+	require.LessOrEqual(t, len(outbox), maxOutbox)
 }
 
 func TestFingerprintsDistinguishContents(t *testing.T) {
@@ -330,8 +330,8 @@
 func TestQuarantineWaitsForReportsOfOtherNodes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		informed, isolated := New(), New()
-		var held []Fingerprint
-		isolated.OnQuarantined(func(f Fingerprint) { held = append(held, f) })
+		var quarantined []Fingerprint
+		isolated.OnQuarantined(func(f Fingerprint) { quarantined = append(quarantined, f) })
 		for n := range 3 {
 			time.Sleep(time.Second)
 			for _, l := range []*Ledger{informed, isolated} {
@@ -339,8 +339,8 @@
 			}
 		}
 		time.Sleep(reportDelay / 2)
-		require.False(t, isHeld(informed, bystander))
-		require.False(t, isHeld(isolated, bystander))
+		require.False(t, isQuarantined(informed, bystander))
+		require.False(t, isQuarantined(isolated, bystander))
 		require.Equal(t, reportDelay/2, informed.DecisionDelay(bystander))
 		var reports []Report
 		for n := range 4 { // involved in one earlier crash
@@ -349,10 +349,10 @@
 		informed.Merge(reports)
 		require.Zero(t, informed.DecisionDelay(bystander))
 		time.Sleep(reportDelay)
-		require.False(t, isHeld(informed, bystander))
-		require.True(t, isHeld(informed, culprit))
-		require.True(t, isHeld(isolated, bystander))
-		require.Equal(t, []Fingerprint{bystander}, held)
+		require.False(t, isQuarantined(informed, bystander))
+		require.True(t, isQuarantined(informed, culprit))
+		require.True(t, isQuarantined(isolated, bystander))
+		require.Equal(t, []Fingerprint{bystander}, quarantined)
 		require.Zero(t, isolated.DecisionDelay(bystander))
 	})
 }
--- a/quarantine/news.go
+++ b/quarantine/news.go
@@ -5,81 +5,81 @@
 	"time"
 )
 
-// repeatTime is the age of a crash or successful run up to which its local note
+// repeatTime is the age of a crash or successful run up to which its local report
 // is included in full updates, in case an incremental update was lost.
 const repeatTime = 5 * time.Second
 
-// severeWeight is the weight from which the crashes of a content are included
+// criticalWeight is the weight from which the crashes of a content are included
 // in full updates, so that a restarted node learns them: with one more crash of
 // a Begun run the content reaches the quarantine threshold.
-const severeWeight = heldWeight - begunWeight
+const criticalWeight = quarantineWeight - begunWeight
 
-// maxSevere bounds the notes that severeNotes returns.
-const maxSevere = 100
+// maxCritical bounds the reports that criticalReports returns.
+const maxCritical = 100
 
-// enqueue stores a local note for distribution and drops the oldest notes
+// enqueue stores a local report for distribution and drops the oldest reports
 // beyond maxOutbox. The caller holds l.mu.
 func (l *Ledger) enqueue(n Report, now time.Time) {
 	l.lastNumber++
-	l.outbox = append(l.outbox, numberedNote{number: l.lastNumber, note: n, at: now.Add(-n.Age)})
+	l.outbox = append(l.outbox, numberedReport{number: l.lastNumber, report: n, at: now.Add(-n.Age)})
 	l.outbox = l.outbox[max(0, len(l.outbox)-maxOutbox):]
 }
 
-// ReportsAfter returns the local notes after a sequence number, with their current
-// ages, and the newest sequence number. Notes that enqueue dropped are missing.
+// ReportsAfter returns the local reports after a sequence number, with their current
+// ages, and the newest sequence number. Reports that enqueue dropped are missing.
 func (l *Ledger) ReportsAfter(after uint64) ([]Report, uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.cfg.Now()
-	var notes []Report
+	var reports []Report
 	for _, n := range l.outbox {
 		if n.number > after {
-			notes = append(notes, n.asOf(now))
+			reports = append(reports, n.asOf(now))
 		}
 	}
-	return notes, l.lastNumber
+	return reports, l.lastNumber
 }
 
-func (n numberedNote) asOf(now time.Time) Report {
-	n.note.Age = now.Sub(n.at)
-	return n.note
+func (n numberedReport) asOf(now time.Time) Report {
+	n.report.Age = now.Sub(n.at)
+	return n.report
 }
 
-// AllReports returns a full update for a node that missed notes: local notes up
-// to repeatTime old, and the notes of Grave. A note may be among both.
+// AllReports returns a full update for a node that missed reports: local reports up
+// to repeatTime old, and the reports of CriticalReports. A report may be among both.
 func (l *Ledger) AllReports() []Report {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.cfg.Now()
-	var notes []Report
+	var reports []Report
 	for _, n := range l.outbox {
 		if now.Sub(n.at) <= repeatTime {
-			notes = append(notes, n.asOf(now))
+			reports = append(reports, n.asOf(now))
 		}
 	}
-	return append(notes, l.severeNotes(now)...)
+	return append(reports, l.criticalReports(now)...)
 }
 
 // CriticalReports returns the newest crashes, local or not, of contents that are
-// quarantined or close to it (see severeWeight), at most maxSevere.
+// quarantined or close to it (see criticalWeight), at most maxCritical.
 func (l *Ledger) CriticalReports() []Report {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.severeNotes(l.cfg.Now())
+	return l.criticalReports(l.cfg.Now())
 }
 
-// severeNotes returns the newest crashes of contents whose crashes weigh at
-// least severeWeight, at most maxSevere. The caller holds l.mu.
-func (l *Ledger) severeNotes(now time.Time) []Report {
-	var notes []Report
+// criticalReports returns the newest crashes of contents whose crashes weigh at
+// least criticalWeight, at most maxCritical. The caller holds l.mu.
+func (l *Ledger) criticalReports(now time.Time) []Report {
+	var reports []Report
 	for content, r := range l.records {
-		if weightOf(r.countedCrashes(now)) < severeWeight {
+		if weightOf(r.countedCrashes(now)) < criticalWeight {
 			continue
 		}
 		for _, e := range r.crashes {
-			notes = append(notes, Report{Content: content, Target: e.target, Standing: e.standing, Age: now.Sub(e.at), Ran: e.at.Sub(e.sent), Later: e.sentAfterKnown})
+			reports = append(reports, Report{Content: content, Target: e.target, Standing: e.standing, Age: now.Sub(e.at), Ran: e.at.Sub(e.sent), Later: e.sentAfterKnown})
 		}
 	}
-	slices.SortFunc(notes, func(a, b Report) int { return int(a.Age - b.Age) })
-	return notes[:min(maxSevere, len(notes))]
+	slices.SortFunc(reports, func(a, b Report) int { return int(a.Age - b.Age) })
+	return reports[:min(maxCritical, len(reports))]
 }
--- a/quarantine/quarantine.go
+++ b/quarantine/quarantine.go
@@ -38,14 +38,14 @@
 	// waitingWeight is lower, since most runs that wait at a crashing target
 	// have not started.
 	waitingWeight = 1
-	// heldWeight is the quarantine threshold, three crashes of Begun runs.
+	// quarantineWeight is the quarantine threshold, three crashes of Begun runs.
 	// Fewer may be chance; more would cost other requests their runs.
-	heldWeight = 3 * begunWeight
+	quarantineWeight = 3 * begunWeight
 	// tiedWeight is the quarantine threshold for a content that shared all its
 	// crashes with another one, so that neither can be cleared.
 	tiedWeight = 5 * begunWeight
-	// minCrashes is the least number of crashes that reach heldWeight.
-	minCrashes = heldWeight / begunWeight
+	// minCrashes is the least number of crashes that reach quarantineWeight.
+	minCrashes = quarantineWeight / begunWeight
 )
 
 var weights = map[Standing]int{Waiting: waitingWeight, Begun: begunWeight}
@@ -77,7 +77,7 @@
 	maxContents     = 4096 // about 300 bytes each
 	evictionDivisor = 8    // fraction evicted when full: 1/8
 	maxCrashes      = 16   // per content
-	maxOutbox       = 256  // local notes kept for distribution
+	maxOutbox       = 256  // local reports kept for distribution
 )
 
 // Report is a crash or successful run reported between nodes.
@@ -96,7 +96,7 @@
 // Config configures a Ledger.
 type Config struct {
 	Now           func() time.Time  // clock that includes time suspended
-	OnReport      func()            // called when there are new local notes
+	OnReport      func()            // called when there are new local reports
 	OnQuarantined func(Fingerprint) // called when a content is newly quarantined
 	ReportDelay   time.Duration     // minimum age of a crash that counts for quarantine
 }
--- a/quarantine/witness.go
+++ b/quarantine/witness.go
@@ -43,21 +43,21 @@
 	probes sync.WaitGroup
 }
 
-// NewCrashDetector returns a witness that probes targets with dial; with a nil dial
+// NewCrashDetector returns a CrashDetector that probes targets with dial; with a nil dial
 // it detects nothing.
 func NewCrashDetector(l *Ledger, dial DialFunc) *CrashDetector {
-	w := &CrashDetector{Ledger: l, dial: dial}
-	w.ctx, w.cancel = context.WithCancel(context.Background())
-	return w
+	d := &CrashDetector{Ledger: l, dial: dial}
+	d.ctx, d.cancel = context.WithCancel(context.Background())
+	return d
 }
 
 // Close cancels pending probes, whose results are discarded.
-func (w *CrashDetector) Close() {
-	w.mu.Lock()
-	w.closed = true
-	w.mu.Unlock()
-	w.cancel()
-	w.probes.Wait()
+func (d *CrashDetector) Close() {
+	d.mu.Lock()
+	d.closed = true
+	d.mu.Unlock()
+	d.cancel()
+	d.probes.Wait()
 }
 
 // BrokenConn describes a connection to a target that broke during a run.
@@ -74,24 +74,24 @@
 type Probe struct{ done chan struct{} }
 
 // StartProbe starts probing the target of a broken connection. It returns nil without
-// probing if the run was Settled or the witness is closed.
-func (w *CrashDetector) StartProbe(b BrokenConn) *Probe {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if b.Standing == Settled || w.closed {
+// probing if the run was Settled or the detector is closed.
+func (d *CrashDetector) StartProbe(b BrokenConn) *Probe {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if b.Standing == Settled || d.closed {
 		return nil
 	}
 	brokeAt := uptime.Now()
-	note := Report{Content: b.Content, Target: shortname.Of(b.Target), Standing: b.Standing, Ran: uptime.Since(b.Sent)}
+	report := Report{Content: b.Content, Target: shortname.Of(b.Target), Standing: b.Standing, Ran: uptime.Since(b.Sent)}
 	probe := &Probe{done: make(chan struct{})}
-	w.probes.Go(func() {
+	d.probes.Go(func() {
 		defer close(probe.done)
-		exited := w.hasExited(b.Address)
+		exited := d.hasExited(b.Address)
 		klog.InfoS("Looked at a target that broke off", "request", b.Request, "content", b.Content, "target", b.Target,
-			"standing", b.Standing, "ended", exited, "ran_ms", note.Ran.Milliseconds())
+			"standing", b.Standing, "ended", exited, "ran_ms", report.Ran.Milliseconds())
 		if exited {
-			note.Age = uptime.Since(brokeAt)
-			w.RecordCrash(note)
+			report.Age = uptime.Since(brokeAt)
+			d.RecordCrash(report)
 		}
 	})
 	return probe
@@ -103,9 +103,9 @@
 
 // CheckNew returns the error for a new request whose content is quarantined, with
 // the remaining quarantine as Retry-After, or nil.
-func (w *CrashDetector) CheckNew(content Fingerprint) *walnutramp.Error {
-	left, held := w.Quarantined(content)
-	if !held {
+func (d *CrashDetector) CheckNew(content Fingerprint) *walnutramp.Error {
+	left, quarantined := d.Quarantined(content)
+	if !quarantined {
 		return nil
 	}
 	return walnutramp.NewError(walnutramp.CodeQuarantined, walnutramp.NotRun, endsTargetsMessage).WithRetryAfter(left)
@@ -113,31 +113,31 @@
 
 // CheckRetry returns the error for a request that may have run on a target and must
 // not be retried on another one, or nil. If the content is already a suspect,
-// it waits for the probe's result and, where that decides, for notes of other
+// it waits for the probe's result and, where that decides, for reports of other
 // nodes.
-func (w *CrashDetector) CheckRetry(l *Probe, content Fingerprint) *walnutramp.Error {
-	if l != nil && w.Suspect(content) {
-		<-l.done
-		pause.For(w.ctx, w.DecisionDelay(content))
+func (d *CrashDetector) CheckRetry(probe *Probe, content Fingerprint) *walnutramp.Error {
+	if probe != nil && d.Suspect(content) {
+		<-probe.done
+		pause.For(d.ctx, d.DecisionDelay(content))
 	}
-	if _, held := w.Quarantined(content); !held {
+	if _, quarantined := d.Quarantined(content); !quarantined {
 		return nil
 	}
 	return walnutramp.NewError(walnutramp.CodeCrashesTargets, walnutramp.Unknown, endsTargetsMessage)
 }
 
 // hasExited reports whether nothing listens on a target's address any more.
-func (w *CrashDetector) hasExited(address string) bool {
-	ctx, cancel := context.WithTimeout(w.ctx, probeTimeout)
+func (d *CrashDetector) hasExited(address string) bool {
+	ctx, cancel := context.WithTimeout(d.ctx, probeTimeout)
 	defer cancel()
-	return w.refusesConnection(ctx, address) || pause.For(ctx, probeInterval) && w.refusesConnection(ctx, address)
+	return d.refusesConnection(ctx, address) || pause.For(ctx, probeInterval) && d.refusesConnection(ctx, address)
 }
 
-func (w *CrashDetector) refusesConnection(ctx context.Context, address string) bool {
-	if w.dial == nil {
+func (d *CrashDetector) refusesConnection(ctx context.Context, address string) bool {
+	if d.dial == nil {
 		return false
 	}
-	c, err := w.dial(ctx, "tcp", address)
+	c, err := d.dial(ctx, "tcp", address)
 	if err == nil {
 		c.Close()
 	}
--- a/quarantine/witness_test.go
+++ b/quarantine/witness_test.go
@@ -50,7 +50,7 @@
 	require.True(t, w.Suspect(culprit))
 }
 
-func TestSettledRunsAndClosedWitnessesDoNotProbe(t *testing.T) {
+func TestSettledRunsAndClosedDetectorsDoNotProbe(t *testing.T) {
 	w := NewCrashDetector(New(), dial)
 	b := breakAt(listener(t))
 	b.Standing = Settled
--- a/quota/register.go
+++ b/quota/register.go
@@ -21,8 +21,8 @@
 }
 
 type heardNode struct {
-	at   time.Time
-	life uint64
+	at          time.Time
+	incarnation uint64
 }
 
 // NewRegister returns a Register for a quota per span.
@@ -39,14 +39,15 @@
 	clear(r.removing)
 }
 
-// RecordRequest records a node's request. A relay may not know the node's Life and leaves it 0.
+// RecordRequest records a node's request. A relay may not know the node's incarnation
+// and leaves it 0.
 func (r *Register) RecordRequest(n Node) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if n.Incarnation == 0 {
-		n.Incarnation = r.heard[n.Address].life
+		n.Incarnation = r.heard[n.Address].incarnation
 	}
-	r.heard[n.Address] = heardNode{at: uptime.Now(), life: n.Incarnation}
+	r.heard[n.Address] = heardNode{at: uptime.Now(), incarnation: n.Incarnation}
 }
 
 // Next returns the set that the group should agree on next and the nodes that join and
@@ -63,7 +64,7 @@
 		if now.Sub(n.at) > evictDelay(r.span) {
 			delete(r.heard, address)
 		} else if !set.has(address) || r.removing[address] {
-			next.add(address, n.life)
+			next.add(address, n.incarnation)
 			joining = append(joining, address)
 		}
 	}
--- a/quota/set.go
+++ b/quota/set.go
@@ -31,12 +31,12 @@
 	return s
 }
 
-// add adds a node; its life is kept only until the set is opened.
-func (s *Set) add(address string, life uint64) {
+// add adds a node; its incarnation is kept only until the set is opened.
+func (s *Set) add(address string, incarnation uint64) {
 	if s.Open {
-		life = 0
+		incarnation = 0
 	}
-	s.Lives[address] = life
+	s.Lives[address] = incarnation
 }
 
 // has reports whether all addresses are in the set.
