--- a/fleet/demand.go
+++ b/fleet/demand.go
@@ -26,14 +26,14 @@
 }
 
 // Merge merges a node's report; incarnation identifies its process.
-func (t *Aggregator) Merge(node string, incarnation uint64, rows []Demand) {
-	n := t.nodes[node]
+func (a *Aggregator) Merge(node string, incarnation uint64, rows []Demand) {
+	n := a.nodes[node]
 	if n == nil || n.incarnation != incarnation {
 		n = &nodeDemand{incarnation: incarnation, rows: map[string]Demand{}}
 		for _, row := range rows {
 			n.rows[row.Service] = row
 		}
-		t.nodes[node] = n
+		a.nodes[node] = n
 	}
 	for _, row := range rows {
 		before := n.rows[row.Service]
@@ -41,24 +41,24 @@
 			continue // reordered report, older than the last one
 		}
 		n.rows[row.Service] = row
-		total := t.total[row.Service]
+		total := a.total[row.Service]
 		total.Add(row.since(before))
-		t.total[row.Service] = total
+		a.total[row.Service] = total
 	}
 }
 
 // Total returns the totals, sorted by service. They never decrease.
-func (t *Aggregator) Total() []Demand {
-	total := make([]Demand, 0, len(t.total))
-	for _, service := range slices.Sorted(maps.Keys(t.total)) {
-		total = append(total, t.total[service])
+func (a *Aggregator) Total() []Demand {
+	total := make([]Demand, 0, len(a.total))
+	for _, service := range slices.Sorted(maps.Keys(a.total)) {
+		total = append(total, a.total[service])
 	}
 	return total
 }
 
 // Of returns the total of a service; false if no node has reported it.
-func (t *Aggregator) Of(service string) (Demand, bool) {
-	d, known := t.total[service]
+func (a *Aggregator) Of(service string) (Demand, bool) {
+	d, known := a.total[service]
 	return d, known
 }
 
--- a/fleet/mover.go
+++ b/fleet/mover.go
@@ -106,20 +106,20 @@
 }
 
 // at returns the state of a place, which it adds if there is none.
-func (m *Reconciler) at(p Place) *placeState {
-	if m.places[p] == nil {
-		m.places[p] = &placeState{}
+func (r *Reconciler) at(p Place) *placeState {
+	if r.places[p] == nil {
+		r.places[p] = &placeState{}
 	}
-	return m.places[p]
+	return r.places[p]
 }
 
 // Observe compares the listed targets with the orders and returns the places where
 // a reclaim of spot targets has begun. A reclaim affects the whole place, so
 // Observe removes its targets from v.Serving even if they are still listed.
-func (m *Reconciler) Observe(now time.Time, v *ReconcileInput) (reclaimed []Place) {
+func (r *Reconciler) Observe(now time.Time, v *ReconcileInput) (reclaimed []Place) {
 	v.Serving = maps.Clone(v.Serving)
 	for p, ordered := range v.Ordered {
-		s := m.at(p)
+		s := r.at(p)
 		if s.beingReclaimed(now, p, v) && !s.reclaimed {
 			s.reclaimed = true
 			s.refused(now, v.Scaling.Boot)
@@ -160,9 +160,9 @@
 
 // Exhausted returns the places without further capacity at present, with the count
 // that serves there.
-func (m *Reconciler) Exhausted(now time.Time, serving Counts) Counts {
+func (r *Reconciler) Exhausted(now time.Time, serving Counts) Counts {
 	exhausted := Counts{}
-	for p, s := range m.places {
+	for p, s := range r.places {
 		if now.Before(s.backoffUntil) {
 			exhausted[p] = serving[p]
 		}
@@ -171,8 +171,8 @@
 }
 
 // RecordOutcome records the outcome of a call that was started at the given time.
-func (m *Reconciler) RecordOutcome(at time.Time, step Step, outcome duty.Outcome, boot time.Duration) {
-	s := m.at(step.Order.Place())
+func (r *Reconciler) RecordOutcome(at time.Time, step Step, outcome duty.Outcome, boot time.Duration) {
+	s := r.at(step.Order.Place())
 	s.lastSent = at
 	if step.Order.Count > step.Before {
 		s.lastScaledUp = at
@@ -184,7 +184,7 @@
 			s.repeated++
 		}
 		if step.Order.Count < step.Before {
-			m.lastScaledDown[step.Order.DataHall] = at
+			r.lastScaledDown[step.Order.DataHall] = at
 			s.recordRemoved(at, step.Before-step.Order.Count)
 		}
 	case duty.Rejected:
@@ -205,21 +205,21 @@
 }
 
 // Next returns the orders to send now, at most one per data hall.
-func (m *Reconciler) Next(now time.Time, v *ReconcileInput) []Step {
+func (r *Reconciler) Next(now time.Time, v *ReconcileInput) []Step {
 	staying := v.staying()
-	m.recordWanted(now, v)
+	r.recordWanted(now, v)
 	spare := staying.Total() - v.Wanted.Total()
 	var steps []Step
 	for _, hall := range v.halls() {
 		if v.Busy[hall] {
 			continue
 		}
-		step, ok := m.scaleUp(now, v, hall)
+		step, ok := r.scaleUp(now, v, hall)
 		if !ok {
-			step, ok = m.scaleDown(now, v, hall, &spare, staying)
+			step, ok = r.scaleDown(now, v, hall, &spare, staying)
 		}
 		if !ok {
-			step, ok = m.repeat(now, v, hall)
+			step, ok = r.repeat(now, v, hall)
 		}
 		if ok {
 			steps = append(steps, step)
@@ -229,18 +229,18 @@
 }
 
 // recordWanted stores the wanted counts for scaleDownDelay.
-func (m *Reconciler) recordWanted(now time.Time, v *ReconcileInput) {
-	m.wanted = append(m.wanted, wantedAt{now, v.Wanted})
-	for now.Sub(m.wanted[0].at) > scaleDownDelay*v.Scaling.Boot {
-		m.wanted = m.wanted[1:]
+func (r *Reconciler) recordWanted(now time.Time, v *ReconcileInput) {
+	r.wanted = append(r.wanted, wantedAt{now, v.Wanted})
+	for now.Sub(r.wanted[0].at) > scaleDownDelay*v.Scaling.Boot {
+		r.wanted = r.wanted[1:]
 	}
 }
 
 // maxWanted returns the highest count that was wanted in a data hall within
 // scaleDownDelay.
-func (m *Reconciler) maxWanted(hall string) int {
+func (r *Reconciler) maxWanted(hall string) int {
 	highest := 0
-	for _, w := range m.wanted {
+	for _, w := range r.wanted {
 		highest = max(highest, w.counts.Hall(hall))
 	}
 	return highest
@@ -273,21 +273,21 @@
 var kinds = []Kind{Spot, OnDemand}
 
 // scaleUp returns the scale-up order for a data hall, if any.
-func (m *Reconciler) scaleUp(now time.Time, v *ReconcileInput, hall string) (Step, bool) {
+func (r *Reconciler) scaleUp(now time.Time, v *ReconcileInput, hall string) (Step, bool) {
 	for _, kind := range kinds {
 		p := Place{hall, kind}
 		before := v.Ordered[p]
 		other := Place{hall, 1 - kind}
 		room := v.Scaling.Max - max(v.Ordered[other], v.Serving[other]) // removed targets may still serve
 		count := min(v.Wanted[p], room)
-		if count <= before || m.outcomeUnclear(p) || now.Before(m.at(p).backoffUntil) || v.inDeadBand(count-before, hall) {
+		if count <= before || r.outcomeUnclear(p) || now.Before(r.at(p).backoffUntil) || v.inDeadBand(count-before, hall) {
 			continue
 		}
-		booting := !v.Idle && now.Sub(m.at(p).lastScaledUp) < v.Scaling.Boot
+		booting := !v.Idle && now.Sub(r.at(p).lastScaledUp) < v.Scaling.Boot
 		if booting && float64(count-before) < regrowPart*float64(v.Ordered.Hall(hall)) {
 			continue
 		}
-		return m.step(p, before, count), true
+		return r.step(p, before, count), true
 	}
 	return Step{}, false
 }
@@ -295,16 +295,16 @@
 // scaleDown returns the scale-down order for a data hall, if any. Spare is the
 // number of staying targets beyond those wanted, over all data halls; scaleDown
 // deducts what it removes.
-func (m *Reconciler) scaleDown(now time.Time, v *ReconcileInput, hall string, spare *int, staying Counts) (Step, bool) {
-	if at := m.lastScaledDown[hall]; v.ListIncomplete || !v.Idle && !at.IsZero() && now.Sub(at) < v.Scaling.Boot {
+func (r *Reconciler) scaleDown(now time.Time, v *ReconcileInput, hall string, spare *int, staying Counts) (Step, bool) {
+	if at := r.lastScaledDown[hall]; v.ListIncomplete || !v.Idle && !at.IsZero() && now.Sub(at) < v.Scaling.Boot {
 		return Step{}, false
 	}
 	for _, kind := range []Kind{OnDemand, Spot} {
 		p, other := Place{hall, kind}, Place{hall, 1 - kind}
 		before := v.Ordered[p]
 		surplus := before - v.Wanted[p]
-		booting := !v.Idle && now.Sub(m.at(p).lastScaledUp) < v.Scaling.Boot
-		if surplus <= 0 || booting || m.outcomeUnclear(p) || m.outcomeUnclear(other) || now.Before(m.at(p).backoffUntil) {
+		booting := !v.Idle && now.Sub(r.at(p).lastScaledUp) < v.Scaling.Boot
+		if surplus <= 0 || booting || r.outcomeUnclear(p) || r.outcomeUnclear(other) || now.Before(r.at(p).backoffUntil) {
 			continue
 		}
 		if v.Wanted[p] > 0 && v.inDeadBand(surplus, hall) {
@@ -317,7 +317,7 @@
 			allowed = min(staying.Total()-v.Least, v.maxScaleDown(hall))
 		}
 		if !v.Idle {
-			allowed = min(allowed, v.maxScaleDown(hall), v.Ordered.Hall(hall)-m.maxWanted(hall))
+			allowed = min(allowed, v.maxScaleDown(hall), v.Ordered.Hall(hall)-r.maxWanted(hall))
 		}
 		allowed = min(allowed, v.Ordered.Hall(hall)-v.Scaling.Min)
 		surplus = min(surplus, allowed)
@@ -326,7 +326,7 @@
 		}
 		*spare -= surplus
 		staying[p] -= min(staying[p], surplus)
-		return m.step(p, before, before-surplus), true
+		return r.step(p, before, before-surplus), true
 	}
 	return Step{}, false
 }
@@ -345,17 +345,17 @@
 
 // outcomeUnclear reports whether the last call for a place had an unclear
 // outcome.
-func (m *Reconciler) outcomeUnclear(p Place) bool {
-	s := m.at(p)
+func (r *Reconciler) outcomeUnclear(p Place) bool {
+	s := r.at(p)
 	return s.unclear > 0
 }
 
 // repeat returns an order that must be sent again, if any.
-func (m *Reconciler) repeat(now time.Time, v *ReconcileInput, hall string) (Step, bool) {
+func (r *Reconciler) repeat(now time.Time, v *ReconcileInput, hall string) (Step, bool) {
 	for _, kind := range kinds {
 		p := Place{hall, kind}
-		if count, given := v.Explicit[p]; given && m.mustRepeat(now, v, p) {
-			return m.step(p, count, count), true
+		if count, given := v.Explicit[p]; given && r.mustRepeat(now, v, p) {
+			return r.step(p, count, count), true
 		}
 	}
 	return Step{}, false
@@ -364,8 +364,8 @@
 // mustRepeat reports whether the last order for a place must be sent again: its
 // outcome was unclear, or the list has not shown it for longer than the boot
 // time. A new leader repeats at once.
-func (m *Reconciler) mustRepeat(now time.Time, v *ReconcileInput, p Place) bool {
-	s := m.at(p)
+func (r *Reconciler) mustRepeat(now time.Time, v *ReconcileInput, p Place) bool {
+	s := r.at(p)
 	switch {
 	case now.Before(s.backoffUntil):
 		return false
@@ -384,6 +384,6 @@
 	return now.Sub(since) >= settle
 }
 
-func (m *Reconciler) step(p Place, before, count int) Step {
-	return Step{Order: Order{Service: m.service, DataHall: p.DataHall, Kind: p.Kind, Count: count}, Before: before}
+func (r *Reconciler) step(p Place, before, count int) Step {
+	return Step{Order: Order{Service: r.service, DataHall: p.DataHall, Kind: p.Kind, Count: count}, Before: before}
 }
--- a/gateway/ask.go
+++ b/gateway/ask.go
@@ -11,7 +11,7 @@
 	"k8s.io/klog/v2"
 )
 
-// Backpressure holds the signals of load in a target's answer.
+// Backpressure holds the backpressure signals of a target's answer.
 type Backpressure struct {
 	// Cooldown is the cooldown that the target requests; 0 for none.
 	Cooldown time.Duration
@@ -95,12 +95,12 @@
 		return nil, err
 	}
 	g.applyLoad(t, answer.Header)
-	g.applySigns(t, r.Identity, answer)
+	g.applyBackpressure(t, r.Identity, answer)
 	return answer, nil
 }
 
-// applySigns applies the backpressure signals of an answer to its target.
-func (g *Gateway) applySigns(t *balance.Target, request string, a *targetconn.Answer) {
+// applyBackpressure applies the backpressure signals of an answer to its target.
+func (g *Gateway) applyBackpressure(t *balance.Target, request string, a *targetconn.Answer) {
 	if g.cfg.Names.ParseBackpressure == nil {
 		return
 	}
--- a/gateway/ask_test.go
+++ b/gateway/ask_test.go
@@ -46,8 +46,8 @@
 	return d
 }
 
-// parseTestSigns reads the backpressure signals of the tests' dialect.
-func parseTestSigns(status int, h http.Header) Backpressure {
+// parseTestBackpressure reads the backpressure signals of the tests' dialect.
+func parseTestBackpressure(status int, h http.Header) Backpressure {
 	seconds, _ := strconv.Atoi(h.Get("X-Rest"))
 	return Backpressure{Cooldown: time.Duration(seconds) * time.Second, Draining: h.Get("X-Leaves") == "1"}
 }
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -21,9 +21,9 @@
 // value of a copy: for a copy requested with its run, from the address of the holder and
 // the ID of the client request; for an ordered copy, from the address of the run's target
 // and the handle of the copy there. If CopyHandle is nil, no copies are requested with
-// runs; CopyOrders needs it, unless its Make is nil. ParseLoad parses Load, ParseBackpressure the
-// backpressure signals of an answer, and ParseUsage Usage; what has no parser is ignored,
-// without ParseUsage also Prefix.
+// runs; CopyOrders needs it, unless its Make is nil. ParseLoad parses Load,
+// ParseBackpressure the backpressure signals of an answer, and ParseUsage Usage; what has
+// no parser is ignored, without ParseUsage also Prefix.
 type Names struct {
 	Identity          string // ID of a client request
 	Deadline          string // milliseconds that the client waits
--- a/gateway/harness_test.go
+++ b/gateway/harness_test.go
@@ -41,7 +41,7 @@
 		out, _ = strconv.Atoi(b)
 		return prompt, out
 	},
-	ParseBackpressure: parseTestSigns,
+	ParseBackpressure: parseTestBackpressure,
 	ParseLoad: func(v string) (balance.Load, bool) {
 		n, err := strconv.Atoi(v)
 		return balance.Load{Running: n}, err == nil
--- a/generation/takeover.go
+++ b/generation/takeover.go
@@ -92,20 +92,20 @@
 		return best, nil
 	}
 	nodes := Rank(args.ID, m.cfg.Directory.Known())
-	silent := 0
+	unanswered := 0
 	for len(nodes) > 0 && !best.Held {
 		n := min(findBatch, len(nodes))
 		var answered int
 		best, answered = m.queryNodes(ctx, nodes[:n], args)
-		silent += n - answered
+		unanswered += n - answered
 		nodes = nodes[n:]
 	}
 	if best.Held {
 		return best, nil
 	}
-	if silent > 0 {
+	if unanswered > 0 {
 		return best, walnutramp.NewError(walnutramp.CodeNotProvable, walnutramp.Unknown,
-			"%d nodes that may hold the generation did not answer", silent).WithRetryAfter(findRetryAfter)
+			"%d nodes that may hold the generation did not answer", unanswered).WithRetryAfter(findRetryAfter)
 	}
 	return best, walnutramp.NewError(walnutramp.CodeGenerationUnknown, walnutramp.Unknown, "no node holds it")
 }
--- a/loadshare/feed.go
+++ b/loadshare/feed.go
@@ -17,7 +17,7 @@
 	snapshotInterval = time.Second
 	// gapTimeout is how long datagrams may be missing before a snapshot is requested.
 	gapTimeout = time.Second
-	// feedTimeout is how long a feed may be silent before failover to the next
+	// feedTimeout is how long a feed may send nothing before failover to the next
 	// relay: three heartbeats, of which two may be lost.
 	feedTimeout = 500 * time.Millisecond
 	// sourceBackoff is how long a relay that timed out is tried last.
--- a/loadshare/loadshare.go
+++ b/loadshare/loadshare.go
@@ -331,12 +331,12 @@
 		return
 	}
 	n := localState{runs: s.tracker.Runs(), ended: s.tracker.Ended(), suspects: s.tracker.Suspects(),
-		silent: s.tracker.UnresponsiveTargets(), counts: s.budgets.Counts()}
+		unresponsive: s.tracker.UnresponsiveTargets(), counts: s.budgets.Counts()}
 	n.crashes = s.newCrashes(a)
 	if a.relays {
 		s.sendTraces(l, n.runs)
 		n.runs = withoutTraces(n.runs)
-		s.relayReport(l.own, n.runs, n.counts, targetEvents{ended: n.ended, suspects: n.suspects, silent: n.silent, crashes: n.crashes})
+		s.relayReport(l.own, n.runs, n.counts, targetEvents{ended: n.ended, suspects: n.suspects, unresponsive: n.unresponsive, crashes: n.crashes})
 	}
 	peers := s.peersOf(a, l)
 	now := uptime.Now()
@@ -490,7 +490,7 @@
 	}
 	crashes := s.mergeCrashes(m.Crashes)
 	if sameHall && s.currentLayout().relayed {
-		s.relayReport(from, runs, m.Counts, targetEvents{ended: m.Ended, suspects: m.Suspects, silent: m.Silent, crashes: crashes})
+		s.relayReport(from, runs, m.Counts, targetEvents{ended: m.Ended, suspects: m.Suspects, unresponsive: m.Silent, crashes: crashes})
 	} else if len(m.Counts) > 0 {
 		s.budgets.SetPeerCounts(from, m.Counts)
 	}
--- a/loadshare/message.go
+++ b/loadshare/message.go
@@ -231,7 +231,7 @@
 	return e
 }
 
-func (r run) shared() balance.RunReport {
+func (r run) report() balance.RunReport {
 	s := balance.RunReport{
 		Number: r.Number, Target: r.Target, PendingTokens: max(0, r.Read), MemoryTokens: max(0, r.Hold),
 		Age:   time.Duration(max(0, r.AgeMS)) * time.Millisecond,
--- a/loadshare/peergroup.go
+++ b/loadshare/peergroup.go
@@ -34,13 +34,13 @@
 	relays   bool // the relays of this node's data hall, on sites that use relays
 	changed  chan struct{}
 
-	lastFull     time.Time // time of the last full message
-	peerCount    int       // number of recipients of the last message
-	sentRuns     map[uint64]balance.RunReport
-	sentEnded    map[string]bool
-	sentSuspects map[string]bool
-	sentSilent   map[string]bool
-	crashCursor  uint64 // sequence number of the last crash report sent
+	lastFull         time.Time // time of the last full message
+	peerCount        int       // number of recipients of the last message
+	sentRuns         map[uint64]balance.RunReport
+	sentEnded        map[string]bool
+	sentSuspects     map[string]bool
+	sentUnresponsive map[string]bool
+	crashCursor      uint64 // sequence number of the last crash report sent
 }
 
 func newPeerGroup(sameHall bool, p pacing) *peerGroup {
@@ -78,12 +78,12 @@
 
 // localState is the state of this node that peers are sent.
 type localState struct {
-	runs     []balance.RunReport
-	ended    []string
-	suspects []string
-	silent   []string
-	counts   map[string]balance.Count
-	crashes  []crashReport
+	runs         []balance.RunReport
+	ended        []string
+	suspects     []string
+	unresponsive []string
+	counts       map[string]balance.Count
+	crashes      []crashReport
 }
 
 // buildMessages returns the messages that bring the group up to date: the full
@@ -91,22 +91,22 @@
 func (a *peerGroup) buildMessages(state localState, full bool) []message {
 	if full {
 		a.sentRuns = map[uint64]balance.RunReport{}
-		a.sentEnded, a.sentSuspects, a.sentSilent = nil, nil, nil
+		a.sentEnded, a.sentSuspects, a.sentUnresponsive = nil, nil, nil
 	}
 	runs := a.changedRuns(state.runs)
 	finished := a.finishedRuns(state.runs)
 	ended := notIn(a.sentEnded, state.ended)
 	suspects := notIn(a.sentSuspects, state.suspects)
-	silent := notIn(a.sentSilent, state.silent)
-	a.sentEnded, a.sentSuspects, a.sentSilent = toSet(state.ended), toSet(state.suspects), toSet(state.silent)
+	unresponsive := notIn(a.sentUnresponsive, state.unresponsive)
+	a.sentEnded, a.sentSuspects, a.sentUnresponsive = toSet(state.ended), toSet(state.suspects), toSet(state.unresponsive)
 	crashes := state.crashes
-	if !full && len(runs)+len(finished)+len(ended)+len(suspects)+len(silent)+len(crashes) == 0 {
+	if !full && len(runs)+len(finished)+len(ended)+len(suspects)+len(unresponsive)+len(crashes) == 0 {
 		return nil
 	}
 	first := message{Full: full, Counts: state.counts}
 	first.Ended, _ = splitAt(ended, maxTargets)
 	first.Suspects, _ = splitAt(suspects, maxTargets)
-	first.Silent, _ = splitAt(silent, maxTargets)
+	first.Silent, _ = splitAt(unresponsive, maxTargets)
 	first.Runs, runs = splitAt(runs, maxRuns)
 	first.Finished, finished = splitAt(finished, maxFinished)
 	first.Crashes, crashes = splitAt(crashes, maxCrashes)
--- a/loadshare/publisher.go
+++ b/loadshare/publisher.go
@@ -40,12 +40,12 @@
 
 // targetEvents are failures of targets, which are sent with a shorter delay.
 type targetEvents struct {
-	ended, suspects, silent []string
-	crashes                 []crashReport // new to this node
+	ended, suspects, unresponsive []string
+	crashes                       []crashReport // new to this node
 }
 
 func (e targetEvents) empty() bool {
-	return len(e.ended)+len(e.suspects)+len(e.silent)+len(e.crashes) == 0
+	return len(e.ended)+len(e.suspects)+len(e.unresponsive)+len(e.crashes) == 0
 }
 
 // publisher sends changes to the subscribers of a feed.
@@ -117,7 +117,7 @@
 const (
 	eventEnded eventKind = iota
 	eventSuspect
-	eventSilent
+	eventUnresponsive
 )
 
 type eventKey struct {
@@ -129,7 +129,7 @@
 func (p *publisher) addEvents(e targetEvents, now time.Time) {
 	p.events.ended = append(p.events.ended, p.notRecentlySent(eventEnded, e.ended, now)...)
 	p.events.suspects = append(p.events.suspects, p.notRecentlySent(eventSuspect, e.suspects, now)...)
-	p.events.silent = append(p.events.silent, p.notRecentlySent(eventSilent, e.silent, now)...)
+	p.events.unresponsive = append(p.events.unresponsive, p.notRecentlySent(eventUnresponsive, e.unresponsive, now)...)
 	p.events.crashes = append(p.events.crashes, e.crashes...)
 	if !p.events.empty() {
 		p.wake()
@@ -223,7 +223,7 @@
 // flush returns the datagrams with the changes, or a heartbeat if there are none, their
 // recipients, and the subscribers that are to be sent a snapshot instead.
 func (p *publisher) flush(r *relay, counts map[string]balance.Count, now time.Time) (changes []feedDatagram, recipients, unsynced []string) {
-	first := feedDatagram{Scope: p.scope, Region: p.region, Ended: p.events.ended, Suspects: p.events.suspects, Silent: p.events.silent}
+	first := feedDatagram{Scope: p.scope, Region: p.region, Ended: p.events.ended, Suspects: p.events.suspects, Silent: p.events.unresponsive}
 	first.Crashes, _ = splitAt(p.events.crashes, maxFeedCrashes)
 	if p.countsDue(now) {
 		p.countsSentAt, first.Counts = now, counts
@@ -263,7 +263,7 @@
 			first.Ended = append(first.Ended, key.target)
 		case eventSuspect:
 			first.Suspects = append(first.Suspects, key.target)
-		case eventSilent:
+		case eventUnresponsive:
 			first.Silent = append(first.Silent, key.target)
 		}
 	}
--- a/loadshare/relaying.go
+++ b/loadshare/relaying.go
@@ -110,7 +110,7 @@
 		f.requestedAt = time.Time{}
 	}
 	changed := s.applyDeltas(f, deltas, now)
-	s.relay.addEvents(targetEvents{ended: p.Ended, suspects: p.Suspects, silent: p.Silent, crashes: crashes}, s.regionOf(f), now)
+	s.relay.addEvents(targetEvents{ended: p.Ended, suspects: p.Suspects, unresponsive: p.Silent, crashes: crashes}, s.regionOf(f), now)
 	s.relayMu.Unlock()
 	s.updateTracker(changed)
 	s.tracker.SetEnded(p.Ended)
--- a/loadshare/sender.go
+++ b/loadshare/sender.go
@@ -28,7 +28,7 @@
 		s.runs = make(map[uint64]receivedRun, len(m.Runs))
 	}
 	for _, r := range m.Runs {
-		s.runs[r.Number] = receivedRun{RunReport: r.shared(), receivedAt: now}
+		s.runs[r.Number] = receivedRun{RunReport: r.report(), receivedAt: now}
 	}
 	for _, number := range m.Finished {
 		delete(s.runs, number)
--- a/node/node.go
+++ b/node/node.go
@@ -166,7 +166,7 @@
 	router        *route.Router
 	generations   *generation.Manager
 	pool          *target.Pool
-	watch         *target.LoadPoller
+	loadPoller    *target.LoadPoller
 	http          *http.Server
 	control       *control.Client   // nil without a control group
 	voter         *consensus.Member // nil without a control group or disk
@@ -239,7 +239,7 @@
 		route.WithCooldownLeft(n.pool.CooldownLeft),
 	}, n.cfg.RouteOptions...)
 	n.router = route.New(opts...)
-	n.watch = target.NewLoadPoller(n.pool, n.router, n.cfg.LoadInterval, n.cfg.Seed)
+	n.loadPoller = target.NewLoadPoller(n.pool, n.router, n.cfg.LoadInterval, n.cfg.Seed)
 }
 
 func (n *Node) setupGenerations() {
@@ -366,7 +366,7 @@
 func (n *Node) apply(b *bundle.Bundle) {
 	n.bundle.Store(b)
 	n.router.Apply(b)
-	n.watch.Apply(route.Subset(n.cfg.Name, n.cfg.DataHall, b.Targets, route.PerModel))
+	n.loadPoller.Apply(route.Subset(n.cfg.Name, n.cfg.DataHall, b.Targets, route.PerModel))
 }
 
 // Members returns the membership detector.
@@ -415,7 +415,7 @@
 	n.closeDiscovery()
 	n.closeReport()
 	n.members.Close()
-	n.watch.Close()
+	n.loadPoller.Close()
 	n.generations.Close()
 	n.quarantine.Close()
 	n.peers.Close()
--- a/rollout/experiment/experiment_test.go
+++ b/rollout/experiment/experiment_test.go
@@ -22,11 +22,11 @@
 	return Site{}
 }
 
-var allTroubles = Faults{Crashes: true, Grey: true}
+var allFaults = Faults{Crashes: true, Grey: true}
 
 func TestGoodVersionsComplete(t *testing.T) {
 	for name, least := range map[string]int{"lookups-65": 58, "drafts-65": 54} {
-		row := Measure(siteByName(t, name), Version{}, allTroubles, rollout.ChangePoint, testRuns, 1)
+		row := Measure(siteByName(t, name), Version{}, allFaults, rollout.ChangePoint, testRuns, 1)
 		require.GreaterOrEqual(t, row.Completed, least, "%s: %v", name, row.Reasons)
 		require.Zero(t, row.TooLate, name)
 	}
@@ -45,7 +45,7 @@
 		{"drafts-65", Version{Slow: 3, When: AtOnce}, 59},
 		{"drafts-300", Version{Slow: 3, When: OneRoute}, 57},
 	} {
-		row := Measure(siteByName(t, c.site), c.version, allTroubles, rollout.ChangePoint, testRuns, 1)
+		row := Measure(siteByName(t, c.site), c.version, allFaults, rollout.ChangePoint, testRuns, 1)
 		require.GreaterOrEqual(t, row.RolledBack, c.least, "%s %+v: %v", c.site, c.version, row.Reasons)
 		require.Zero(t, row.TooLate, "%s %+v", c.site, c.version)
 		require.Zero(t, row.Over, "%s %+v", c.site, c.version)
@@ -55,7 +55,7 @@
 func TestMeasureIsDeterministic(t *testing.T) {
 	measure := func() string {
 		var text bytes.Buffer
-		row := Measure(siteByName(t, "lookups-12"), Version{Fails: 0.3, When: AtOnce}, allTroubles, rollout.Threshold, 10, 7)
+		row := Measure(siteByName(t, "lookups-12"), Version{Fails: 0.3, When: AtOnce}, allFaults, rollout.Threshold, 10, 7)
 		require.NoError(t, WriteTable(&text, []Row{row}))
 		return text.String()
 	}
--- a/rollout/judge.go
+++ b/rollout/judge.go
@@ -113,14 +113,14 @@
 
 // Add includes the counts that nodes have reported since the previous call. Target
 // is the new version.
-func (j *Evaluator) Add(elapsed time.Duration, target string, cells []Cell) {
-	bin := min(max(0, int(elapsed/j.binWidth)), maxBins-1)
-	j.lastBin = max(j.lastBin, bin)
+func (e *Evaluator) Add(elapsed time.Duration, target string, cells []Cell) {
+	bin := min(max(0, int(elapsed/e.binWidth)), maxBins-1)
+	e.lastBin = max(e.lastBin, bin)
 	for _, cell := range cells {
-		route := j.routes[cell.Key.Route]
+		route := e.routes[cell.Key.Route]
 		if route == nil {
 			route = &routeEvidence{baselineByHall: map[string]*[maxBins]Counts{}, canary: map[targetKey][]binCounts{}}
-			j.routes[cell.Key.Route] = route
+			e.routes[cell.Key.Route] = route
 		}
 		if cell.Key.Version == target {
 			route.addCanary(bin, cell)
@@ -204,24 +204,24 @@
 }
 
 // Verdict assesses all counts taken so far.
-func (j *Evaluator) Verdict() Verdict {
+func (e *Evaluator) Verdict() Verdict {
 	v := Verdict{Score: math.Inf(-1)}
 	for m := range numMetrics {
 		all := map[targetKey][]sample{} // samples of all routes
-		for _, name := range slices.Sorted(maps.Keys(j.routes)) {
-			byTarget := j.routes[name].samples(m)
-			if len(j.routes) > 1 {
-				v.keepWorst(fmt.Sprintf("answers %s on route %s", metricNames[m], name), j.score(byTarget))
+		for _, name := range slices.Sorted(maps.Keys(e.routes)) {
+			byTarget := e.routes[name].samples(m)
+			if len(e.routes) > 1 {
+				v.keepWorst(fmt.Sprintf("answers %s on route %s", metricNames[m], name), e.score(byTarget))
 			}
 			for key, samples := range byTarget {
 				all[key] = append(all[key], samples...)
 			}
 		}
-		v.keepWorst(fmt.Sprintf("answers %s on all routes", metricNames[m]), j.score(all))
+		v.keepWorst(fmt.Sprintf("answers %s on all routes", metricNames[m]), e.score(all))
 		v.addCounts(m, all)
 	}
 	rollbackAt, promoteAt := rollbackLLR, promoteLLR
-	if j.policy == Threshold {
+	if e.policy == Threshold {
 		rollbackAt, promoteAt = 0, 0
 	}
 	v.Bad, v.Doubtful = v.Score > rollbackAt, v.Score > promoteAt
@@ -262,14 +262,14 @@
 // score returns the test statistic of the policy. Except under Threshold, the worst
 // of several targets is discounted, because a fault of one target is not a fault of
 // the version.
-func (j *Evaluator) score(byTarget map[targetKey][]sample) float64 {
-	if j.policy == Threshold {
+func (e *Evaluator) score(byTarget map[targetKey][]sample) float64 {
+	if e.policy == Threshold {
 		return thresholdScore(byTarget)
 	}
 	highest := math.Inf(-1)
 	for _, effect := range effectSizes {
-		ratios := suffixRatios(byTarget, effect, j.lastBin)
-		if j.policy == Likelihood {
+		ratios := suffixRatios(byTarget, effect, e.lastBin)
+		if e.policy == Likelihood {
 			highest = max(highest, ratios[0])
 			continue
 		}
@@ -280,9 +280,9 @@
 
 // SlowThresholds returns, by route, the time to first event from which an answer counts
 // as slow. Routes with too few baseline answers are omitted.
-func (j *Evaluator) SlowThresholds() map[string]time.Duration {
+func (e *Evaluator) SlowThresholds() map[string]time.Duration {
 	late := map[string]time.Duration{}
-	for name, route := range j.routes {
+	for name, route := range e.routes {
 		if route.baseline.First.total() >= minThresholdAnswers {
 			late[name] = bucketStart(route.baseline.First.slowFrom())
 		}
--- a/rollout/tally.go
+++ b/rollout/tally.go
@@ -21,31 +21,31 @@
 }
 
 // Merge merges a node's cumulative counts and returns their increments.
-func (t *Aggregator) Merge(node string, incarnation uint64, cells []Cell) []Cell {
+func (a *Aggregator) Merge(node string, incarnation uint64, cells []Cell) []Cell {
 	from := reporter{node, incarnation}
-	if t.last[from] == nil {
-		t.last[from] = map[Key]Counts{}
+	if a.last[from] == nil {
+		a.last[from] = map[Key]Counts{}
 	}
 	var increments []Cell
 	for _, cell := range cells {
-		before := t.last[from][cell.Key]
+		before := a.last[from][cell.Key]
 		if cell.Counts.Sent < before.Sent || cell.Counts.Answered() < before.Answered() {
 			continue // reordered report, older than the last one
 		}
-		t.last[from][cell.Key] = cell.Counts
+		a.last[from][cell.Key] = cell.Counts
 		increment := cell.Counts.since(before)
-		sum := t.sums[cell.Key]
+		sum := a.sums[cell.Key]
 		sum.Add(increment)
-		t.sums[cell.Key] = sum
+		a.sums[cell.Key] = sum
 		increments = append(increments, Cell{Key: cell.Key, Counts: increment})
 	}
 	return increments
 }
 
 // Sums returns the totals of a service over all nodes, by key.
-func (t *Aggregator) Sums(service string) map[Key]Counts {
+func (a *Aggregator) Sums(service string) map[Key]Counts {
 	sums := map[Key]Counts{}
-	for key, sum := range t.sums {
+	for key, sum := range a.sums {
 		if key.Service == service {
 			sums[key] = sum
 		}
@@ -54,10 +54,10 @@
 }
 
 // Forget removes all counts of a service.
-func (t *Aggregator) Forget(service string) {
+func (a *Aggregator) Forget(service string) {
 	ofService := func(k Key, _ Counts) bool { return k.Service == service }
-	for _, counts := range t.last {
+	for _, counts := range a.last {
 		maps.DeleteFunc(counts, ofService)
 	}
-	maps.DeleteFunc(t.sums, ofService)
+	maps.DeleteFunc(a.sums, ofService)
 }
--- a/standin/rest.go
+++ b/standin/rest.go
@@ -22,12 +22,12 @@
 	earlyRequests   int
 }
 
-// Overload makes the stand-in reject requests for the time busy, with rest as the
+// Overload makes the stand-in reject requests for the time busy, with cooldown as the
 // Retry-After delay.
-func (o *overload) Overload(busy, rest time.Duration) {
+func (o *overload) Overload(busy, cooldown time.Duration) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.overloadedUntil, o.retryAfter = time.Now().Add(busy), rest
+	o.overloadedUntil, o.retryAfter = time.Now().Add(busy), cooldown
 }
 
 // Disturbances returns the number of requests received within the Retry-After delay
--- a/target/watch.go
+++ b/target/watch.go
@@ -46,57 +46,57 @@
 }
 
 // Apply sets the targets to poll.
-func (w *LoadPoller) Apply(targets []bundle.Target) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.closed {
+func (p *LoadPoller) Apply(targets []bundle.Target) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.closed {
 		return
 	}
 	keep := make(map[walnutramp.TargetName]bool, len(targets))
 	for _, t := range targets {
 		keep[t.Name] = true
-		old := w.tasks[t.Name]
+		old := p.tasks[t.Name]
 		if old != nil && old.target.Address == t.Address && old.target.Kind == t.Kind {
 			continue
 		}
 		if old != nil {
 			old.cancel()
 		}
-		w.start(t)
+		p.start(t)
 	}
-	for name, task := range w.tasks {
+	for name, task := range p.tasks {
 		if !keep[name] {
 			task.cancel()
-			delete(w.tasks, name)
+			delete(p.tasks, name)
 		}
 	}
 }
 
-func (w *LoadPoller) start(t bundle.Target) {
+func (p *LoadPoller) start(t bundle.Target) {
 	ctx, cancel := context.WithCancel(context.Background())
-	w.tasks[t.Name] = &pollTask{target: t, cancel: cancel}
-	w.wait.Add(1)
+	p.tasks[t.Name] = &pollTask{target: t, cancel: cancel}
+	p.wait.Add(1)
 	go func() {
-		defer w.wait.Done()
-		w.run(ctx, t)
+		defer p.wait.Done()
+		p.run(ctx, t)
 	}()
 }
 
 // Close stops polling and waits for polls in flight.
-func (w *LoadPoller) Close() {
-	w.mu.Lock()
-	w.closed = true
-	for _, task := range w.tasks {
+func (p *LoadPoller) Close() {
+	p.mu.Lock()
+	p.closed = true
+	for _, task := range p.tasks {
 		task.cancel()
 	}
-	w.mu.Unlock()
-	w.wait.Wait()
+	p.mu.Unlock()
+	p.wait.Wait()
 }
 
-func (w *LoadPoller) run(ctx context.Context, t bundle.Target) {
+func (p *LoadPoller) run(ctx context.Context, t bundle.Target) {
 	for ctx.Err() == nil {
-		w.poll(ctx, t)
-		timer := time.NewTimer(w.jitteredInterval())
+		p.poll(ctx, t)
+		timer := time.NewTimer(p.jitteredInterval())
 		select {
 		case <-timer.C:
 		case <-ctx.Done():
@@ -108,34 +108,34 @@
 // MaxPollsPerSecond bounds the polls of a node per second, over all targets.
 const MaxPollsPerSecond = 60
 
-func (w *LoadPoller) jitteredInterval() time.Duration {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	interval := max(w.interval, time.Duration(len(w.tasks))*time.Second/MaxPollsPerSecond)
-	return time.Duration(float64(interval) * (0.8 + 0.4*w.rng.Float64()))
+func (p *LoadPoller) jitteredInterval() time.Duration {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	interval := max(p.interval, time.Duration(len(p.tasks))*time.Second/MaxPollsPerSecond)
+	return time.Duration(float64(interval) * (0.8 + 0.4*p.rng.Float64()))
 }
 
-func (w *LoadPoller) poll(ctx context.Context, t bundle.Target) {
+func (p *LoadPoller) poll(ctx context.Context, t bundle.Target) {
 	if t.Kind == bundle.KindService {
-		w.pollService(ctx, t)
+		p.pollService(ctx, t)
 		return
 	}
-	r, err := w.pool.Engine(t).Load(ctx)
+	r, err := p.pool.Engine(t).Load(ctx)
 	if ctx.Err() != nil || IsCooldown(err) {
 		return
 	}
 	if err != nil {
-		w.sink.Unreachable(t.Name)
+		p.sink.Unreachable(t.Name)
 		return
 	}
-	w.sink.Report(t.Name, r)
+	p.sink.Report(t.Name, r)
 }
 
 // pollService only connects, since plain services report no load.
-func (w *LoadPoller) pollService(ctx context.Context, t bundle.Target) {
+func (p *LoadPoller) pollService(ctx context.Context, t bundle.Target) {
 	dialCtx, cancel := context.WithTimeout(ctx, controlTimeout)
 	defer cancel()
-	c, err := w.pool.shared.DialContext(dialCtx, "tcp", t.Address)
+	c, err := p.pool.shared.DialContext(dialCtx, "tcp", t.Address)
 	if err == nil {
 		c.Close()
 	}
@@ -143,8 +143,8 @@
 		return
 	}
 	if err != nil {
-		w.sink.Unreachable(t.Name)
+		p.sink.Unreachable(t.Name)
 		return
 	}
-	w.sink.Report(t.Name, LoadReport{Slots: t.Slots, At: time.Now()})
+	p.sink.Report(t.Name, LoadReport{Slots: t.Slots, At: time.Now()})
 }
