--- a/balance/balance.go
+++ b/balance/balance.go
@@ -67,8 +67,8 @@
 // WithTopology sets which data halls are in which region.
 func WithTopology(m topology.Map) Option { return func(c *Config) { c.Topology = m } }
 
-// WithRemoteHallCost sets the cost of a target in another data hall, in milliseconds of wait,
-// for an engine and for a plain service's target.
+// WithRemoteHallCost sets the cost of a target in another data hall, in milliseconds of
+// wait, for an engine and for a plain service's target.
 func WithRemoteHallCost(engine, plainService float64) Option {
 	return func(c *Config) { c.RemoteHallCost, c.RemoteHallSlotCost = engine, plainService }
 }
--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -322,19 +322,19 @@
 // it when it is nearly full, as after a crash that left it one engine.
 func TestNewRequestStaysInDataHallWhileItBeginsInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		const aim = 4500 * time.Millisecond
-		place := func(waiting int, aim time.Duration) string {
+		const goal = 4500 * time.Millisecond
+		place := func(waiting int, goal time.Duration) string {
 			tracker := newTracker(append(targetList("s", "north", "1"), targetList("s", "south", "2")...)...)
 			for range waiting {
 				tracker.byID["1"].Begin(Work{PrefillTokens: 2000, MemoryTokens: 2000}, Trace{})
 			}
 			c := choice(2000)
-			c.FirstEventGoal = aim
+			c.FirstEventGoal = goal
 			return tracker.Pick(c).ID
 		}
-		require.Equal(t, "1", place(0, aim))
-		require.Equal(t, "1", place(1, aim), "it begins there in time")
-		require.Equal(t, "2", place(4, aim), "the data hall is nearly full")
+		require.Equal(t, "1", place(0, goal))
+		require.Equal(t, "1", place(1, goal), "it begins there in time")
+		require.Equal(t, "2", place(4, goal), "the data hall is nearly full")
 		require.Equal(t, "2", place(1, 0), "a resumed run goes where it begins soonest")
 	})
 }
--- a/balance/health.go
+++ b/balance/health.go
@@ -30,9 +30,9 @@
 	t.setErrorRate(t.errorRate * (1 - errorWeight))
 }
 
-// RecordFailure records that the target did not answer or that its response was cut off. Its
-// backoff doubles with each consecutive failure, up to a maximum. The target is suspect
-// for suspectTTL, or until Succeeded.
+// RecordFailure records that the target did not answer or that its response was cut
+// off. Its backoff doubles with each consecutive failure, up to a maximum. The target
+// is suspect for suspectTTL, or until RecordSuccess.
 func (t *Target) RecordFailure() {
 	t.tracker.mu.Lock()
 	cfg := &t.tracker.cfg
@@ -133,9 +133,9 @@
 	hallSuspectMin    = 2                       // minimum number of them
 )
 
-// RecordErrorResponse records an error response. A target whose error rate exceeds the mean of its
-// peers by more than ErrorMargin is put in backoff for ErrorBackoff, and its error rate
-// is halved.
+// RecordErrorResponse records an error response. A target whose error rate exceeds the
+// mean of its peers by more than ErrorMargin is put in backoff for ErrorBackoff, and
+// its error rate is halved.
 func (t *Target) RecordErrorResponse() {
 	t.tracker.mu.Lock()
 	defer t.tracker.mu.Unlock()
@@ -206,8 +206,8 @@
 }
 
 // SetEnded records a peer's report of ended targets. It counts as a refused connection
-// refusedTTL/2 ago, so that it expires sooner than this node's own observation and Ended
-// does not pass it on.
+// refusedTTL/2 ago, so that it expires sooner than this node's own observation and
+// RecordEnded does not pass it on.
 func (t *Tracker) SetEnded(ids []string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -223,8 +223,8 @@
 // connection: longer than an ended target stays in the target list.
 const refusedTTL = 5 * time.Second
 
-// RecordFull records that the target rejected a request for lack of capacity. The target is in
-// backoff for half of MinBackoff.
+// RecordFull records that the target rejected a request for lack of capacity. The
+// target is in backoff for half of MinBackoff.
 func (t *Target) RecordFull() {
 	t.tracker.mu.Lock()
 	defer t.tracker.mu.Unlock()
--- a/balance/history.go
+++ b/balance/history.go
@@ -80,12 +80,12 @@
 // certainly fall into the window, and all retries that may.
 func (h *history) allows(now time.Time, ratio, slack float64) bool {
 	latest := h.advance(now)
-	repeats := h.prefixSums(func(c Count) int { return c.Retries })
+	retries := h.prefixSums(func(c Count) int { return c.Retries })
 	requests := h.prefixSums(func(c Count) int { return c.Requests })
 	for first := latest - slotsInWindow; first <= latest+transitSlots; first++ {
 		before := requests.between(first-slotsInWindow+transitSlots+1, first-1)
 		during := requests.between(first+transitSlots+1, first+slotsInWindow-1)
-		inFlight := repeats.between(first-transitSlots, latest)
+		inFlight := retries.between(first-transitSlots, latest)
 		mean := float64(before+during) / 2
 		if float64(inFlight+1) > ratio*mean+slack {
 			return false
--- a/balance/leaving.go
+++ b/balance/leaving.go
@@ -42,8 +42,8 @@
 	return t.newScan(&c).anyEligible()
 }
 
-// CrossRegionReason returns why a selection chose a target in another region. It never returns
-// ReasonCopy, which does not follow from the selection.
+// CrossRegionReason returns why a selection chose a target in another region. It never
+// returns ReasonCopy, which does not follow from the selection.
 func (t *Tracker) CrossRegionReason(c Choice) Reason {
 	excluded := c.Exclude
 	c.Exclude = func(target *Target) bool {
--- a/balance/lives.go
+++ b/balance/lives.go
@@ -1,7 +1,7 @@
 package balance
 
-// Incarnations returns the incarnations whose short names (shortname.Of) are given, in the same
-// order; an empty string for one that is not listed.
+// Incarnations returns the incarnations whose short names (shortname.Of) are given, in
+// the same order; an empty string for one that is not listed.
 func (t *Tracker) Incarnations(short []uint32) []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/balance/ownership.go
+++ b/balance/ownership.go
@@ -88,8 +88,8 @@
 	}
 }
 
-// SetCrossHallLag sets how much later reports arrive from nodes in other data halls than from
-// nodes in this one.
+// SetCrossHallLag sets how much later reports arrive from nodes in other data halls
+// than from nodes in this one.
 func (t *Tracker) SetCrossHallLag(lag time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/balance/pool.go
+++ b/balance/pool.go
@@ -277,8 +277,8 @@
 	}
 }
 
-// SetConnectedUntil sets until when an idle connection to an incarnation is kept; zero for none. It
-// ignores an incarnation that is not listed.
+// SetConnectedUntil sets until when an idle connection to an incarnation is kept; zero
+// for none. It ignores an incarnation that is not listed.
 func (t *Tracker) SetConnectedUntil(incarnation string, until time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/balance/pool_test.go
+++ b/balance/pool_test.go
@@ -135,8 +135,8 @@
 			for range choices {
 				sc := tracker.newScan(&c)
 				found := sc.candidates()
-				// Besides the scanned targets: samples of the owned and of the connected ones,
-				// the affinity target and the cache holder.
+				// Besides the scanned targets: samples of the owned and of the
+				// connected ones, the affinity target and the cache holder.
 				require.LessOrEqual(t, len(found), localScan+remoteScan+2*preferredScan+2)
 				sampled += slices.MinFunc(found, byScore).score
 				tracker.scans++
--- a/balance/regions.go
+++ b/balance/regions.go
@@ -30,8 +30,8 @@
 	spillThreshold = 0.7
 )
 
-// SetCrossRegionLag sets the additional delay of reports from nodes in other regions, on top
-// of that of other data halls.
+// SetCrossRegionLag sets the additional delay of reports from nodes in other regions,
+// on top of that of other data halls.
 func (t *Tracker) SetCrossRegionLag(lag time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/balance/rest.go
+++ b/balance/rest.go
@@ -69,7 +69,7 @@
 
 // Admit reports whether a request may be sent to the target: it is not draining and not
 // in cooldown. After a cooldown, a call that returns true takes the probe request, and
-// further calls return false for probeTimeout or until Answered. Admit must be called
+// further calls return false for probeTimeout or until RecordResponse. Admit must be called
 // just before sending: since the selection, the target may have answered another request,
 // or the machine may have been suspended.
 func (t *Target) Admit() bool {
--- a/balance/run.go
+++ b/balance/run.go
@@ -245,7 +245,7 @@
 func (t *Tracker) OnChange(f func()) { t.onChange = f }
 
 // Runs returns this node's active runs with nonzero Work at listed targets, its runs
-// that failed within copyTTL and, for copyTTL after Remember, the restored traces as
+// that failed within copyTTL and, for copyTTL after RestoreTraces, the restored traces as
 // failed runs.
 func (t *Tracker) Runs() []RunReport {
 	t.mu.Lock()
@@ -320,9 +320,9 @@
 	}
 }
 
-// TraceOf returns the trace of a key as known from NoteTrace, Remember and the prompt
-// index; false if nothing is known. It does not include copies of this node's own runs
-// or of runs that peers reported with SetOthers.
+// TraceOf returns the trace of a key as known from AddPeerTrace, RestoreTraces and the
+// prompt index; false if nothing is known. It does not include copies of this node's
+// own runs or of runs that peers reported with SetPeerRuns.
 func (t *Tracker) TraceOf(key string) (Trace, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -336,8 +336,8 @@
 	return trace, trace.ReadAt != "" || trace.Copy != ""
 }
 
-// RestoreTraces restores the traces that this node saved before it restarted; age is the time
-// since they were saved. Of traces older than copyTTL it omits the copy.
+// RestoreTraces restores the traces that this node saved before it restarted; age is
+// the time since they were saved. Of traces older than copyTTL it omits the copy.
 func (t *Tracker) RestoreTraces(traces []Trace, age time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -351,9 +351,9 @@
 	}
 }
 
-// FindCopy returns the copy of a run with a key: of a failed run of this node, else of any
-// run that a peer reported, failed or not, else of a trace from NoteTrace or Remember.
-// Nil if none is known, or if its target is not available or is suspect.
+// FindCopy returns the copy of a run with a key: of a failed run of this node, else of
+// any run that a peer reported, failed or not, else of a trace from AddPeerTrace or
+// RestoreTraces. Nil if none is known, or if its target is not available or is suspect.
 func (t *Tracker) FindCopy(key string) (at *Target, name string) {
 	if key == "" {
 		return nil, ""
--- a/balance/score.go
+++ b/balance/score.go
@@ -27,8 +27,8 @@
 	// predicted to begin it within MaxWait.
 	Admission bool
 	MaxWait   time.Duration // 0 for no limit
-	// FirstEventGoal is the objective for the time to the first event of a new request; 0 for as
-	// soon as possible.
+	// FirstEventGoal is the objective for the time to the first event of a new request;
+	// 0 for as soon as possible.
 	FirstEventGoal time.Duration
 	// Rank is the number of more urgent ranks, for which memory is reserved.
 	Rank int
--- a/balance/silence.go
+++ b/balance/silence.go
@@ -61,9 +61,9 @@
 	t.onUnresponsive()
 }
 
-// UnresponsiveSince reports whether, since a time, this node found the target unreachable or
-// most likely its whole data hall became unresponsive. It is false if the target has
-// answered this node after that time.
+// UnresponsiveSince reports whether, since a time, this node found the target
+// unreachable or most likely its whole data hall became unresponsive. It is false if
+// the target has answered this node after that time.
 func (t *Target) UnresponsiveSince(since time.Time) bool {
 	t.tracker.mu.Lock()
 	defer t.tracker.mu.Unlock()
--- a/control/disk.go
+++ b/control/disk.go
@@ -13,9 +13,10 @@
 
 const identityFile = "identity"
 
-// WriteFounderIdentity marks an empty data directory as that of a founding member; it fails if
-// the directory has an identity. It is called once, when a site is set up. A directory
-// that was emptied later must not be marked again, since the member's votes are lost.
+// WriteFounderIdentity marks an empty data directory as that of a founding member; it
+// fails if the directory has an identity. It is called once, when a site is set up. A
+// directory that was emptied later must not be marked again, since the member's votes
+// are lost.
 func WriteFounderIdentity(fs wal.FS) error {
 	if _, err := fs.ReadFile(identityFile); err == nil {
 		return errors.New("data directory is already in use")
--- a/control/duty_holder.go
+++ b/control/duty_holder.go
@@ -174,7 +174,7 @@
 	if h.isStopped() || !h.group.Leads() || h.renewalDue() && !h.renew(ctx) {
 		return
 	}
-	if transferDelay, unresponsive := h.platformSilence(); unresponsive > transferDelay && h.transfer != nil {
+	if transferDelay, unresponsive := h.platformUnresponsive(); unresponsive > transferDelay && h.transfer != nil {
 		h.transferLeadership(ctx, unresponsive)
 		return
 	}
--- a/control/duty_release.go
+++ b/control/duty_release.go
@@ -87,11 +87,11 @@
 	return len(h.inFlight)
 }
 
-// platformSilence returns how long the platform has not answered, and after how
+// platformUnresponsive returns how long the platform has not answered, and after how
 // long leadership is transferred. The delay doubles with each node that released
 // the duty because the platform was unreachable, so that leadership does not
 // keep moving during a platform outage.
-func (h *DutyHolder) platformSilence() (transferDelay, unresponsive time.Duration) {
+func (h *DutyHolder) platformUnresponsive() (transferDelay, unresponsive time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	transferDelay = minTransferDelay
--- a/control/model_test.go
+++ b/control/model_test.go
@@ -19,9 +19,10 @@
 )
 
 // The model check runs the real members, membership manager, joiner and clients of a
-// control group in virtual time under a seeded schedule of crashes, disk losses, partitions and
-// replacements. It checks the history of submitted documents and confirmed reads for
-// linearizability. A defect is a bug that is injected to test the check.
+// control group in virtual time under a seeded schedule of crashes, disk losses,
+// partitions and replacements. It checks the history of submitted documents and
+// confirmed reads for linearizability. A defect is a bug that is injected to test the
+// check.
 
 type defect int
 
--- a/control/reports.go
+++ b/control/reports.go
@@ -27,8 +27,8 @@
 	// reportDelay is the time after a window's end from which a node's report
 	// covers the whole window: requests are counted when they are answered.
 	reportDelay = usageReportInterval + 2*forwardInterval
-	// unresponsiveNodeTimeout is how long after its last report a node counts as unresponsive
-	// rather than gone. Windows wait for unresponsive nodes.
+	// unresponsiveNodeTimeout is how long after its last report a node counts as
+	// unresponsive rather than gone. Windows wait for unresponsive nodes.
 	unresponsiveNodeTimeout = 10 * time.Second
 	// sourceRetention is how long the reports of an unresponsive node are kept.
 	sourceRetention = 1 * time.Minute
@@ -256,8 +256,8 @@
 // windowStatus is the state of a window's counts on this member.
 type windowStatus struct {
 	metering.Sum
-	// Unresponsive is the number of nodes that reported within unresponsiveNodeTimeout, but not
-	// since they could have reported all of the window.
+	// Unresponsive is the number of nodes that reported within unresponsiveNodeTimeout,
+	// but not since they could have reported all of the window.
 	Unresponsive int
 	// Led is how long this member has led; 0 if it does not lead.
 	Led time.Duration
--- a/control/rollout_client.go
+++ b/control/rollout_client.go
@@ -48,7 +48,7 @@
 type rolloutReporter struct {
 	client      *Client
 	incarnation uint64              // identifies this process
-	judgeID     uint64              // the leader's evaluation that has the earlier reports
+	evaluatorID uint64              // the leader's evaluation that has the earlier reports
 	leader      walnutramp.NodeName // last destination; empty for any member
 }
 
@@ -61,7 +61,7 @@
 	}
 	requestedAt := uptime.Now()
 	var reply ReportReply
-	args := ReportArgs{Node: c.self.Address, Life: r.incarnation, Judge: r.judgeID, Cells: c.agent.Report(r.judgeID)}
+	args := ReportArgs{Node: c.self.Address, Life: r.incarnation, Judge: r.evaluatorID, Cells: c.agent.Report(r.evaluatorID)}
 	err := c.peers.Call(ctx, r.leader, Service+".Report", args, &reply)
 	if err != nil || reply.Code != walnutramp.CodeOK {
 		klog.V(1).InfoS("Roll-out report failed", "asked", r.leader, "code", int(reply.Code), "err", err)
@@ -69,7 +69,7 @@
 		r.leader = reply.Leader
 		return
 	}
-	r.judgeID = reply.Judge
+	r.evaluatorID = reply.Judge
 	c.agent.SetPermits(reply.Permits, requestedAt)
 }
 
@@ -85,11 +85,11 @@
 // another roll-out is in progress, it returns that one's record with an error. If the
 // group did not answer in time, the roll-out may still be started.
 func (c *Client) StartRollout(ctx context.Context, service, version string, duration time.Duration) (rollout.Record, error) {
-	r, repeated, err := c.doReportingRetry(ctx, attemptTimeout, ".Order", OrderArgs{Service: service, Version: version, Duration: duration})
+	r, retried, err := c.doReportingRetry(ctx, attemptTimeout, ".Order", OrderArgs{Service: service, Version: version, Duration: duration})
 	if err != nil {
 		return rollout.Record{}, err
 	}
-	if r.Code == walnutramp.CodeRolloutUnderWay && repeated && r.Rollout.OrderedAs(version, duration) {
+	if r.Code == walnutramp.CodeRolloutUnderWay && retried && r.Rollout.OrderedAs(version, duration) {
 		return r.Rollout, nil // started by an earlier attempt of this call
 	}
 	if r.Code != walnutramp.CodeOK {
--- a/control/rollout_controller.go
+++ b/control/rollout_controller.go
@@ -35,12 +35,12 @@
 	policy      rollout.Policy
 	listVersion uint64 // newest list whose services all have committed versions; used only by Run
 
-	mu          sync.Mutex
-	judgeID     uint64    // identifies this term's evaluations; 0 while not leading
-	judgeSince  time.Time // when judgeID was set
-	confirmedAt time.Time
-	aggregator  *rollout.Aggregator
-	evaluations map[string]*evaluation // by service
+	mu             sync.Mutex
+	evaluatorID    uint64    // identifies this term's evaluations; 0 while not leading
+	evaluatorSince time.Time // when evaluatorID was set
+	confirmedAt    time.Time
+	aggregator     *rollout.Aggregator
+	evaluations    map[string]*evaluation // by service
 }
 
 // evaluation is the leader's state of one running roll-out.
@@ -51,7 +51,7 @@
 	verdict       rollout.Verdict
 	late          map[string]time.Duration // see rollout.Permit
 	shiftedAt     time.Duration            // elapsed time at which all requests moved to the new version
-	notedAt       time.Time
+	lastChange    time.Time
 	issuesPermits bool // the stage is committed
 	loggedAt      time.Time
 }
@@ -94,7 +94,7 @@
 func (c *RolloutController) stepDown() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.judgeID, c.aggregator, c.evaluations = 0, nil, nil
+	c.evaluatorID, c.aggregator, c.evaluations = 0, nil, nil
 }
 
 // confirm has a majority confirm that this member still leads.
@@ -115,8 +115,8 @@
 // startEvaluations starts new evaluations after a majority has confirmed that this
 // member leads. The caller holds the mutex.
 func (c *RolloutController) startEvaluations() {
-	if c.judgeID == 0 {
-		c.judgeID, c.judgeSince = rand.Uint64()|1, uptime.Now()
+	if c.evaluatorID == 0 {
+		c.evaluatorID, c.evaluatorSince = rand.Uint64()|1, uptime.Now()
 		c.aggregator, c.evaluations = rollout.NewAggregator(), map[string]*evaluation{}
 	}
 }
@@ -126,7 +126,7 @@
 func (c *RolloutController) resynced() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return uptime.Since(c.judgeSince) >= rolloutResyncTime
+	return uptime.Since(c.evaluatorSince) >= rolloutResyncTime
 }
 
 // recordVersions commits the versions that a service's targets have before any
@@ -194,10 +194,10 @@
 	t.verdict, t.late = t.evaluator.Verdict(), t.evaluator.SlowThresholds()
 	situation := c.situation(rec, t, elapsed)
 	t.step = c.bounds.Plan(situation)
-	changes = t.step.State != rollout.Running || t.step.Stage != rec.Stage || uptime.Since(t.notedAt) >= progressInterval
+	changes = t.step.State != rollout.Running || t.step.Stage != rec.Stage || uptime.Since(t.lastChange) >= progressInterval
 	t.issuesPermits = t.step.State == rollout.Running && t.step.Stage == rec.Stage
 	if changes {
-		t.notedAt = uptime.Now()
+		t.lastChange = uptime.Now()
 	}
 	t.logProgress(rec, situation)
 	return t.step, changes, elapsed
@@ -208,7 +208,7 @@
 func (c *RolloutController) evaluationOf(rec rollout.Record, elapsed time.Duration) *evaluation {
 	t := c.evaluations[rec.Service]
 	if t == nil || t.number != rec.Number {
-		t = &evaluation{number: rec.Number, evaluator: rollout.NewEvaluator(c.policy, rec.Duration), notedAt: uptime.Now()}
+		t = &evaluation{number: rec.Number, evaluator: rollout.NewEvaluator(c.policy, rec.Duration), lastChange: uptime.Now()}
 		if rec.Stage == rollout.StageShift {
 			t.shiftedAt = elapsed // a new leader knows only that it was before now
 		}
@@ -275,10 +275,10 @@
 	view := c.state.versions()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.judgeID == 0 {
+	if c.evaluatorID == 0 {
 		return 0, nil
 	}
-	if args.Judge != c.judgeID {
+	if args.Judge != c.evaluatorID {
 		// The reports to an earlier evaluator are missing; the node resends everything
 		// next time.
 		args.Cells = nil
@@ -298,7 +298,7 @@
 			})
 		}
 	}
-	return c.judgeID, permits
+	return c.evaluatorID, permits
 }
 
 func cellsOf(cells []rollout.Cell, service string) []rollout.Cell {
--- a/control/rollout_fleet_test.go
+++ b/control/rollout_fleet_test.go
@@ -50,7 +50,7 @@
 	newByEntry map[string]time.Time // when each entry node last sent to the new version
 }
 
-func (r *requests) note(entry, version string) {
+func (r *requests) recordRequest(entry, version string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.sent[version]++
@@ -100,7 +100,7 @@
 	if e.agent.SelectCanary(testService, "look") || e.agent.Versions(testService, false).Has("v2") {
 		version = "v2"
 	}
-	r.note(name, version)
+	r.recordRequest(name, version)
 	request := e.agent.Begin(rollout.Key{Service: testService, Route: "look", Version: version, DataHall: hallOf(target), Target: fmt.Sprint(version, target)})
 	time.Sleep(answerTime)
 	request.RecordFirstEvent()
--- a/control/server.go
+++ b/control/server.go
@@ -53,8 +53,8 @@
 	return func(s *Server) { s.orderRetryWindow = d }
 }
 
-// NewUnsignedServer returns a server of a site without signatures, on which a MembershipManager
-// manages the membership.
+// NewUnsignedServer returns a server of a site without signatures, on which a
+// MembershipManager manages the membership.
 func NewUnsignedServer(m *consensus.Member, s *State, k *MembershipManager, r *TargetList, opts ...ServerOption) *Server {
 	server := newServer(m, s)
 	server.membership, server.targets = k, r
--- a/control/sharing.go
+++ b/control/sharing.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	sharingInterval = 100 * time.Millisecond // between checks for new and expired entry nodes
+	quotaInterval = 100 * time.Millisecond // between checks for new and expired entry nodes
 	// firstRequestWait is the time within which entry nodes that wait for the first
 	// document send a request to a new leader.
 	firstRequestWait = 2 * renewRetryDelay
@@ -42,7 +42,7 @@
 // Run updates the set of entry nodes while this member leads, until ctx is done.
 func (c *QuotaController) Run(ctx context.Context) {
 	var term uint64 // in which this member last led
-	for pause.For(ctx, sharingInterval) {
+	for pause.For(ctx, quotaInterval) {
 		if !c.member.Leads() {
 			continue
 		}
@@ -127,7 +127,7 @@
 func (s *State) quotaSet() quota.Set {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.sharing.Clone()
+	return s.sharers.Clone()
 }
 
 // WithQuota makes the client pass this node's share, as told by the leader, to a
@@ -135,9 +135,9 @@
 func (c *Client) WithQuota(h *quota.Holder) { c.quota = h }
 
 // applyShare applies this node's share from a reply.
-func (c *Client) applyShare(w quota.Assignment, requestedAt time.Time) {
+func (c *Client) applyShare(a quota.Assignment, requestedAt time.Time) {
 	if c.quota != nil {
-		c.quota.Apply(w, requestedAt)
+		c.quota.Apply(a, requestedAt)
 	}
 }
 
@@ -149,8 +149,8 @@
 }
 
 // cacheShare keeps the share for the entry nodes that a query named.
-func (r *Relay) cacheShare(args NewestArgs, w quota.Assignment, requestedAt time.Time) {
-	if w.Nodes == 0 {
+func (r *Relay) cacheShare(args NewestArgs, a quota.Assignment, requestedAt time.Time) {
+	if a.Nodes == 0 {
 		return
 	}
 	entries := make(map[string]bool, len(args.Relayed))
@@ -159,7 +159,7 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.share = relayedShare{share: w, requestedAt: requestedAt, entries: entries}
+	r.share = relayedShare{share: a, requestedAt: requestedAt, entries: entries}
 }
 
 // shareFor returns the share for an entry node whose query was received at a
@@ -168,7 +168,7 @@
 	if !p.entries[entry] || uptime.Since(p.requestedAt) > quota.AnswerTimeout {
 		return quota.Assignment{}
 	}
-	w := p.share
-	w.Age = max(0, receivedAt.Sub(p.requestedAt))
-	return w
+	a := p.share
+	a.Age = max(0, receivedAt.Sub(p.requestedAt))
+	return a
 }
--- a/control/sharing_site_test.go
+++ b/control/sharing_site_test.go
@@ -13,21 +13,21 @@
 
 const shareSpan = 11 * time.Second
 
-// sharingEntry is an entry node with a share of the budget.
-type sharingEntry struct {
+// quotaEntry is an entry node with a share of the budget.
+type quotaEntry struct {
 	*control.Client
 	holder *quota.Holder
 }
 
-// startSharing runs a QuotaController on each member.
-func (g *group) startSharing(ctx context.Context) {
+// startQuota runs a QuotaController on each member.
+func (g *group) startQuota(ctx context.Context) {
 	for _, m := range g.members {
 		go control.NewQuotaController(m.raft, m.server, shareSpan).Run(ctx)
 	}
 }
 
-func (g *group) startEntry(i int) *sharingEntry {
-	e := &sharingEntry{holder: quota.NewHolder(shareSpan)}
+func (g *group) startEntry(i int) *quotaEntry {
+	e := &quotaEntry{holder: quota.NewHolder(shareSpan)}
 	e.Client = control.NewDocumentClient(peers{g, "client"}, g.names, func(uint64, []byte) error { return nil })
 	e.RegisterEntryNode(control.EntryNode{Address: fmt.Sprint("e", i), DataHall: "hall"}, func([]control.EntryNode, bool) {})
 	e.WithQuota(e.holder)
@@ -43,8 +43,8 @@
 		defer time.Sleep(5 * time.Second) // for pending queries
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		g.startSharing(ctx)
-		var entries []*sharingEntry
+		g.startQuota(ctx)
+		var entries []*quotaEntry
 		defer func() {
 			for _, e := range entries {
 				e.Close()
--- a/control/state.go
+++ b/control/state.go
@@ -124,7 +124,7 @@
 	fleet    []fleet.Record // by service
 	windows  windows
 	duty     duty.Record
-	sharing  quota.Set // entry nodes that share the retry budget
+	sharers  quota.Set // entry nodes that share the retry budget
 }
 
 // NewState returns the state of a new group, before its first bundle.
@@ -160,7 +160,7 @@
 	case c.Close != nil:
 		return encode(s.windows.close(c.Close))
 	case c.Sharers != nil:
-		s.sharing = *c.Sharers
+		s.sharers = *c.Sharers
 		return encode(Result{Code: walnutramp.CodeOK})
 	case c.Grant != nil, c.Release != nil:
 		return encode(s.applyDuty(index, &c))
@@ -293,7 +293,7 @@
 	defer s.mu.Unlock()
 	img := stateImage{
 		Doc: s.doc, History: s.history, Deltas: s.deltas, Versions: s.rollouts.copyView(), Fleet: s.fleet, Duty: s.duty,
-		Windows: s.windows.image(), Sharing: s.sharing,
+		Windows: s.windows.image(), Sharing: s.sharers,
 	}
 	for i, rec := range img.Versions.Records {
 		img.Versions.Records[i].Elapsed = s.rollouts.elapsed(rec)
@@ -325,7 +325,7 @@
 		s.windows = *img.Windows
 	}
 	s.duty = img.Duty
-	s.sharing = img.Sharing
+	s.sharers = img.Sharing
 	s.notify()
 	return nil
 }
--- a/control/usage_fleet_test.go
+++ b/control/usage_fleet_test.go
@@ -127,13 +127,13 @@
 		for site.ctx.Err() == nil {
 			time.Sleep(time.Duration(rng.ExpFloat64() / perSecond * float64(time.Second)))
 			account := fmt.Sprintf("account-%d", rng.IntN(accounts))
-			u.note(account, time.Now())
+			u.record(account, time.Now())
 			counter.Count(account, time.Now())
 		}
 	})
 }
 
-func (u *actualUsage) note(account string, at time.Time) {
+func (u *actualUsage) record(account string, at time.Time) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	w := usageConfig.Window(at)
--- a/control/windows.go
+++ b/control/windows.go
@@ -62,11 +62,11 @@
 	return Result{Code: walnutramp.CodeOK}
 }
 
-// markReported records that the platform has the windows up to told, or that they were
+// markReported records that the platform has the windows up to newest, or that they were
 // dropped, and removes them. They can't be reported with other counts later, since only
 // the next window can be closed.
-func (w *windows) markReported(told metering.Window) {
-	w.Told = max(w.Told, told)
+func (w *windows) markReported(newest metering.Window) {
+	w.Told = max(w.Told, newest)
 	w.Untold = slices.DeleteFunc(w.Untold, func(c ClosedWindow) bool { return c.Window <= w.Told })
 }
 
--- a/metering/counter.go
+++ b/metering/counter.go
@@ -132,7 +132,7 @@
 
 // Waiting reports whether there is anything new to report, and whether there
 // are rows of windows that are not closed.
-func (c *Counter) Waiting() (news, open bool) {
+func (c *Counter) Waiting() (unreported, open bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.changed) > 0 || len(c.unplaced) > 0, len(c.rows) > 0
--- a/metering/tally.go
+++ b/metering/tally.go
@@ -35,7 +35,7 @@
 		t.sources[from] = node
 	}
 	node.lastReport = at
-	t.markHeard(from)
+	t.markReported(from)
 	for _, row := range rows {
 		k := key{window: row.Window, account: row.Account}
 		if row.Window <= t.closed || row.Count <= node.rows[k] {
@@ -46,8 +46,8 @@
 	}
 }
 
-// markHeard records that a node reported since the last call of Changes.
-func (t *Aggregator) markHeard(from Source) {
+// markReported records that a node reported since the last call of Changes.
+func (t *Aggregator) markReported(from Source) {
 	if t.changed[from] == nil {
 		t.changed[from] = map[key]struct{}{}
 	}
@@ -97,8 +97,8 @@
 		}
 	}
 	unresponsive := 0
-	for _, heard := range newest {
-		if heard.After(since) && heard.Before(until) {
+	for _, lastReport := range newest {
+		if lastReport.After(since) && lastReport.Before(until) {
 			unresponsive++
 		}
 	}
--- a/quota/holder.go
+++ b/quota/holder.go
@@ -23,32 +23,32 @@
 // assignment.
 func NewHolder(span time.Duration) *Holder { return &Holder{span: span} }
 
-// Apply applies the assignment in an answer to a request sent at requestedAt. It ignores
-// answers without an assignment, later than AskLimit, or to a request before that of the
-// latest assignment.
-func (h *Holder) Apply(w Assignment, requestedAt time.Time) {
+// Apply applies the assignment in an answer to a request sent at requestedAt. It
+// ignores answers without an assignment, later than AnswerTimeout, or to a request
+// before that of the latest assignment.
+func (h *Holder) Apply(a Assignment, requestedAt time.Time) {
 	now := uptime.Now()
-	issuedAt := requestedAt.Add(-w.Age)
-	if w.Nodes <= 0 || now.Sub(issuedAt) > AnswerTimeout {
+	issuedAt := requestedAt.Add(-a.Age)
+	if a.Nodes <= 0 || now.Sub(issuedAt) > AnswerTimeout {
 		return
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	switch {
-	case h.epoch == 0 && w.First:
-		h.join(w, now)
-	case h.epoch != w.Epoch || issuedAt.Sub(h.requestedAt) > MaxAbsence:
-		h.join(w, now.Add(joinDelay(h.span)))
+	case h.epoch == 0 && a.First:
+		h.join(a, now)
+	case h.epoch != a.Epoch || issuedAt.Sub(h.requestedAt) > MaxAbsence:
+		h.join(a, now.Add(joinDelay(h.span)))
 	case issuedAt.Before(h.requestedAt):
 		return
 	}
-	h.epoch, h.setSize, h.requestedAt = w.Epoch, w.Nodes, issuedAt
+	h.epoch, h.setSize, h.requestedAt = a.Epoch, a.Nodes, issuedAt
 }
 
 // join makes the share usable from a time on. The caller holds the mutex.
-func (h *Holder) join(w Assignment, from time.Time) {
+func (h *Holder) join(a Assignment, from time.Time) {
 	h.usableFrom = from
-	klog.InfoS("Retry quota share assigned", "nodes", w.Nodes, "first", w.First, "in_ms", uptime.Until(from).Milliseconds())
+	klog.InfoS("Retry quota share assigned", "nodes", a.Nodes, "first", a.First, "in_ms", uptime.Until(from).Milliseconds())
 }
 
 // Share returns the share of the quota, from 0 to 1, that this node may have used within
--- a/quota/quota.go
+++ b/quota/quota.go
@@ -5,7 +5,7 @@
 // The control group keeps the set of nodes that may hold a share in its log. Its leader
 // tells each of them the size of the set, n, and for a limited time the node may use
 // 1/n of the quota. A node that joins waits until all assignments of a smaller n have
-// expired, and one span more. A node that falls silent stays in the set until its share
+// expired, and one span more. A node that becomes unresponsive stays in the set until its share
 // has certainly expired. So if k nodes use a share within one span, each of them was told
 // an n of at least k, and their shares add up to at most the quota;
 // docs/design/repeats.md has the proof.
@@ -27,15 +27,15 @@
 // joinDelay is how long a node that joins waits before it uses its share.
 func joinDelay(span time.Duration) time.Duration { return ShareTTL + span }
 
-// evictDelay is how long a silent node stays in the set: until it can no longer resume its
-// share (MaxAbsence) by an answer that is under way (AskLimit), that share has expired
-// (ShareTTL), and a span has passed.
+// evictDelay is how long an unresponsive node stays in the set: until it can no longer
+// resume its share (MaxAbsence) by an answer that is under way (AnswerTimeout), that
+// share has expired (ShareTTL), and a span has passed.
 func evictDelay(span time.Duration) time.Duration {
 	return MaxAbsence + AnswerTimeout + ShareTTL + span
 }
 
-// Assignment is the assignment of a share that the control group's leader sends to a node in
-// the set.
+// Assignment is the assignment of a share that the control group's leader sends to a
+// node in the set.
 type Assignment struct {
 	Nodes int    // in the set; 0 for no assignment
 	Epoch uint64 // identifies the set; assignments of different sets are unrelated
--- a/quota/register.go
+++ b/quota/register.go
@@ -16,22 +16,23 @@
 
 	mu          sync.Mutex
 	leaderSince time.Time // when this member became leader
-	heard       map[string]heardNode
+	requests    map[string]nodeRequest
 	removing    map[string]bool // removals that were proposed, whatever their outcome
 }
 
-type heardNode struct {
+type nodeRequest struct {
 	at          time.Time
 	incarnation uint64
 }
 
 // NewRegister returns a Register for a quota per span.
 func NewRegister(span time.Duration) *Register {
-	return &Register{span: span, heard: map[string]heardNode{}, removing: map[string]bool{}}
+	return &Register{span: span, requests: map[string]nodeRequest{}, removing: map[string]bool{}}
 }
 
-// BecomeLeader records that this member becomes leader. Nodes known to an earlier leader count
-// as heard now; what this member recorded as a follower remains valid.
+// BecomeLeader records that this member becomes leader. Nodes known to an earlier
+// leader count as having requested now; what this member recorded as a follower remains
+// valid.
 func (r *Register) BecomeLeader() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -45,9 +46,9 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if n.Incarnation == 0 {
-		n.Incarnation = r.heard[n.Address].incarnation
+		n.Incarnation = r.requests[n.Address].incarnation
 	}
-	r.heard[n.Address] = heardNode{at: uptime.Now(), incarnation: n.Incarnation}
+	r.requests[n.Address] = nodeRequest{at: uptime.Now(), incarnation: n.Incarnation}
 }
 
 // Next returns the set that the group should agree on next and the nodes that join and
@@ -60,17 +61,17 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for address, n := range r.heard {
+	for address, n := range r.requests {
 		if now.Sub(n.at) > evictDelay(r.span) {
-			delete(r.heard, address)
+			delete(r.requests, address)
 		} else if !set.has(address) || r.removing[address] {
 			next.add(address, n.incarnation)
 			joining = append(joining, address)
 		}
 	}
 	for address := range set.Lives {
-		_, heard := r.heard[address]
-		if !heard && now.Sub(r.leaderSince) > evictDelay(r.span) {
+		_, requested := r.requests[address]
+		if !requested && now.Sub(r.leaderSince) > evictDelay(r.span) {
 			delete(next.Lives, address)
 			r.removing[address] = true
 			leaving = append(leaving, address)
--- a/topology/topology.go
+++ b/topology/topology.go
@@ -17,15 +17,15 @@
 // Map is the topology as seen from one data hall. The zero Map has no regions, so all
 // other halls are in the same one. It is immutable.
 type Map struct {
-	local   string
-	regions map[string]string // by data hall
-	several bool              // more than one region
+	local       string
+	regions     map[string]string // by data hall
+	multiRegion bool              // more than one region
 }
 
 // New returns the Map seen from a data hall; regions maps data halls to regions.
 func New(hall string, regions map[string]string) Map {
 	m := Map{local: hall, regions: regions}
-	m.several = len(m.Regions()) > 1
+	m.multiRegion = len(m.Regions()) > 1
 	return m
 }
 
@@ -67,4 +67,4 @@
 }
 
 // MultiRegion reports whether there is more than one region.
-func (m Map) MultiRegion() bool { return m.several }
+func (m Map) MultiRegion() bool { return m.multiRegion }
