--- a/caller/caller.go
+++ b/caller/caller.go
@@ -92,7 +92,7 @@
 func WithObserver(o Observer) Option { return func(c *Config) { c.Observe = o } }
 
 // WithQuarantine sets the detector of requests that crash targets.
-func WithQuarantine(w *quarantine.CrashDetector) Option { return func(c *Config) { c.Quarantine = w } }
+func WithQuarantine(d *quarantine.CrashDetector) Option { return func(c *Config) { c.Quarantine = d } }
 
 // WithStopping sets the check for whether the node rejects new work.
 func WithStopping(f func() bool) Option { return func(c *Config) { c.Stopping = f } }
--- a/caller/service.go
+++ b/caller/service.go
@@ -23,8 +23,9 @@
 	Digest  string // of method, path and body
 }
 
-// ClaimState is the ledger's state of a claim. Token identifies a claim that is Granted, for Settle.
-// Digest and Outcome are those of the recorded claim; Outcome is final once Settled is set.
+// ClaimState is the ledger's state of a claim. Token identifies a claim that is Granted,
+// for Settle. Digest and Outcome are those of the recorded claim; Outcome is final once
+// Settled is set.
 type ClaimState struct {
 	Granted bool // the claim is new, and its owner may send the request once
 	Token   uint64
--- a/discovery/poller.go
+++ b/discovery/poller.go
@@ -23,8 +23,8 @@
 	Put     []Target // new or changed
 }
 
-// FeedUpdate is an update of the list from another node. With neither a list nor a change, the
-// list it sent last is still valid.
+// FeedUpdate is an update of the list from another node. With neither a list nor a
+// change, the list it sent last is still valid.
 type FeedUpdate struct {
 	List   []Target      // complete list
 	Change *Change       // to the list it sent last
@@ -39,7 +39,8 @@
 	ApplyChange(c Change)
 }
 
-// ListHandlerFunc adapts a function to a ListHandler that ignores changes, for pollers without a feed.
+// ListHandlerFunc adapts a function to a ListHandler that ignores changes, for pollers
+// without a feed.
 type ListHandlerFunc func(list []Target)
 
 // SetList implements ListHandler.
@@ -95,8 +96,9 @@
 	Interval() time.Duration
 }
 
-// NewPoller returns a poller that passes every list it reads, and the updates of ApplyFeed, to
-// a handler. It calls the handler with its mutex held, so the handler must not call ApplyFeed.
+// NewPoller returns a poller that passes every list it reads, and the updates of
+// ApplyFeed, to a handler. It calls the handler with its mutex held, so the handler must
+// not call ApplyFeed.
 func NewPoller(source Source, handler ListHandler, opts ...PollerOption) *Poller {
 	cfg := PollerConfig{Interval: time.Second, MinInterval: 300 * time.Millisecond, Timeout: 3 * time.Second, FeedTimeout: 1600 * time.Millisecond, MaxFeedAge: 3200 * time.Millisecond}
 	for _, opt := range opts {
@@ -115,8 +117,8 @@
 }
 
 // ApplyFeed applies an update from another node in place of a read. A list older than the
-// current one is not passed on. ApplyFeed returns false for a change if the current list is not
-// the one last sent by the feed; the complete list is needed then.
+// current one is not passed on. ApplyFeed returns false for a change if the current list
+// is not the one last sent by the feed; the complete list is needed then.
 func (p *Poller) ApplyFeed(f FeedUpdate) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/discovery/target.go
+++ b/discovery/target.go
@@ -27,8 +27,8 @@
 	Born int64
 }
 
-// Incarnation identifies this start of the target; it is the ID if the start time is unknown.
-// State recorded for another start of the same target does not apply to it.
+// Incarnation identifies this start of the target; it is the ID if the start time is
+// unknown. State recorded for another start of the same target does not apply to it.
 func (t *Target) Incarnation() string {
 	if t.Born == 0 {
 		return t.ID
--- a/fleet/simulation_test.go
+++ b/fleet/simulation_test.go
@@ -9,9 +9,9 @@
 	"github.com/walnutramp/walnutramp/fleet"
 )
 
-// The simulation runs the aggregator, the forecast, the plan and the reconciler, as the leader
-// does, against a model of a platform and a load. It adds up the cost and the refused
-// requests.
+// The simulation runs the aggregator, the forecast, the plan and the reconciler, as the
+// leader does, against a model of a platform and a load. It adds up the cost and the
+// refused requests.
 
 const (
 	simStep        = 200 * time.Millisecond
--- a/gateway/ask_test.go
+++ b/gateway/ask_test.go
@@ -87,8 +87,8 @@
 	}
 }
 
-// While the only target is in cooldown, requests must be rejected at once as not run, with a
-// Retry-After that covers the cooldown and is jittered.
+// While the only target is in cooldown, requests must be rejected at once as not run,
+// with a Retry-After that covers the cooldown and is jittered.
 func TestSoleTargetInCooldownRejectsWithRetryAfter(t *testing.T) {
 	for _, path := range []string{"/safe/", "/once/", "/draft/"} {
 		service := "lookup"
@@ -130,8 +130,8 @@
 	require.Len(t, f.seen(), 2)
 }
 
-// While all targets are in cooldown, each must get only the request it rejected, and serve again
-// afterwards.
+// While all targets are in cooldown, each must get only the request it rejected, and
+// serve again afterwards.
 func TestAllTargetsInCooldown(t *testing.T) {
 	busy := newThrottlingTarget(60)
 	targets := []*fakeTarget{
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -67,9 +67,9 @@
 	Metering *metering.Counter
 
 	// Find asks other nodes about runs whose prompt has this key; nil to ask none.
-	// Again says that the client already has part of the answer, so that such a run
+	// Retried says that the client already has part of the answer, so that such a run
 	// has begun at some node.
-	Find func(ctx context.Context, key string, again bool)
+	Find func(ctx context.Context, key string, retried bool)
 	// Borrow obtains a retry for a service from another node's budget; nil for none.
 	Borrow func(ctx context.Context, service string) bool
 }
@@ -96,7 +96,7 @@
 func WithRollouts(a *rollout.Agent) Option { return func(c *Config) { c.Rollouts = a } }
 
 // WithQuarantine sets the detector of requests that crash targets.
-func WithQuarantine(w *quarantine.CrashDetector) Option { return func(c *Config) { c.Quarantine = w } }
+func WithQuarantine(d *quarantine.CrashDetector) Option { return func(c *Config) { c.Quarantine = d } }
 
 // WithCopies sets whether engines replicate the KV cache of runs to each other.
 func WithCopies(on bool) Option { return func(c *Config) { c.Copies = on } }
@@ -105,7 +105,7 @@
 func WithBufferLimits(l BufferLimits) Option { return func(c *Config) { c.Buffers = l } }
 
 // WithFind sets the function that asks other nodes about runs of a prompt.
-func WithFind(find func(ctx context.Context, key string, again bool)) Option {
+func WithFind(find func(ctx context.Context, key string, retried bool)) Option {
 	return func(c *Config) { c.Find = find }
 }
 
@@ -233,8 +233,8 @@
 	phaseClosed        // new requests are rejected
 )
 
-// BeginShutdown begins a graceful shutdown: the node is no longer ready, and rejects, as not
-// run, new streams that are predicted to end after the given time.
+// BeginShutdown begins a graceful shutdown: the node is no longer ready, and rejects, as
+// not run, new streams that are predicted to end after the given time.
 func (g *Gateway) BeginShutdown(by time.Time) {
 	g.stopDeadline.Store(&by)
 	g.stopping.Store(phaseLeaving)
--- a/generation/manager.go
+++ b/generation/manager.go
@@ -97,15 +97,15 @@
 
 // WithBundleSettings sets the sources of the bundle's replication settings and of its
 // preference between latency and cost.
-func WithBundleSettings(guard func() bundle.Guard, leaning func() bundle.ResumePreference) Option {
-	return func(c *Config) { c.Guard, c.Leaning = guard, leaning }
+func WithBundleSettings(guard func() bundle.Guard, preference func() bundle.ResumePreference) Option {
+	return func(c *Config) { c.Guard, c.Leaning = guard, preference }
 }
 
 // WithObserver sets the receiver of resume and takeover events.
 func WithObserver(o Observer) Option { return func(c *Config) { c.Observe = o } }
 
 // WithQuarantine sets the detector of requests that crash engines.
-func WithQuarantine(w *quarantine.CrashDetector) Option { return func(c *Config) { c.Quarantine = w } }
+func WithQuarantine(d *quarantine.CrashDetector) Option { return func(c *Config) { c.Quarantine = d } }
 
 // WithResumer adds a resumer. Among equal forecasts the lower priority number wins.
 func WithResumer(r Resumer, priority int) Option {
--- a/loadshare/regions.go
+++ b/loadshare/regions.go
@@ -46,10 +46,9 @@
 	return regionDelay
 }
 
-// hasDataFor reports whether this node has current data for a publisher. Data of
-// another region is published only while it arrives from a relay of that region;
-// otherwise nothing is sent on the feed and subscribers fail over. The caller holds
-// relayMu.
+// hasDataFor reports whether this node has current data for a publisher. Data of another
+// region is published only while it arrives from a relay of that region; otherwise
+// nothing is sent on the feed and subscribers fail over. The caller holds relayMu.
 func (s *Sharer) hasDataFor(p *publisher, l *layout, now time.Time) bool {
 	if p.scope != scopeRegion || p.region == s.ownRegion() {
 		return true
--- a/node/session_test.go
+++ b/node/session_test.go
@@ -172,8 +172,8 @@
 
 // start starts the site. Besides sizes (nodes, engines, services, slots, replicas and
 // control, the number of control group members), its options are hold (EngineConfig's
-// HoldEvery), plain=true (engines send no token IDs), leaning (bundle.ResumePreference), delay (of
-// the plain service) and concurrent (limit of the account clerks).
+// HoldEvery), plain=true (engines send no token IDs), leaning (bundle.ResumePreference),
+// delay (of the plain service) and concurrent (limit of the account clerks).
 func (s *session) start(opts map[string]string) {
 	cfg := site.Default()
 	s.net = site.NewMemory()
--- a/rollout/agent.go
+++ b/rollout/agent.go
@@ -156,8 +156,8 @@
 // targets, to prevent a burst afterwards.
 const maxCredit = 2
 
-// ReturnCredit returns the credit of a SelectCanary for which no target of the new version was
-// available.
+// ReturnCredit returns the credit of a SelectCanary for which no target of the new
+// version was available.
 func (a *Agent) ReturnCredit(name, route string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/serve/entry.go
+++ b/serve/entry.go
@@ -86,8 +86,8 @@
 	quotaHolder := quota.NewHolder(budgetConfig.SpendPeriod())
 	budgetConfig.Share = quotaHolder.Share
 	budgets := balance.NewBudgets(budgetConfig)
-	monitor := quarantine.NewCrashDetector(quarantine.New(), pool.Dial)
-	sharer, err := p.newSharer(targets, budgets, monitor.Ledger)
+	crashDetector := quarantine.NewCrashDetector(quarantine.New(), pool.Dial)
+	sharer, err := p.newSharer(targets, budgets, crashDetector.Ledger)
 	if err != nil {
 		return err
 	}
@@ -103,7 +103,7 @@
 	}
 	p.client = control.NewDocumentClient(p.peers, s.Seeds, apply)
 	options := []gateway.Option{gateway.WithNames(names), gateway.WithLease(p.leaseCheck()), gateway.WithFind(priorRunFinder(sharer)), gateway.WithBorrow(sharer.Borrow),
-		gateway.WithQuarantine(monitor)}
+		gateway.WithQuarantine(crashDetector)}
 	var agent *rollout.Agent
 	if s.Rollouts.Enabled() {
 		agent = rollout.NewAgent(rand.Uint64())
@@ -119,7 +119,7 @@
 	p.client.WithQuota(quotaHolder)
 	p.client.RegisterEntryNode(control.EntryNode{Address: s.PeerListen, DataHall: s.DataHall, Disk: s.DataDir != ""}, peerUpdater(sharer))
 	p.client.OnTargets(poller.ApplyFeed)
-	p.entry = &entry{gateway: g, pool: pool, rolloutAgent: agent, requestCounter: counter, sharer: sharer, quarantine: monitor}
+	p.entry = &entry{gateway: g, pool: pool, rolloutAgent: agent, requestCounter: counter, sharer: sharer, quarantine: crashDetector}
 	if err := p.listenEntry(g); err != nil {
 		return err
 	}
--- a/serve/replica.go
+++ b/serve/replica.go
@@ -80,13 +80,13 @@
 	if err != nil {
 		return err
 	}
-	membershipController := control.NewMembershipManager(self.Node, member)
+	membershipManager := control.NewMembershipManager(self.Node, member)
 	targetList := control.NewTargetList()
 	poller := discovery.NewPoller(p.adapter.Source(false), discovery.ListHandlerFunc(targetList.Set), discovery.WithCondition(member.Leads))
 	server := peer.NewServer(self, &p.traffic)
-	controlServer := control.NewUnsignedServer(member, state, membershipController, targetList, control.WithLink(s.LinkMbps*bytesPerMegabit), control.WithOrderRetryWindow(s.OrderRetryWindow))
+	controlServer := control.NewUnsignedServer(member, state, membershipManager, targetList, control.WithLink(s.LinkMbps*bytesPerMegabit), control.WithOrderRetryWindow(s.OrderRetryWindow))
 	budgetConfig := balance.BudgetConfig{Window: s.RetryWindow}
-	sharing := control.NewQuotaController(member, controlServer, budgetConfig.SpendPeriod())
+	quotaController := control.NewQuotaController(member, controlServer, budgetConfig.SpendPeriod())
 	relay := control.NewRelay(p.peers, self.Node, s.DataHall, member, controlServer)
 	usage := p.newUsage(self, member, controlServer)
 	if s.Rollouts.Enabled() {
@@ -105,12 +105,12 @@
 	go server.Serve(l)
 	member.Start()
 	p.client = control.NewDocumentClient(p.peers, s.Seeds, func(uint64, []byte) error { return nil })
-	go membershipController.Run(p.ctx)
+	go membershipManager.Run(p.ctx)
 	go poller.Run(p.ctx)
 	go p.readFirstList(targetList)
 	go onElected(p.ctx, member, poller.RequestRead)
 	go relay.Run(p.ctx)
-	go sharing.Run(p.ctx)
+	go quotaController.Run(p.ctx)
 	go control.NewSeedNotifier(p.peers, member, p.client).Run(p.ctx)
 	go control.NewJoiner(p.peers, self.Node, identity, member, p.client).Run(p.ctx)
 	duties := p.startDuties(self, member, controlServer)
--- a/target/openai.go
+++ b/target/openai.go
@@ -30,8 +30,8 @@
 }
 
 // NewClient returns a Client that sends over transport, and sends cancels over
-// cancelTransport: those relieve an overloaded target and are sent during its cooldown, too.
-// It never retries; that is left to the caller.
+// cancelTransport: those relieve an overloaded target and are sent during its cooldown,
+// too. It never retries; that is left to the caller.
 func NewClient(transport, cancelTransport http.RoundTripper) *Client {
 	return &Client{rest: newResty(transport), cancels: newResty(cancelTransport)}
 }
--- a/target/rest.go
+++ b/target/rest.go
@@ -17,7 +17,7 @@
 }
 
 // Error implements the error interface.
-func (e *CooldownError) Error() string { return fmt.Sprintf("target in backoff for %v", e.Left) }
+func (e *CooldownError) Error() string { return fmt.Sprintf("target in cooldown for %v", e.Left) }
 
 // IsCooldown reports whether err is a CooldownError.
 func IsCooldown(err error) bool {
--- a/target/watch.go
+++ b/target/watch.go
@@ -18,8 +18,8 @@
 	Unreachable(name walnutramp.TargetName)
 }
 
-// LoadPoller polls the load of each target, with one goroutine per target. To plain services
-// it only connects. A poll of an engine in cooldown delivers no result.
+// LoadPoller polls the load of each target, with one goroutine per target. To plain
+// services it only connects. A poll of an engine in cooldown delivers no result.
 type LoadPoller struct {
 	pool     *Pool
 	sink     ReportSink
