--- a/control/guide.go
+++ b/control/guide.go
@@ -15,59 +15,59 @@
 func NewRedirector(c *Client) *Redirector { return &Redirector{client: c} }
 
 // Newest implements the RPC that renews a node's lease.
-func (g *Redirector) Newest(_ NewestArgs, reply *NewestReply) error {
-	reply.Group = g.redirect(&reply.Code, &reply.Leader)
+func (r *Redirector) Newest(_ NewestArgs, reply *NewestReply) error {
+	reply.Group = r.redirect(&reply.Code, &reply.Leader)
 	return nil
 }
 
 // Join implements the RPC by which a node asks to become a member.
-func (g *Redirector) Join(_ JoinArgs, reply *JoinReply) error {
-	reply.Group = g.redirect(&reply.Code, &reply.Leader)
+func (r *Redirector) Join(_ JoinArgs, reply *JoinReply) error {
+	reply.Group = r.redirect(&reply.Code, &reply.Leader)
 	return nil
 }
 
 // Do implements the RPC that proposes a command.
-func (g *Redirector) Do(_ DoArgs, reply *DoReply) error {
-	g.redirect(&reply.Code, &reply.Leader)
+func (r *Redirector) Do(_ DoArgs, reply *DoReply) error {
+	r.redirect(&reply.Code, &reply.Leader)
 	return nil
 }
 
 // Offer implements the RPC that submits an unsigned document.
-func (g *Redirector) Offer(_ OfferArgs, reply *DoReply) error {
-	g.redirect(&reply.Code, &reply.Leader)
+func (r *Redirector) Offer(_ OfferArgs, reply *DoReply) error {
+	r.redirect(&reply.Code, &reply.Leader)
 	return nil
 }
 
 // Order implements the RPC that orders a roll-out.
-func (g *Redirector) Order(_ OrderArgs, reply *DoReply) error {
-	g.redirect(&reply.Code, &reply.Leader)
+func (r *Redirector) Order(_ OrderArgs, reply *DoReply) error {
+	r.redirect(&reply.Code, &reply.Leader)
 	return nil
 }
 
 // Rollout implements the RPC that returns the newest roll-out of a service.
-func (g *Redirector) Rollout(_ RolloutArgs, reply *RolloutReply) error {
-	g.redirect(&reply.Code, &reply.Leader)
+func (r *Redirector) Rollout(_ RolloutArgs, reply *RolloutReply) error {
+	r.redirect(&reply.Code, &reply.Leader)
 	return nil
 }
 
 // Report implements the RPC by which nodes report observations of targets.
-func (g *Redirector) Report(_ ReportArgs, reply *ReportReply) error {
-	g.redirect(&reply.Code, &reply.Leader)
+func (r *Redirector) Report(_ ReportArgs, reply *ReportReply) error {
+	r.redirect(&reply.Code, &reply.Leader)
 	return nil
 }
 
 // Tell implements the RPC by which nodes report usage and demand.
-func (g *Redirector) Tell(_ TellArgs, reply *TellReply) error {
-	g.redirect(&reply.Code, &reply.Leader)
+func (r *Redirector) Tell(_ TellArgs, reply *TellReply) error {
+	r.redirect(&reply.Code, &reply.Leader)
 	return nil
 }
 
 // redirect fills a reply with CodeNoLeader and the node to ask instead: the leader or a
 // relay as last known, empty if unknown. It returns the members as last received.
-func (g *Redirector) redirect(code *walnutramp.Code, leader *walnutramp.NodeName) []walnutramp.NodeName {
+func (r *Redirector) redirect(code *walnutramp.Code, leader *walnutramp.NodeName) []walnutramp.NodeName {
 	*code = walnutramp.CodeNoLeader
 	var group []walnutramp.NodeName
-	*leader, group = g.client.leaderAndMembers()
+	*leader, group = r.client.leaderAndMembers()
 	return group
 }
 
--- a/control/introducer.go
+++ b/control/introducer.go
@@ -40,24 +40,24 @@
 type IntroduceReply struct{}
 
 // Run sends the list of members until ctx ends.
-func (i *SeedNotifier) Run(ctx context.Context) {
+func (n *SeedNotifier) Run(ctx context.Context) {
 	for pause.For(ctx, introduceInterval) {
-		group := i.member.Status().Group.Nodes()
+		group := n.member.Status().Group.Nodes()
 		if len(group) == 0 {
 			continue
 		}
-		for _, seed := range i.client.seedList() {
+		for _, seed := range n.client.seedList() {
 			if !slices.Contains(group, seed) {
-				i.introduce(ctx, seed, group)
+				n.introduce(ctx, seed, group)
 			}
 		}
 	}
 }
 
-func (i *SeedNotifier) introduce(ctx context.Context, seed walnutramp.NodeName, group []walnutramp.NodeName) {
+func (n *SeedNotifier) introduce(ctx context.Context, seed walnutramp.NodeName, group []walnutramp.NodeName) {
 	ctx, cancel := context.WithTimeout(ctx, introduceTimeout)
 	defer cancel()
-	if err := i.peers.Call(ctx, seed, Service+".Introduce", IntroduceArgs{Group: group}, &IntroduceReply{}); err != nil {
+	if err := n.peers.Call(ctx, seed, Service+".Introduce", IntroduceArgs{Group: group}, &IntroduceReply{}); err != nil {
 		klog.V(1).InfoS("Failed to introduce members", "seed", seed, "err", err)
 	}
 }
--- a/control/keeper.go
+++ b/control/keeper.go
@@ -51,25 +51,25 @@
 }
 
 // requestJoin records a node's request to join.
-func (k *MembershipManager) requestJoin(args JoinArgs) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.joinRequests[args.Node] = joinRequest{identity: args.Identity, requestedAt: time.Now()}
+func (m *MembershipManager) requestJoin(args JoinArgs) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.joinRequests[args.Node] = joinRequest{identity: args.Identity, requestedAt: time.Now()}
 }
 
 // Run changes the membership while this member leads, until ctx ends.
-func (k *MembershipManager) Run(ctx context.Context) {
+func (m *MembershipManager) Run(ctx context.Context) {
 	for pause.For(ctx, membershipInterval) {
-		if !k.member.Leads() {
+		if !m.member.Leads() {
 			continue
 		}
-		status := k.member.Status()
-		next, reason := k.step(status.Group, k.member.Followers())
+		status := m.member.Status()
+		next, reason := m.step(status.Group, m.member.Followers())
 		if reason == "" {
 			continue
 		}
 		changeCtx, cancel := context.WithTimeout(ctx, changeTimeout)
-		reply := k.member.Change(changeCtx, next)
+		reply := m.member.Change(changeCtx, next)
 		cancel()
 		klog.InfoS("Group changed", "why", reason, "term", status.Term, "members", next.Nodes(), "counted", next.Counted(), "code", int(reply.Code))
 	}
@@ -77,8 +77,8 @@
 
 // step returns the next membership and the reason for the change, which is empty if
 // there is none to make now.
-func (k *MembershipManager) step(g consensus.Group, followers []consensus.FollowerStatus) (consensus.Group, string) {
-	for node, request := range k.pendingJoins() {
+func (m *MembershipManager) step(g consensus.Group, followers []consensus.FollowerStatus) (consensus.Group, string) {
+	for node, request := range m.pendingJoins() {
 		known, ok := g.Find(node)
 		switch {
 		case ok && known.Identity == request.identity:
@@ -107,13 +107,13 @@
 }
 
 // pendingJoins returns the join requests that have not expired.
-func (k *MembershipManager) pendingJoins() map[walnutramp.NodeName]joinRequest {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+func (m *MembershipManager) pendingJoins() map[walnutramp.NodeName]joinRequest {
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	pending := map[walnutramp.NodeName]joinRequest{}
-	for node, request := range k.joinRequests {
+	for node, request := range m.joinRequests {
 		if time.Since(request.requestedAt) > joinRequestTTL {
-			delete(k.joinRequests, node)
+			delete(m.joinRequests, node)
 			continue
 		}
 		pending[node] = request
--- a/control/server.go
+++ b/control/server.go
@@ -55,9 +55,9 @@
 
 // NewUnsignedServer returns a server of a site without signatures, on which a
 // MembershipManager manages the membership.
-func NewUnsignedServer(m *consensus.Member, s *State, k *MembershipManager, r *TargetList, opts ...ServerOption) *Server {
+func NewUnsignedServer(m *consensus.Member, s *State, manager *MembershipManager, targets *TargetList, opts ...ServerOption) *Server {
 	server := newServer(m, s)
-	server.membership, server.targets = k, r
+	server.membership, server.targets = manager, targets
 	for _, opt := range opts {
 		opt(server)
 	}
--- a/duty/duty.go
+++ b/duty/duty.go
@@ -65,7 +65,7 @@
 type Call struct {
 	Subject Subject
 	// Content identifies the call's effect. A call with the same subject and
-	// content is a repeat, and is idempotent.
+	// content is a retry, and is idempotent.
 	Content string
 	// Send sends the call once.
 	Send func(ctx context.Context, p Permission) Outcome
--- a/duty/gate.go
+++ b/duty/gate.go
@@ -28,12 +28,12 @@
 	lastUnclear     time.Time // time at which the last Unclear call ended
 }
 
-// attempt is a call that may still take effect, or that must not be repeated
+// attempt is a call that may still take effect, or that must not be retried
 // under its token.
 type attempt struct {
 	content string
 	token   Token
-	refused bool // even a repeat needs a higher token
+	refused bool // even a retry needs a higher token
 }
 
 // NewGate returns a gate with no recorded calls.
@@ -42,7 +42,7 @@
 // NeedsToken reports whether a call needs a higher token than the current one:
 // the last call on its subject to end Unclear, Fenced or Conflict had no lower
 // token, and it ended Unclear with other content, so that it may still take
-// effect, or it ended Fenced or Conflict. A repeat of an Unclear call keeps the
+// effect, or it ended Fenced or Conflict. A retry of an Unclear call keeps the
 // token: it is idempotent, and a grant costs a log entry.
 func (g *Gate) NeedsToken(c Call, current Token) bool {
 	a, ok := g.unclear[c.Subject]
--- a/metering/tally.go
+++ b/metering/tally.go
@@ -28,28 +28,28 @@
 }
 
 // Merge merges rows that a node reported at the given local time.
-func (t *Aggregator) Merge(from Source, rows []Row, at time.Time) {
-	node := t.sources[from]
+func (a *Aggregator) Merge(from Source, rows []Row, at time.Time) {
+	node := a.sources[from]
 	if node == nil {
 		node = &sourceRows{rows: map[key]uint64{}}
-		t.sources[from] = node
+		a.sources[from] = node
 	}
 	node.lastReport = at
-	t.markReported(from)
+	a.markReported(from)
 	for _, row := range rows {
 		k := key{window: row.Window, account: row.Account}
-		if row.Window <= t.closed || row.Count <= node.rows[k] {
+		if row.Window <= a.closed || row.Count <= node.rows[k] {
 			continue // window closed, or row older than the known one
 		}
 		node.rows[k] = row.Count
-		t.changed[from][k] = struct{}{}
+		a.changed[from][k] = struct{}{}
 	}
 }
 
 // markReported records that a node reported since the last call of Changes.
-func (t *Aggregator) markReported(from Source) {
-	if t.changed[from] == nil {
-		t.changed[from] = map[key]struct{}{}
+func (a *Aggregator) markReported(from Source) {
+	if a.changed[from] == nil {
+		a.changed[from] = map[key]struct{}{}
 	}
 }
 
@@ -63,9 +63,9 @@
 }
 
 // Sum sums a window over all nodes.
-func (t *Aggregator) Sum(w Window) Sum {
+func (a *Aggregator) Sum(w Window) Sum {
 	sum := Sum{Counts: Counts{}}
-	for _, node := range t.sources {
+	for _, node := range a.sources {
 		rows := 0
 		for k, count := range node.rows {
 			if k.window != w {
@@ -89,9 +89,9 @@
 
 // Unresponsive returns how many nodes made their last report after since and before
 // until. A report of a restarted process counts for its node.
-func (t *Aggregator) Unresponsive(since, until time.Time) int {
+func (a *Aggregator) Unresponsive(since, until time.Time) int {
 	newest := map[string]time.Time{}
-	for from, node := range t.sources {
+	for from, node := range a.sources {
 		if node.lastReport.After(newest[from.Node]) {
 			newest[from.Node] = node.lastReport
 		}
@@ -107,33 +107,33 @@
 
 // Changes returns the rows that changed since the last call, or all rows. A
 // source that reported nothing new is included without rows.
-func (t *Aggregator) Changes(all bool) map[Source][]Row {
+func (a *Aggregator) Changes(all bool) map[Source][]Row {
 	changes := map[Source][]Row{}
-	for from := range t.changed {
+	for from := range a.changed {
 		changes[from] = nil
 	}
-	for from, node := range t.sources {
+	for from, node := range a.sources {
 		for k, count := range node.rows {
-			if _, changed := t.changed[from][k]; changed || all {
+			if _, changed := a.changed[from][k]; changed || all {
 				changes[from] = append(changes[from], Row{Window: k.window, Account: k.account, Count: count})
 			}
 		}
 	}
-	clear(t.changed)
+	clear(a.changed)
 	return changes
 }
 
 // RemoveThrough removes the windows up to newest, which the group has closed.
-func (t *Aggregator) RemoveThrough(newest Window) {
-	if newest <= t.closed {
+func (a *Aggregator) RemoveThrough(newest Window) {
+	if newest <= a.closed {
 		return
 	}
-	t.closed = newest
-	for from, node := range t.sources {
+	a.closed = newest
+	for from, node := range a.sources {
 		for k := range node.rows {
 			if k.window <= newest {
 				delete(node.rows, k)
-				delete(t.changed[from], k)
+				delete(a.changed[from], k)
 			}
 		}
 	}
@@ -141,11 +141,11 @@
 
 // Forget removes the sources that have not reported since before and have no
 // rows of an open window.
-func (t *Aggregator) Forget(before time.Time) {
-	for from, node := range t.sources {
+func (a *Aggregator) Forget(before time.Time) {
+	for from, node := range a.sources {
 		if len(node.rows) == 0 && node.lastReport.Before(before) {
-			delete(t.sources, from)
-			delete(t.changed, from)
+			delete(a.sources, from)
+			delete(a.changed, from)
 		}
 	}
 }
--- a/quarantine/news.go
+++ b/quarantine/news.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// repeatTime is the age of a crash or successful run up to which its local report
+// resendTime is the age of a crash or successful run up to which its local report
 // is included in full updates, in case an incremental update was lost.
-const repeatTime = 5 * time.Second
+const resendTime = 5 * time.Second
 
 // criticalWeight is the weight from which the crashes of a content are included
 // in full updates, so that a restarted node learns them: with one more crash of
@@ -46,14 +46,14 @@
 }
 
 // AllReports returns a full update for a node that missed reports: local reports up
-// to repeatTime old, and the reports of CriticalReports. A report may be among both.
+// to resendTime old, and the reports of CriticalReports. A report may be among both.
 func (l *Ledger) AllReports() []Report {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.cfg.Now()
 	var reports []Report
 	for _, n := range l.outbox {
-		if now.Sub(n.at) <= repeatTime {
+		if now.Sub(n.at) <= resendTime {
 			reports = append(reports, n.asOf(now))
 		}
 	}
