--- a/balance/candidates.go
+++ b/balance/candidates.go
@@ -4,20 +4,19 @@
 	"time"
 )
 
-// Limits on the targets scanned per selection. While most engines are idle, the best of
-// a small sample is as good as the best of all; while all are busy, the best of a
-// sample of n is within the best n-th part, a difference below the prediction error.
+// Limits on the targets scanned per selection.
 const (
 	// fullScanLimit is the pool size up to which all targets are scanned.
 	fullScanLimit = 64
-	// localScan and remoteScan are the numbers of targets scanned in this node's data hall
-	// and in all others together.
+	// localScan and remoteScan are the numbers of healthy targets that suffice in this
+	// node's data hall and in all others together. As many unhealthy ones may be scanned
+	// as well.
 	localScan  = 24
 	remoteScan = 24
-	// minHallScan is the minimum scanned in each data hall.
+	// minHallScan is the minimum of healthy targets in each other data hall.
 	minHallScan = 4
-	// preferredScan is how many of the targets that this node owns are scanned in addition,
-	// and of those to which it has an idle connection.
+	// preferredScan bounds the targets scanned in addition: those that this node owns in its
+	// data hall and, for each data hall, those to which it has an idle connection.
 	preferredScan = 8
 )
 
@@ -45,7 +44,8 @@
 }
 
 // candidates returns the eligible targets that were scanned: in each data hall those
-// with the fewest runs, until enough are healthy, and the preferred ones. The result is
+// with the fewest runs, until hallLimit of them are healthy, and those of addPreferred.
+// The result is
 // valid until the next selection. The caller holds the mutex.
 func (s *scan) candidates() []candidate {
 	t := s.tracker
@@ -85,7 +85,8 @@
 	}
 }
 
-// hallLimit returns how many healthy targets of a data hall suffice.
+// hallLimit returns how many healthy targets of a data hall suffice. Policies other than
+// Predicted scan all targets.
 func (s *scan) hallLimit(h *hallPool) int {
 	if s.pool.size <= fullScanLimit || s.tracker.cfg.Policy != Predicted {
 		return s.pool.size
@@ -96,8 +97,8 @@
 	return max(minHallScan, remoteScan/len(s.pool.ordered))
 }
 
-// scanHall considers a data hall's targets by increasing number of runs, from a random
-// start within equals, until enough are healthy.
+// scanHall considers a data hall's targets by increasing number of runs, starting at a
+// random one among those with the same number, until limit of them are healthy.
 func (s *scan) scanHall(h *hallPool, limit int) {
 	healthy, unhealthy := 0, 0
 	for _, bucket := range h.buckets {
@@ -127,8 +128,8 @@
 	}
 }
 
-// healthy reports whether nothing speaks against a target's health. The caller holds the
-// mutex.
+// healthy reports whether a target is neither in backoff nor suspect nor, for a copy,
+// unconfirmed. The caller holds the mutex.
 func (t *Target) healthy(c *Choice, now time.Time) bool {
 	return !now.Before(t.backoffUntil) && !t.suspect(now) && !(c.Copy && t.unconfirmed(now))
 }
--- a/balance/regions.go
+++ b/balance/regions.go
@@ -21,12 +21,11 @@
 	defaultRoundTripMS = 25.0
 	// sameRegionCost is the cost of placing a copy in the region of its run, in
 	// milliseconds of wait: the engines of a region may be lost together, and a run
-	// without a copy elsewhere must then be prefilled again. It outweighs a busy
-	// engine, but not a full one.
+	// without a copy elsewhere must then be prefilled again.
 	sameRegionCost = 1000.0
-	// spillThreshold is the part of a region's engines with prefills pending from which the
-	// region accepts no new streams from others: its own clients still find an idle
-	// engine while reports of spillover are in flight.
+	// spillThreshold is the fraction of a region's engines with prefills pending at which
+	// the region stops accepting new streams from others. The rest is left to its own
+	// clients.
 	spillThreshold = 0.7
 )
 
@@ -44,7 +43,7 @@
 }
 
 // copyInRunRegion reports whether a copy at holder would be in the region of its run, on
-// a site of several regions.
+// a site of several regions. Choice.AvoidHall is the data hall of the run.
 func (t *Tracker) copyInRunRegion(c *Choice, holder *Target) bool {
 	return c.Copy && c.AvoidHall != "" && t.cfg.Topology.MultiRegion() &&
 		t.cfg.Topology.Between(c.AvoidHall, holder.DataHall) != topology.OtherRegion
@@ -68,7 +67,8 @@
 	return defaultRoundTripMS
 }
 
-// regionCost returns the cost of a target in a data hall of another region. The caller
+// regionCost returns the cost of a target in a data hall of another region, in
+// milliseconds of wait. Choice.Work is empty for requests to plain services. The caller
 // holds the mutex.
 func (t *Tracker) regionCost(c *Choice, hall string, now time.Time) float64 {
 	if c.Work == (Work{}) {
@@ -81,8 +81,9 @@
 	return max(cost, crossRegionGoalShare*float64(c.FirstEventGoal.Milliseconds()))
 }
 
-// suspectHallCost returns the cost of a target in a suspect data hall. If all halls of the
-// region are suspect, it must exceed the cost of leaving the region.
+// suspectHallCost returns the cost of a target in a suspect data hall. On a site of several
+// regions it includes the goal share of regionCost, so that requests leave a region whose
+// halls are all suspect.
 func (t *Tracker) suspectHallCost(c *Choice) float64 {
 	if !t.cfg.Topology.MultiRegion() {
 		return hallSuspectCost
@@ -90,8 +91,8 @@
 	return hallSuspectCost + crossRegionGoalShare*float64(c.FirstEventGoal.Milliseconds())
 }
 
-// spillRegions returns the regions that accept new runs from others: those with few
-// prefills pending per engine. Nil means no restriction. The caller holds the mutex.
+// spillRegions returns the regions that accept new runs from others: those in which few
+// of the engines have prefills pending. Nil means no restriction. The caller holds the mutex.
 func (t *Tracker) spillRegions(c *Choice, p *pool) map[string]bool {
 	if !c.Admission || c.Work == (Work{}) || !t.cfg.Topology.MultiRegion() {
 		return nil
--- a/control/duty_calls.go
+++ b/control/duty_calls.go
@@ -10,17 +10,15 @@
 	"k8s.io/klog/v2"
 )
 
-// callTimeout bounds one call to the platform. It leaves time for several
-// retries before the counts of a window are due.
+// callTimeout bounds one call to the platform.
 const callTimeout = 1500 * time.Millisecond
 
-// maxLoggedContent is the number of bytes of a call's content in a log line; the
-// counts of 10,000 accounts would fill the log queue.
+// maxLoggedContent is the maximum number of bytes of a call's content in a log line.
 const maxLoggedContent = 80
 
 // Do implements duty.Caller. It waits for the rate limit and for another call on the
-// same subject, makes one attempt, and returns NotSent if no call may be made now.
-// Callers recompute what to send and retry.
+// same subject, and makes one attempt. It returns NotSent if no call may be made now: the
+// duty is not held, a backoff is in effect, calls are stopped or ctx is done. Callers recompute what to send and retry.
 func (h *DutyHolder) Do(ctx context.Context, c duty.Call) duty.Outcome {
 	if !h.ready() || h.limiter.Wait(ctx) != nil || !h.acquireSubject(ctx, c.Subject) {
 		return duty.NotSent
@@ -98,8 +96,9 @@
 	return h.gate.NeedsToken(c, h.lease.Record().Token)
 }
 
-// send makes the call. It cancels an unanswered call before another member may
-// act, so that nothing left in the connection is delivered later.
+// send makes the call. It cancels an unanswered call at the end of the lease, which is
+// Slack after p.Until: when another member acts, nothing left in the connection may be
+// delivered.
 func (h *DutyHolder) send(ctx context.Context, c duty.Call, p duty.Permission) duty.Outcome {
 	sent := uptime.Now()
 	end := sent.Add(callTimeout)
--- a/control/duty_release.go
+++ b/control/duty_release.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	// minTransferDelay is how long the platform may be unresponsive to the first
-	// holder before leadership is transferred; a platform restart takes less.
+	// minTransferDelay is how long the platform may be unresponsive before leadership
+	// is transferred, if no other node has released the duty for that reason.
 	minTransferDelay = 4 * time.Second
 	// maxTransferDelay bounds the delay when several members could not reach the
 	// platform: it is probably down, and each transfer costs a leader change.
@@ -22,9 +22,10 @@
 )
 
 // Release releases the duty permanently, before a planned stop, and transfers
-// leadership if possible: the next holder need not wait for an election, nor for the
-// lease to expire unless a call may still take effect or it held the duty recently
-// itself; see duty.Record.
+// leadership if possible. The next holder then need not wait for an election. It waits
+// for the lease to expire only if a call may still take effect or if its node held the
+// duty recently; see duty.Record. If this member does not lead, or if ctx is done first,
+// nothing is released.
 func (h *DutyHolder) Release(ctx context.Context) {
 	h.mu.Lock()
 	h.stopped = true
@@ -87,8 +88,8 @@
 	return len(h.inFlight)
 }
 
-// platformUnresponsive returns how long the platform has not answered, and after how
-// long leadership is transferred. The delay doubles with each node that released
+// platformUnresponsive returns after how long without answers of the platform leadership
+// is transferred, and how long it has not answered. The delay doubles with each node that released
 // the duty because the platform was unreachable, so that leadership does not
 // keep moving during a platform outage.
 func (h *DutyHolder) platformUnresponsive() (transferDelay, unresponsive time.Duration) {
--- a/control/pieces.go
+++ b/control/pieces.go
@@ -15,18 +15,16 @@
 // each member limits the rate of chunks. This leaves room on the members' links for
 // votes, heartbeats and replies when all nodes read a large change at once.
 const (
-	// maxInlineBytes is the largest payload sent within a reply. For 100 nodes it takes
-	// 65 ms on a link of 100 Mbit/s, well within a heartbeat.
+	// maxInlineBytes is the largest payload sent within a reply.
 	maxInlineBytes = 8 << 10
-	// chunkBytes is the size of a chunk, which takes 26 ms on a link of 10 Mbit/s.
+	// chunkBytes is the size of a chunk.
 	chunkBytes = 32 << 10
 	// chunkLinkShare is the fraction of a member's link that chunks may use.
 	chunkLinkShare = 0.5
-	// defaultChunkRate is the rate in bytes per second if the link's rate is unknown: a
-	// third of 100 Mbit/s.
+	// defaultChunkRate is the rate in bytes per second if the link's rate is unknown.
 	defaultChunkRate = 4 << 20
-	// chunkQueueTimeout bounds how long a request for a chunk is queued before it is
-	// rejected: 100 nodes' chunks at half of 100 Mbit/s take 0.5 s.
+	// chunkQueueTimeout is the time from its arrival after which a request for a chunk
+	// is rejected. It includes the wait for the payload, see findCompressed.
 	chunkQueueTimeout = 600 * time.Millisecond
 )
 
@@ -34,8 +32,8 @@
 // a target list. A long one is read in chunks.
 type Payload struct {
 	Inline []byte // the compressed text, if short
-	Bytes  int    // size of a long one
-	Hash   uint64 // hash of a long one
+	Bytes  int    // size of the compressed text, if long
+	Hash   uint64 // hash of the compressed text, if long
 }
 
 // empty reports whether there is no payload.
@@ -52,7 +50,8 @@
 	return compressed{bytes: b, hash: xxhash.Sum64(b)}
 }
 
-// payload returns the text as a reply announces it.
+// payload returns what a reply announces: the text itself if it is short, otherwise its
+// size and hash.
 func (p compressed) payload() Payload {
 	if len(p.bytes) <= maxInlineBytes {
 		return Payload{Inline: p.bytes}
--- a/control/reports.go
+++ b/control/reports.go
@@ -17,8 +17,7 @@
 )
 
 const (
-	// forwardInterval is the time between calls to the leader, short enough for a
-	// retry before a window is closed.
+	// forwardInterval is the time between calls to the leader.
 	forwardInterval = 100 * time.Millisecond
 	forwardTimeout  = 400 * time.Millisecond
 	// forwardKeepalive is the longest time between calls, so that a restarted
@@ -27,8 +26,8 @@
 	// reportDelay is the time after a window's end from which a node's report
 	// covers the whole window: requests are counted when they are answered.
 	reportDelay = usageReportInterval + 2*forwardInterval
-	// unresponsiveNodeTimeout is how long after its last report a node counts as
-	// unresponsive rather than gone. Windows wait for unresponsive nodes.
+	// unresponsiveNodeTimeout is how long windows wait for a node after its last report;
+	// after that the node counts as gone.
 	unresponsiveNodeTimeout = 10 * time.Second
 	// sourceRetention is how long the reports of an unresponsive node are kept.
 	sourceRetention = 1 * time.Minute
@@ -45,7 +44,7 @@
 	peers      Peers
 	member     *consensus.Member
 	state      *State
-	instanceID uint64 // identifies this process
+	instanceID uint64 // identifies this process; not 0
 
 	mu          sync.Mutex
 	sink        DemandFunc // receives the demand on the leader; may be nil
@@ -54,7 +53,8 @@
 	leads       bool // as of the last check
 	leaderSince time.Time
 
-	receiver    uint64 // instance ID of the leader that has everything; used only by Run
+	// Used only by Run.
+	receiver    uint64 // instance ID of the leader that has acknowledged all reports; 0 if none
 	leader      walnutramp.NodeName
 	forwardedAt time.Time
 }
@@ -257,7 +257,7 @@
 type windowStatus struct {
 	metering.Sum
 	// Unresponsive is the number of nodes that reported within unresponsiveNodeTimeout,
-	// but not since they could have reported all of the window.
+	// but not later than reportDelay after the window's end.
 	Unresponsive int
 	// Led is how long this member has led; 0 if it does not lead.
 	Led time.Duration
--- a/groupclock/agreement.go
+++ b/groupclock/agreement.go
@@ -7,12 +7,10 @@
 )
 
 const (
-	// maxSampleAge is the maximum age of a member's newest sample; three are
-	// requested in that time.
+	// maxSampleAge is the maximum age of a member's newest sample.
 	maxSampleAge = 3 * time.Second
 	// maxDeviation is the maximum deviation of a correct clock from the median,
-	// in addition to the samples' error bounds. Synchronized hosts are much
-	// closer, and a usage window is much longer.
+	// in addition to the samples' error bounds.
 	maxDeviation = 100 * time.Millisecond
 )
 
@@ -31,8 +29,9 @@
 // Steady reads the monotonic clock, to record when a request is sent.
 func (a *Agreement) Steady() time.Duration { return a.steady() }
 
-// AddSample adds a sample of a member's wall clock, unix, just received in reply to
-// a request sent at asked.
+// AddSample adds a sample of a member's wall clock, just received in reply to a
+// request. unix is the time since the Unix epoch; asked is when the request was sent,
+// as read from Steady.
 func (a *Agreement) AddSample(member string, unix, asked time.Duration) {
 	if a.members[member] == nil {
 		a.members[member] = &filter{}
@@ -54,7 +53,8 @@
 	offset time.Duration
 }
 
-// Result returns the median of the recent samples. Agreement requires recent
+// Result returns the median of the recent samples of a group with the given number
+// of members; without samples Agreed is false. Agreement requires recent
 // samples of a majority of the group, most of them close to the median, so that
 // a minority of wrong clocks cannot change the time.
 func (a *Agreement) Result(group int) Result {
--- a/groupclock/filter.go
+++ b/groupclock/filter.go
@@ -3,12 +3,10 @@
 import "time"
 
 const (
-	// drift bounds the relative drift of two monotonic clocks: twice that of a
-	// quartz outside its usual temperature range.
+	// drift bounds the relative drift of two monotonic clocks.
 	drift = 200e-6
 	// keptSamples is the number of samples among which the one with the lowest
-	// error is selected. Among a few, one has usually seen no queueing delay;
-	// older ones suffer from drift.
+	// error is selected.
 	keptSamples = 8
 )
 
@@ -20,8 +18,9 @@
 }
 
 // newSample returns the sample of a wall clock that was read between request
-// and reply. The round trip, less the time for which the reply was held, is
-// assumed to be symmetric.
+// and reply. unix is the wall clock time since the Unix epoch; asked and answered
+// are monotonic times. The round trip, less held, the time for which the reply was
+// held back (0 if unknown), is assumed to be symmetric.
 func newSample(unix, asked, answered time.Duration, held time.Duration) sample {
 	half := max(0, answered-asked-held) / 2
 	return sample{at: answered, offset: unix + half - answered, within: half}
@@ -32,8 +31,8 @@
 	return s.within + time.Duration(drift*float64(now-s.at))
 }
 
-// contradicts reports whether two samples are inconsistent within their error
-// bounds.
+// contradicts reports whether a sample and an older one, other, are inconsistent
+// within their error bounds.
 func (s sample) contradicts(other sample) bool {
 	apart := (s.offset - other.offset).Abs()
 	return apart > s.within+other.withinAt(s.at)
--- a/loadshare/publisher.go
+++ b/loadshare/publisher.go
@@ -9,16 +9,13 @@
 
 // Timing and limits of a publisher.
 const (
-	// perSubscriberDelay is the batching delay per subscriber; at one datagram
-	// per flush it bounds a feed to 400 datagrams per second.
+	// perSubscriberDelay is the batching delay per subscriber.
 	perSubscriberDelay = 2500 * time.Microsecond
 	minBatchDelay      = 10 * time.Millisecond
-	// regionBatchDelay is the minimum batching delay towards other regions, where
-	// traffic costs several times as much as between data halls and headers are as
-	// large as a run. Choices that need fresher data stay within their region.
+	// regionBatchDelay is the minimum batching delay towards other regions.
 	regionBatchDelay = 50 * time.Millisecond
-	// eventDelayFactor scales the batching delay for target events. Some batching
-	// remains, since events come in bursts, as when a data hall fails.
+	// eventDelayFactor scales the batching delay for target events, down to at least
+	// minBatchDelay: events come in bursts, as when a data hall fails.
 	eventDelayFactor = 0.5
 	// heartbeatInterval is the time between datagrams of a feed without changes.
 	heartbeatInterval = 150 * time.Millisecond
@@ -26,8 +23,8 @@
 	subscriptionTimeout = 2500 * time.Millisecond
 	// countsInterval is the minimum time between change datagrams with counts.
 	countsInterval = 500 * time.Millisecond
-	// resendBuffer is how many datagrams are kept for retransmission, at least a
-	// second's worth; maxResend bounds the retransmissions per request.
+	// resendBuffer is how many datagrams are kept for retransmission; maxResend bounds
+	// the retransmissions per request.
 	resendBuffer = 64
 	maxResend    = 8
 	// maxDatagramRuns bounds the runs in a feed datagram, of about 25 bytes each.
@@ -38,7 +35,8 @@
 	maxFeedCrashes = 200
 )
 
-// targetEvents are failures of targets, which are sent with a shorter delay.
+// targetEvents are failures of targets, by target. They are sent with a shorter batching
+// delay, but at least minBatchDelay.
 type targetEvents struct {
 	ended, suspects, unresponsive []string
 	crashes                       []crashReport // new to this node
@@ -73,8 +71,9 @@
 	return &publisher{scope: s, minDelay: minBatchDelay, changed: make(chan struct{}, 1), sentEvents: map[eventKey]time.Time{}, subscribers: map[string]*subscriber{}}
 }
 
-// newRegionPublisher returns the publisher of a region's runs: of this node's region
-// to other regions, or of another region to relays of this one.
+// newRegionPublisher returns the publisher of a region's runs. With own, it sends those of
+// this node's region to other regions, otherwise those of another region to relays of
+// this one.
 func newRegionPublisher(region string, own bool) *publisher {
 	p := newPublisher(scopeRegion)
 	p.region = region
@@ -210,8 +209,8 @@
 // reports might never quarantine the content.
 const quarantineInterval = 2 * time.Second
 
-// quarantineDue reports whether these reports are to be sent now, and records that they
-// are.
+// quarantineDue reports whether the crash reports of quarantined contents are to be sent
+// now. If so, it records that they are.
 func (p *publisher) quarantineDue(now time.Time) bool {
 	if !p.countsDue(now) || now.Sub(p.quarantineSentAt) < quarantineInterval {
 		return false
@@ -221,7 +220,8 @@
 }
 
 // flush returns the datagrams with the changes, or a heartbeat if there are none, their
-// recipients, and the subscribers that are to be sent a snapshot instead.
+// recipients, and the subscribers that are to be sent a snapshot instead. It clears the
+// pending changes and events; crash reports beyond maxFeedCrashes are dropped.
 func (p *publisher) flush(r *relay, counts map[string]balance.Count, now time.Time) (changes []feedDatagram, recipients, unsynced []string) {
 	first := feedDatagram{Scope: p.scope, Region: p.region, Ended: p.events.ended, Suspects: p.events.suspects, Silent: p.events.unresponsive}
 	first.Crashes, _ = splitAt(p.events.crashes, maxFeedCrashes)
--- a/topology/roundtrip.go
+++ b/topology/roundtrip.go
@@ -3,14 +3,12 @@
 import "time"
 
 const (
-	// roundTripWeight is the weight of the latest sample in the mean: it smooths
-	// queueing delays and adapts to a changed link within about ten samples.
+	// roundTripWeight is the weight of the latest sample in the mean.
 	roundTripWeight = 0.2
 	// roundTripOutlier bounds the ratio of a sample to the mean, as retransmissions say
 	// nothing about distance.
 	roundTripOutlier = 2
-	// roundTripTTL is how long a mean without new samples is valid: routes between
-	// regions change within minutes, not seconds.
+	// roundTripTTL is how long a mean without new samples is valid.
 	roundTripTTL = 5 * time.Minute
 )
 
@@ -25,7 +23,7 @@
 	updatedAt time.Time // latest sample
 }
 
-// Observe records a round trip to a data hall.
+// Observe records a round trip to a data hall, at most roundTripOutlier times the mean.
 func (r *RoundTrips) Observe(hall string, took time.Duration, now time.Time) {
 	if r.halls == nil {
 		r.halls = map[string]roundTrip{}
