--- a/gateway/held.go
+++ b/gateway/held.go
@@ -55,7 +55,7 @@
 )
 
 // bufferAccounting keeps the buffers of all answers within their limits. Its mutex
-// also guards the responseBuffers.
+// also guards every responseBuffer.
 type bufferAccounting struct {
 	limits   BufferLimits
 	counters *counters
--- a/node/rest_test.go
+++ b/node/rest_test.go
@@ -45,7 +45,7 @@
 		}
 		drafts.Wait()
 		require.LessOrEqual(t, s.Engines[0].Disturbances(), 2)
-		require.NotZero(t, s.Engines[0].Counts().Decoded, "engine gets no drafts after its back-off")
+		require.NotZero(t, s.Engines[0].Counts().Decoded, "engine gets no drafts after its cooldown")
 	})
 }
 
@@ -83,7 +83,7 @@
 				}
 				for _, svc := range s.Services[:tc.numOverloaded] {
 					require.LessOrEqual(t, svc.Disturbances(), 2)
-					require.NotEmpty(t, svc.Runs(), "service gets no calls after its back-off")
+					require.NotEmpty(t, svc.Runs(), "service gets no calls after its cooldown")
 				}
 				if tc.numOverloaded == len(s.Services) {
 					require.NotZero(t, refused)
--- a/rollout/agent.go
+++ b/rollout/agent.go
@@ -144,20 +144,20 @@
 		credit = a.rng.Float64()
 	}
 	credit = min(credit+s.permit.share(route), maxCredit)
-	drawn := credit >= 1
-	if drawn {
+	canary := credit >= 1
+	if canary {
 		credit--
 	}
 	s.credits[route] = credit
-	return drawn
+	return canary
 }
 
 // maxCredit limits the credit that accumulates while the new version has no
 // targets, to prevent a burst afterwards.
 const maxCredit = 2
 
-// ReturnCredit returns the credit of a SelectCanary for which no target of the new
-// version was available.
+// ReturnCredit returns the credit that SelectCanary used for a request, if no target of
+// the new version was available.
 func (a *Agent) ReturnCredit(name, route string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -176,14 +176,14 @@
 
 // Versions returns the versions that a request may go to: the new one if SelectCanary
 // selected it, else those in force.
-func (a *Agent) Versions(name string, drawn bool) VersionSet {
+func (a *Agent) Versions(name string, canary bool) VersionSet {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	s := a.services[name]
 	if s == nil {
 		return VersionSet{}
 	}
-	if drawn {
+	if canary {
 		return VersionSet{only: []string{s.record.Target}}
 	}
 	return s.inForce()
--- a/rollout/agent_test.go
+++ b/rollout/agent_test.go
@@ -74,18 +74,18 @@
 // total.
 func TestNodesSendPermittedShareInTotal(t *testing.T) {
 	const nodes, requests, share = 300, 7, 0.05
-	drawn := 0
+	selected := 0
 	for i := range nodes {
 		n := newTestNode(uint64(i))
 		n.SetView(running(1))
 		n.SetPermits(permit(share), n.now)
 		for range requests {
 			if n.SelectCanary("s", "r") {
-				drawn++
+				selected++
 			}
 		}
 	}
-	require.InDelta(t, share*nodes*requests, drawn, 30)
+	require.InDelta(t, share*nodes*requests, selected, 30)
 }
 
 func TestUndoReturnsCreditWithoutBurst(t *testing.T) {
@@ -98,13 +98,13 @@
 		}
 	}
 	require.True(t, n.SelectCanary("s", "r"))
-	drawn := 0
+	selected := 0
 	for range 100 {
 		if n.SelectCanary("s", "r") {
-			drawn++
+			selected++
 		}
 	}
-	require.InDelta(t, 50, drawn, 3, "accumulated credit must not cause a burst")
+	require.InDelta(t, 50, selected, 3, "accumulated credit must not cause a burst")
 }
 
 func TestReportIsIncrementalAndFullForNewEvaluator(t *testing.T) {
--- a/rollout/experiment/play.go
+++ b/rollout/experiment/play.go
@@ -242,8 +242,8 @@
 func (sim *simulation) send(node, routeNumber, tries int) {
 	route := sim.site.Routes[routeNumber]
 	agent := sim.agents[node]
-	drawn := (tries == 0 || agent.Shifted(service)) && sim.now >= targetBoot && agent.SelectCanary(service, route.Name)
-	at := sim.pick(agent, drawn)
+	canary := (tries == 0 || agent.Shifted(service)) && sim.now >= targetBoot && agent.SelectCanary(service, route.Name)
+	at := sim.pick(agent, canary)
 	sim.requests++
 	if at.new {
 		sim.expose(at)
@@ -259,16 +259,16 @@
 	heap.Push(&sim.inFlight, a)
 }
 
-// pick selects a target of a version that the agent allows. Drawn means that the
+// pick selects a target of a version that the agent allows. Canary means that the
 // request was selected for the new version, whose targets are then limited to the
 // agent's focus.
-func (sim *simulation) pick(agent *rollout.Agent, drawn bool) *target {
-	versions := agent.Versions(service, drawn)
+func (sim *simulation) pick(agent *rollout.Agent, canary bool) *target {
+	versions := agent.Versions(service, canary)
 	if !versions.Has(newVersion) {
 		return sim.old[sim.rng.IntN(len(sim.old))]
 	}
 	focus := agent.Focus(service)
-	if focus.Part >= 1 || !drawn {
+	if focus.Part >= 1 || !canary {
 		return sim.new[sim.rng.IntN(len(sim.new))]
 	}
 	if sim.focused == nil || sim.focusRound != focus.Round {
--- a/rollout/experiment/site.go
+++ b/rollout/experiment/site.go
@@ -97,7 +97,7 @@
 // Bad reports whether the version has a regression.
 func (v Version) Bad() bool { return v.Fails > 0 || v.Slow > 1 }
 
-// Faults are faults that affect targets of both versions.
+// Faults selects what else fails, at targets of both versions.
 type Faults struct {
 	Crashes bool // two outages of a data hall's targets
 	Grey    bool // 15% of the targets fail 40% of their requests for some time
