--- a/fleet/mover.go
+++ b/fleet/mover.go
@@ -141,7 +141,7 @@
 	return reclaimed
 }
 
-// beingReclaimed reports whether more spot targets of a place are leaving than
+// beingReclaimed reports whether more spot targets of a place are draining than
 // were removed by orders.
 func (s *placeState) beingReclaimed(now time.Time, p Place, v *ReconcileInput) bool {
 	removed := 0
