--- a/caller/service.go
+++ b/caller/service.go
@@ -20,7 +20,7 @@
 type Claim struct {
 	Account walnutramp.ClientAccount
 	Key     string
-	Digest  string // of method, path and body
+	Digest  string // of service name, method, path and body
 }
 
 // ClaimState is the ledger's state of a claim. Token identifies a claim that is Granted,
@@ -35,16 +35,17 @@
 	Answer  target.Answer // recorded if Outcome is Ran
 }
 
-// Ledger records claims on requests that must not run twice, and their outcomes. An error
-// means that no claim is known to be recorded.
+// Ledger records claims on requests that must not run twice, and their outcomes.
 type Ledger interface {
-	// Claim records a claim durably, or returns an earlier one with the same key.
+	// Claim records a claim durably, or returns an earlier one with the same key. After
+	// an error, the claim may or may not be recorded.
 	Claim(ctx context.Context, c Claim) (ClaimState, error)
-	// Settle records the outcome of the caller's own claim.
+	// Settle records the outcome of the caller's own claim. After an error, the outcome
+	// may be missing, and the claim then stays unsettled.
 	Settle(ctx context.Context, c Claim, token uint64, outcome walnutramp.Outcome, a target.Answer) error
 }
 
-// maxAttempts bounds how often a repeatable call is sent.
+// maxAttempts bounds how often an idempotent call is sent.
 const maxAttempts = 3
 
 func (h *Handler) serveService(w http.ResponseWriter, r *http.Request, account bundle.Account) {
@@ -182,7 +183,7 @@
 }
 
 // sendOnce executes a non-idempotent call: it records a claim, sends the call at most once,
-// and records the outcome.
+// and records the outcome. With SendBeforeClaim, a test option, it records no claim.
 func (s *serviceCall) sendOnce(ctx context.Context) (target.Answer, error) {
 	if s.key == "" {
 		return target.Answer{}, walnutramp.NewError(walnutramp.CodeKeyMissing, walnutramp.NotRun, "this call may not be repeated and has no %s", headerKey)
@@ -213,8 +214,9 @@
 	duplicatePollInterval = 200 * time.Millisecond
 )
 
-// claim claims the call. If an earlier claim has no outcome yet, it polls the ledger until
-// there is one or duplicateTimeout has passed.
+// claim records a claim in the ledger, or returns the earlier one with the same key. If
+// that is for the same call and has no outcome yet, it polls the ledger until there is one
+// or duplicateTimeout has passed.
 func (s *serviceCall) claim(ctx context.Context, c Claim) (ClaimState, error) {
 	began := time.Now()
 	for {
--- a/error.go
+++ b/error.go
@@ -7,7 +7,8 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Error is a result reported to a caller or peer.
+// Error is the failure of a request, as reported to a caller or peer. Outcome tells
+// whether the request ran.
 type Error struct {
 	Code       Code
 	Outcome    Outcome
@@ -42,7 +43,7 @@
 	return NewError(CodeInternal, Unknown, "%v", err)
 }
 
-// HasCode reports whether err is an Error with the given code.
+// HasCode reports whether the Error in err's chain, if any, has the given code.
 func HasCode(err error, code Code) bool {
 	var e *Error
 	return errors.As(err, &e) && e.Code == code
--- a/fleet/need.go
+++ b/fleet/need.go
@@ -15,14 +15,13 @@
 // Utilization limits of a target.
 const (
 	// comfortReading is the prefill utilization up to which prompts seldom
-	// queue. It is well below 1, since nodes that balance on slightly outdated
-	// load reports send prompts to the same target.
+	// queue.
 	comfortReading = 0.5
 	// comfortMemory is the utilization of memory or slots up to which the
 	// balancer treats a target like an empty one.
 	comfortMemory = 0.8
-	// maxReading and maxMemory are the utilizations above which requests are
-	// refused.
+	// maxReading (of prefill) and maxMemory (of memory or slots) are the
+	// utilizations above which requests are refused or queue without bound.
 	maxReading = 0.9
 	maxMemory  = 0.95
 )
@@ -33,7 +32,7 @@
 	comfort float64 // above it, more targets do not improve service
 }
 
-// needOf returns the need of a load. Backup copies count only towards comfort.
+// needOf returns how many targets a load requires. Backup copies count only towards comfort.
 func (e Engine) needOf(l Load) need {
 	held := l.Held
 	if e.Copies {
@@ -45,8 +44,9 @@
 	}
 }
 
-// targetsFor returns the number of targets with the given size, in slots or tokens,
-// that hold a use at the given utilization; 0 if the size is unknown.
+// targetsFor returns how many targets, possibly a fraction, hold an amount if each is
+// filled up to a utilization. The size of a target and the amount are in slots or
+// tokens; the result is 0 if the size is unknown.
 func targetsFor(use float64, size int, utilization float64) float64 {
 	if size <= 0 {
 		return 0
@@ -57,22 +57,21 @@
 // Least returns the fewest targets that can serve a load.
 func (e Engine) Least(l Load) int { return int(math.Ceil(e.needOf(l).minimum)) }
 
-// Risks are the fractions of time during which a fault or burst lasts, until
-// the fleet has adapted.
+// Risks are the fractions of time in which the fleet has not yet adapted to a
+// fault or burst.
 type Risks struct {
 	HallLost float64 // a given data hall has lost its targets
 	Reclaim  float64 // the spot targets of a given data hall are reclaimed
-	Burst    float64 // burstFactor times the request rate
+	Burst    float64 // the request rate is burstFactor times the normal one
 }
 
 // Default risks of a site without other information.
 const (
-	// assumedLost covers the loss of a data hall and the recovery of its work
-	// elsewhere.
+	// assumedLost is the default of Risks.HallLost.
 	assumedLost = 0.1
-	// assumedReclaimed covers spot reclaims and the shortage that follows them.
+	// assumedReclaimed is the default of Risks.Reclaim.
 	assumedReclaimed = 0.1
-	// assumedBurst covers load far above the forecast.
+	// assumedBurst is the default of Risks.Burst.
 	assumedBurst = 0.1
 )
 
--- a/gateway/ends.go
+++ b/gateway/ends.go
@@ -10,7 +10,8 @@
 	"github.com/walnutramp/walnutramp/targetconn"
 )
 
-// errQuarantined cancels a run without a first event whose request is quarantined.
+// errQuarantined is the cause for canceling a run that has had no event when its request
+// is quarantined.
 var errQuarantined = errors.New("request quarantined: targets crash when they run it")
 
 // standing returns how far the current run had progressed at its target.
@@ -21,7 +22,8 @@
 	return quarantine.Begun
 }
 
-// recordSettled reports a run that has gone on for quarantine.Onset as harmless.
+// recordSettled reports a run as harmless once quarantine.Onset has passed since its
+// first event; call it only after that event.
 func (r *relay) recordSettled() {
 	if r.settled || time.Since(r.firstEventAt) < quarantine.Onset {
 		return
@@ -39,8 +41,8 @@
 	return quarantine.Begun
 }
 
-// recordConnectionLoss records that a target's connection broke during a call. The end of a
-// target that is shutting down is no evidence against the call.
+// recordConnectionLoss records that a target's connection broke during a call. The loss
+// does not count as a crash caused by the call if the target is shutting down.
 func (g *Gateway) recordConnectionLoss(c *call, t *balance.Target, s quarantine.Standing) {
 	if t.Draining() {
 		return
--- a/gateway/regions.go
+++ b/gateway/regions.go
@@ -7,7 +7,8 @@
 	"k8s.io/klog/v2"
 )
 
-// recordRegionCrossing records a request that is sent to a target in another region, and why.
+// recordRegionCrossing records a request if its target is in another region. why returns
+// the reason, and is called only then.
 func (g *Gateway) recordRegionCrossing(c *call, t *balance.Target, why func() balance.Reason) {
 	from, to, crosses := g.targets.Crossing(t)
 	if !crosses {
@@ -18,7 +19,8 @@
 	klog.InfoS("Request sent to another region", "request", c.id, "from", from, "to", to, "why", reason, "target", t.ID)
 }
 
-// recordCopyRegion records a KV-cache copy that is held in another region than its run.
+// recordCopyRegion counts a run's KV-cache copy if its holder is in another region.
+// holder may be nil.
 func (g *Gateway) recordCopyRegion(run, holder *balance.Target) {
 	if holder == nil {
 		return
@@ -34,7 +36,7 @@
 	c.set.GetOrCreateCounter(name).Inc()
 }
 
-// countRegionCopy counts a copy that is held in another region than its run.
+// countRegionCopy counts a KV-cache copy that is stored in a region other than its run's.
 func (c *counters) countRegionCopy(from, to string) {
 	c.set.GetOrCreateCounter(fmt.Sprintf("walnutramp_gateway_region_copies_total{from=%q,to=%q}", from, to)).Inc()
 }
--- a/gateway/versions.go
+++ b/gateway/versions.go
@@ -26,8 +26,8 @@
 	return r.SelectCanary(c.service, c.route.Name)
 }
 
-// excludeByVersion returns a filter for the targets that a call may not use because of
-// their version; nil if it excludes none.
+// excludeByVersion returns a filter that excludes the targets whose version is not in
+// force; nil if it excludes none. A filter returns true for excluded targets.
 func (g *Gateway) excludeByVersion(c *call) func(*balance.Target) bool {
 	if g.cfg.Rollouts == nil {
 		return nil
@@ -39,8 +39,8 @@
 	return func(t *balance.Target) bool { return !allowed.Has(t.Version) }
 }
 
-// excludeAllButNew returns a filter for all targets except those of the new version that
-// currently receive its requests.
+// excludeAllButNew returns a filter that excludes all targets except those of the new
+// version that are in the current focus.
 func (g *Gateway) excludeAllButNew(c *call) func(*balance.Target) bool {
 	allowed := g.cfg.Rollouts.Versions(c.service, true)
 	focus := g.cfg.Rollouts.Focus(c.service)
@@ -51,8 +51,9 @@
 	return func(t *balance.Target) bool { return !slices.Contains(focused, t.ID) }
 }
 
-// inFocus returns the targets in a focus, at least one if there are any. The selection
-// is deterministic: nodes with the same target list select the same targets.
+// inFocus selects the fraction f.Part of the targets, at least one if there are any. It
+// reorders ids. The selection is deterministic: nodes with the same target list select
+// the same targets.
 func inFocus(f rollout.Focus, ids []string) []string {
 	rendezvous.Sort(ids, strconv.FormatUint(f.Round, 10))
 	return ids[:min(len(ids), int(math.Ceil(f.Part*float64(len(ids)))))]
@@ -81,7 +82,7 @@
 	c.rolloutRequest.Finish(rollout.Failed)
 }
 
-// logNewVersionFailure logs an answer that counts against a new version.
+// logNewVersionFailure logs a failed or lost answer of a new version.
 func logNewVersionFailure(c *call, t *balance.Target, how string) {
 	if c.rolloutRequest.IsNewVersion() {
 		klog.InfoS("Answer against a new version", "request", c.id, "service", c.service, "route", c.route.Name,
--- a/generation/replace.go
+++ b/generation/replace.go
@@ -28,8 +28,8 @@
 	}
 }
 
-// majorityPossible reports whether enough members may still answer. The caller holds the
-// mutex.
+// majorityPossible reports whether a majority of the members has neither restarted nor
+// been failing for longer than MajorityTimeout. The caller holds the mutex.
 func (g *Generation) majorityPossible(now time.Time) bool {
 	usable := 0
 	for _, mem := range g.rec.state.Members {
@@ -42,8 +42,8 @@
 	return usable >= majority(len(g.rec.state.Members))
 }
 
-// hasDeadMember reports whether a member is not among the live nodes. The caller holds
-// the mutex.
+// hasDeadMember reports whether a member other than this node is not among the live nodes
+// with its incarnation. The caller holds the mutex.
 func (g *Generation) hasDeadMember(live []Node) bool {
 	for _, mem := range g.rec.state.Members {
 		alive := slices.ContainsFunc(live, func(n Node) bool { return n.Member == mem })
@@ -54,8 +54,9 @@
 	return false
 }
 
-// startReconfiguration starts a change of the replica set if a better one is available:
-// of the configured size and without failing members. The caller holds the mutex.
+// startReconfiguration starts a change of the replica set if one without failing members
+// is available that is at least as large as both the current set and the configured size.
+// It does nothing while another change is in progress. The caller holds the mutex.
 func (g *Generation) startReconfiguration() {
 	if g.reconfiguring || g.previousMembers != nil || !g.active() || g.rec.owner != g {
 		return
@@ -71,8 +72,8 @@
 }
 
 // reconfigure moves the generation to a new epoch and a replica set without failing
-// nodes. A majority of the old set must first promise the epoch; output stalls until
-// then, and the generation is terminated after MajorityTimeout.
+// nodes. A majority of the old set must first promise the epoch, then accept it. If that
+// takes longer than MajorityTimeout, the generation is terminated.
 func (g *Generation) reconfigure() {
 	ctx, cancel := context.WithTimeout(g.m.ctx, g.m.cfg.MajorityTimeout)
 	defer cancel()
@@ -101,7 +102,8 @@
 }
 
 // reopen starts the promised epoch on a new replica set, with this node's log: it is the
-// longest, since only the owner appends.
+// longest, since only the owner appends. It returns once the epoch is accepted. It does
+// nothing if the generation has another owner, has failed, or has promised a higher epoch.
 func (g *Generation) reopen(ctx context.Context, epoch Epoch, former []Member) error {
 	g.rec.mu.Lock()
 	if g.rec.owner != g || epoch.Less(g.rec.promised) || g.err != nil {
--- a/rollout/evidence.go
+++ b/rollout/evidence.go
@@ -11,7 +11,7 @@
 	Route    string
 	Version  string
 	DataHall string // of the target
-	Target   string // target ID; empty for the old version
+	Target   string // target ID; in counts, empty for the old version
 }
 
 // Outcome classifies a target's answer.
@@ -34,7 +34,7 @@
 	Pace   Histogram `msgpack:"p,omitempty"` // mean interval between the events of a stream
 }
 
-// Answered returns the number of finished requests.
+// Answered returns the number of finished requests, including lost ones.
 func (c *Counts) Answered() uint32 { return c.Served + c.Failed + c.Lost }
 
 // add counts a finished request.
@@ -69,18 +69,19 @@
 
 // Cell is the counts of one key.
 type Cell struct {
-	//lint:ignore U1000 msgpack reads it: the fields go without their names
+	//lint:ignore U1000 msgpack uses it: the struct is encoded as an array
 	_msgpack struct{} `msgpack:",as_array"`
 	Key      Key
 	Counts   Counts
 }
 
 // Histogram counts durations in exponential buckets that widen by a factor of
-// √2, so a doubling spans two buckets. Empty buckets at the end are omitted.
+// √2, so a doubling spans two buckets. The first bucket holds durations below
+// 1 ms. Empty buckets at the end are omitted.
 type Histogram []uint32
 
-// maxBuckets limits the length of a histogram; the last bucket starts at about
-// 30 s.
+// maxBuckets limits the length of a histogram; the last bucket holds all
+// durations from about 33 s on.
 const maxBuckets = 32
 
 // bucketsPerDoubling is the number of buckets that a doubling of the duration
@@ -103,7 +104,7 @@
 	return min(1+int(bucketsPerDoubling*math.Log2(ms)), maxBuckets-1)
 }
 
-// Add returns the histogram with d added.
+// Add adds d and returns the histogram; as with append, only the result may be used.
 func (h Histogram) Add(d time.Duration) Histogram {
 	b := bucketOf(d)
 	for len(h) <= b {
@@ -153,7 +154,8 @@
 }
 
 // slowFrom returns the first bucket that counts as slow: at least twice the
-// median, and with at most slowShare of the samples at or above it.
+// median, and with at most slowShare of the samples at or above it. It may lie
+// above the last bucket.
 func (h Histogram) slowFrom() int {
 	total := h.total()
 	below, median := 0.0, 0
