--- a/consensus/cluster_test.go
+++ b/consensus/cluster_test.go
@@ -48,7 +48,8 @@
 func (c *countingMachine) Snapshot() []byte     { return nil }
 func (c *countingMachine) Restore([]byte) error { return nil }
 
-// inCluster runs f on a group of n members in a synctest bubble.
+// inCluster runs f on a group of n members, with links of oneWayDelay, in a synctest
+// bubble.
 func inCluster(t *testing.T, n int, seed uint64, oneWayDelay time.Duration, f func(*testing.T, *cluster)) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, n, seed, oneWayDelay, func(walnutramp.NodeName) wal.FS { return memfs.New() })
--- a/consensus/replicate.go
+++ b/consensus/replicate.go
@@ -12,6 +12,7 @@
 // maxEntries bounds the entries in one call to a follower.
 const maxEntries = 256
 
+// poke wakes the follower's replicate goroutine.
 func (p *progress) poke() {
 	select {
 	case p.wake <- struct{}{}:
@@ -66,9 +67,9 @@
 	}
 }
 
-// callTimeout bounds one call to a follower. For long election timeouts it is
-// half of the timeout, so that a lost heartbeat is repeated before the follower
-// campaigns.
+// callTimeout bounds one call to a follower. It is half of the election timeout in
+// use, so that a lost heartbeat is repeated before the follower campaigns, but at least
+// the configured election timeout.
 func (m *Member) callTimeout() time.Duration {
 	return max(m.cfg.Election, m.electionTimeout()/2)
 }
@@ -86,8 +87,8 @@
 	return true
 }
 
-// nextCall returns the next request and the confirmation round that it belongs
-// to.
+// nextCall returns the next request and the confirmation round that it belongs to, see
+// progress.confirmRound; false if this member does not lead.
 func (m *Member) nextCall(p *progress) (AppendArgs, uint64, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -107,8 +108,8 @@
 	return m.nextPart(p, args), m.confirmRound, true
 }
 
-// handleReply processes a follower's reply; true means that there is more to
-// send.
+// handleReply processes a follower's reply. True means that the next call is due at
+// once, false that it waits for a wake or the next heartbeat.
 func (m *Member) handleReply(p *progress, args AppendArgs, r AppendReply, sent time.Time, round uint64) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -178,7 +179,7 @@
 	}
 }
 
-// append handles a call of a leader.
+// append handles an Append call of a leader.
 func (m *Member) append(args AppendArgs) AppendReply {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -231,8 +232,8 @@
 	return max(prev, m.commit+1)
 }
 
-// appendNew persists the entries that are missing or conflict with the log. The
-// caller holds m.mu.
+// appendNew persists the entries that are missing or conflict with the log; false if
+// that failed, and with it this member. The caller holds m.mu.
 func (m *Member) appendNew(args AppendArgs) bool {
 	for i, e := range args.Entries {
 		if t, ok := m.store.term(e.Index); ok && t == e.Term || e.Index <= m.store.snapshot.Index {
@@ -247,8 +248,8 @@
 	return true
 }
 
-// installSnapshot restores a snapshot that is ahead of the commit index. The
-// caller holds m.mu.
+// installSnapshot restores a snapshot that is ahead of the commit index, and skips any
+// other; false if that failed, and with it this member. The caller holds m.mu.
 func (m *Member) installSnapshot(snap Snapshot) bool {
 	if snap.Index <= m.commit {
 		return true
@@ -281,6 +282,8 @@
 	}
 }
 
+// syncStaged writes the leader's own entries that so far are only in memory, and commits
+// those that a majority then holds.
 func (m *Member) syncStaged() {
 	m.mu.Lock()
 	batch := m.store.takeStaged()
@@ -304,8 +307,8 @@
 	}
 }
 
-// persistCommits writes the applied index to disk. It is a goroutine of its own
-// because the disk may stall.
+// persistCommits writes the applied index to disk, as the commit index. It is a
+// goroutine of its own because the disk may stall.
 func (m *Member) persistCommits() {
 	persisted := m.store.snapshot.Index
 	for {
--- a/consensus/trip_test.go
+++ b/consensus/trip_test.go
@@ -8,7 +8,7 @@
 	"github.com/walnutramp/walnutramp"
 )
 
-// Between members 150 ms apart, lost heartbeats must not end the leader's term.
+// Between members 150 ms apart (one way), lost heartbeats must not end the leader's term.
 func TestDistantMembersKeepLeader(t *testing.T) {
 	const (
 		observedFor = 2 * time.Minute
@@ -34,7 +34,8 @@
 	})
 }
 
-// Members up to 12 ms apart keep the configured election timeout.
+// Members up to 12 ms apart (one way) keep the configured election timeout: electionRTTs
+// round trips stay below it.
 func TestNearbyMembersKeepConfiguredTimeout(t *testing.T) {
 	for _, oneWayDelay := range []time.Duration{time.Millisecond, 12 * time.Millisecond} {
 		inCluster(t, 6, 1, oneWayDelay, func(t *testing.T, c *cluster) {
--- a/control/duty_release.go
+++ b/control/duty_release.go
@@ -103,7 +103,8 @@
 }
 
 // transferLeadership releases the duty and transfers leadership, since this
-// member can't reach the platform while it reaches a majority of the group.
+// member can't reach the platform while it reaches a majority of the group. h.transfer
+// must not be nil.
 func (h *DutyHolder) transferLeadership(ctx context.Context, unresponsive time.Duration) {
 	h.setDraining(true)
 	defer h.setDraining(false)
--- a/control/fetch_test.go
+++ b/control/fetch_test.go
@@ -12,7 +12,8 @@
 	"github.com/walnutramp/walnutramp"
 )
 
-// chunkServers answers Piece calls by node; a missing node does not answer.
+// chunkServers answers Piece calls, which request chunks, by node; a missing node does not
+// answer.
 type chunkServers map[walnutramp.NodeName]func(args PieceArgs, reply *PieceReply)
 
 // Call implements Peers.
--- a/control/fleet_base.go
+++ b/control/fleet_base.go
@@ -9,9 +9,9 @@
 	"k8s.io/klog/v2"
 )
 
-// recordBase commits the number of targets that a service has before any is
-// ordered, and raises it as more appear. It reports whether a base is known, false if it
-// could not commit a change, and updates record to the committed one.
+// recordBase commits a service's base, the number of targets by data hall before any
+// orders, and raises it as more targets appear. It reports whether a base is known, false
+// if it could not commit a change. It updates record to the committed one.
 func (c *FleetController) recordBase(ctx context.Context, service string, record *fleet.Record, serving fleet.Counts) bool {
 	orders := FleetOrders{Service: service, Base: record.Base}
 	if len(record.Orders) == 0 {
@@ -20,7 +20,7 @@
 	raised := false
 	for _, p := range serving.Places() {
 		count := serving[p]
-		if p.Kind == fleet.Spot {
+		if p.Kind == fleet.Spot { // ordered, so not in the base unless the orders are reconstructed
 			if len(orders.Orders) == 0 {
 				continue
 			}
--- a/control/group_site_test.go
+++ b/control/group_site_test.go
@@ -200,7 +200,7 @@
 
 func (p peers) String() string { return string(p.from) }
 
-// inGroup runs f in virtual time on a new group after its first election.
+// inGroup runs f in virtual time on a new group of n members after its first election.
 func inGroup(t *testing.T, n int, seed uint64, f func(t *testing.T, g *group)) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newGroup(t, n, seed)
--- a/control/group_test.go
+++ b/control/group_test.go
@@ -44,8 +44,6 @@
 	return reply, err == nil && reply.Code == walnutramp.CodeOK
 }
 
-// The state of the linearizability model is the digests of the accepted versions,
-// concatenated in order.
 type bundleInput struct {
 	read    bool
 	version uint64
@@ -59,6 +57,8 @@
 	digest   string
 }
 
+// bundleModel is the linearizability model. Its state is the digests of the accepted
+// versions, 64 hexadecimal digits each, concatenated in order.
 var bundleModel = porcupine.Model{
 	Init: func() any { return "" },
 	Step: func(state, input, output any) (bool, any) {
@@ -151,8 +151,8 @@
 	return leaders[g.random(len(leaders))]
 }
 
-// randomOperation makes one random call: a read, or a submission of the next version
-// or an older one.
+// randomOperation makes one random call: a read, or a submission of the next version or,
+// one time in three, of the newest again. After a failed read it submits version 1.
 func (g *group) randomOperation(id, i int) (porcupine.Operation, bool) {
 	time.Sleep(time.Duration(g.random(400)) * time.Millisecond)
 	to := g.pickMember()
@@ -176,7 +176,7 @@
 	case reply.Code != walnutramp.CodeOK:
 		op.Output = bundleOutput{unknown: true}
 		op.Return = neverReturns
-		op.ClientId = 100 + 10*id + i // the client continues under another ID
+		op.ClientId = 100 + 10*id + i // an ID of its own, as the client continues meanwhile
 	default:
 		res := reply.Result
 		op.Output = bundleOutput{conflict: res.Code == walnutramp.CodeBundleConflict, version: res.Version, digest: res.Digest}
@@ -205,7 +205,8 @@
 	}
 }
 
-// checkSeed checks the history of a seed and returns its number of operations.
+// checkSeed reports whether the history of a seed is linearizable, and returns its number
+// of operations.
 func checkSeed(t *testing.T, seed uint64, fault func(*group, int)) (bool, int) {
 	var ops []porcupine.Operation
 	synctest.Test(t, func(t *testing.T) { ops = runHistory(t, seed, fault) })
@@ -238,6 +239,7 @@
 		a := g.names[g.random(len(g.names))]
 		g.crash(a)
 		g.members[a].disk.Wipe()
+		// With a founder's identity it votes as before, without its log.
 		require.NoError(g.t, control.WriteFounderIdentity(g.members[a].disk))
 		require.NoError(g.t, g.start(a))
 	}
--- a/control/messages.go
+++ b/control/messages.go
@@ -119,7 +119,7 @@
 // NodeReport is a report that a member received from a node.
 type NodeReport struct {
 	Node   string
-	Life   uint64
+	Life   uint64 // identifies the node's process
 	Usage  []metering.Row
 	Demand []fleet.Demand
 }
@@ -128,7 +128,7 @@
 type TellReply struct {
 	Code   walnutramp.Code
 	Leader walnutramp.NodeName
-	To     uint64 // identifies the process that received the report
+	To     uint64 // instance ID of the process that received the report
 	// Closed is the newest window whose counts are final.
 	Closed metering.Window
 }
--- a/control/model_rollout_test.go
+++ b/control/model_rollout_test.go
@@ -14,13 +14,13 @@
 	"github.com/walnutramp/walnutramp/rollout"
 )
 
-// The roll-out model check starts and reads roll-outs under the schedules of the model
-// check, and verifies the history of the operators' calls.
+// The roll-out model check starts and reads roll-outs under the schedules of
+// model_test.go, and verifies the history of the operators' calls.
 
 const (
 	modelService  = "s"
-	modelDuration = 1500 * time.Millisecond
-	modelVersions = 5 // started in turn
+	modelDuration = 1500 * time.Millisecond // deadline of each roll-out
+	modelVersions = 5                       // started in turn
 )
 
 // rolloutOp is a call of an operator with its result.
@@ -91,6 +91,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 1500*time.Millisecond)
 	defer cancel()
+	// An unknown roll-out is recorded as number 0, which reveals a lost one.
 	reply, err := c.Rollout(ctx, modelService)
 	if err == nil || walnutramp.HasCode(err, walnutramp.CodeRolloutUnknown) {
 		h.record(rolloutOp{call: call, record: reply.Record})
--- a/control/pieces.go
+++ b/control/pieces.go
@@ -59,7 +59,7 @@
 	return Payload{Bytes: len(p.bytes), Hash: p.hash}
 }
 
-// PieceArgs requests a chunk of a payload.
+// PieceArgs requests a chunk of a payload. On the wire a chunk is called a piece.
 type PieceArgs struct {
 	// From and To are the versions of the document that an update leads from and to. To
 	// is 0 for a target list.
--- a/control/sharing_site_test.go
+++ b/control/sharing_site_test.go
@@ -11,9 +11,10 @@
 	"github.com/walnutramp/walnutramp/quota"
 )
 
+// shareSpan is the period of time that the quota is for.
 const shareSpan = 11 * time.Second
 
-// quotaEntry is an entry node with a share of the budget.
+// quotaEntry is an entry node with a share of the quota.
 type quotaEntry struct {
 	*control.Client
 	holder *quota.Holder
@@ -36,7 +37,7 @@
 }
 
 // Entry nodes that wait for the first document get their shares with it. One that
-// joins or restarts gets its share after a span, when the others have reduced
+// joins or restarts gets its share after shareSpan, when the others have reduced
 // theirs. A leader change loses no share.
 func TestEntriesShareCommittedQuota(t *testing.T) {
 	inGroup(t, 3, 5, func(t *testing.T, g *group) {
--- a/control/state_test.go
+++ b/control/state_test.go
@@ -11,8 +11,7 @@
 	"github.com/walnutramp/walnutramp/bundle"
 )
 
-// documentOf returns a document of one line, of which one route depends on the
-// version.
+// documentOf returns a one-line document in which one route differs by version.
 func documentOf(version uint64) []byte {
 	var routes []string
 	for i := range uint64(60) {
@@ -25,6 +24,7 @@
 	return fmt.Appendf(nil, `{"version":%d,"routes":[%s]}`, version, strings.Join(routes, ","))
 }
 
+// accept submits documentOf(version); the result is ignored.
 func accept(s *State, version uint64) {
 	doc := documentOf(version)
 	s.mu.Lock()
@@ -33,7 +33,7 @@
 	s.submit(&sub, 0)
 }
 
-// A node that polls irregularly must get to the newest document, by deltas where the
+// A node that polls irregularly must reach the newest document, by deltas where the
 // gap is small.
 func TestClientFollowsVersionsByDeltas(t *testing.T) {
 	rng := rand.New(rand.NewPCG(7, 9))
--- a/discovery/poller_test.go
+++ b/discovery/poller_test.go
@@ -28,7 +28,7 @@
 func (n *recordingHandler) SetList(list []Target) { n.taken.Store(list[0].ID) }
 func (n *recordingHandler) ApplyChange(c Change)  { n.taken.Store(c.Put[0].ID) }
 
-// start runs a poller and returns the last value recorded by its handler.
+// start runs a poller and returns it with the variable in which its handler records.
 func start(t *testing.T, s Source, opts ...PollerOption) (*Poller, *atomic.Value) {
 	t.Helper()
 	var taken atomic.Value
@@ -76,7 +76,7 @@
 }
 
 // The leader reads about as often as it is polled, so consecutive updates may carry
-// the same read. The feed must stay fresh.
+// the same list, of increasing age. The feed must stay fresh.
 func TestRepeatedReadingKeepsFeedFresh(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &countingSource{}
@@ -204,7 +204,8 @@
 	})
 }
 
-// A long list is read less often; a feed with a list two seconds old must be accepted.
+// A feed with a list that is up to two seconds old keeps the poller from reading, as a long
+// list is read less often.
 func TestFeedOfLongListIsTrusted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &countingSource{}
--- a/discovery/target.go
+++ b/discovery/target.go
@@ -5,10 +5,10 @@
 // TargetState is the state of a target in the site's list.
 type TargetState int
 
-// The states.
+// The states of targets.
 const (
-	TargetReady TargetState = iota
-	TargetDraining
+	TargetReady    TargetState = iota
+	TargetDraining             // finishes its requests and gets no new ones
 )
 
 // Target is an entry of the site's list of targets. It is identified by its ID; its
@@ -20,8 +20,8 @@
 	DataHall string
 	Slots    int // maximum concurrent requests
 	State    TargetState
-	Spot     bool   // may be preempted at short notice, together with all others of its data hall
-	Version  string // of the target's software; empty if unknown
+	Spot     bool   // may be preempted at short notice, together with all other spot targets of its data hall
+	Version  string // software version; empty if unknown
 	// Born is the target's start time in Unix milliseconds as reported by the site;
 	// 0 if unknown. A target may restart under the same ID, without any state.
 	Born int64
--- a/duty/record.go
+++ b/duty/record.go
@@ -5,7 +5,7 @@
 // Holder identifies a process that holds or held the duty.
 type Holder struct {
 	Node string // node name
-	Life uint64 // identifies the process; a restart creates a new holder
+	Life uint64 // incarnation of the process; a restart creates a new holder
 }
 
 // Grant is the log command of the control group that grants the duty. Its log
@@ -13,11 +13,11 @@
 type Grant struct {
 	Holder Holder
 	// Waited is the first token of the holder's consecutive grants, if a full
-	// lease has passed since the holder learned of it; 0 otherwise.
+	// lease has passed since the holder learned of that grant; 0 otherwise.
 	Waited Token
-	// Alone means that two leases have passed since then. A previous holder may
-	// have acted for almost a lease after this holder's first grant, so only
-	// now has it been inactive for a full lease.
+	// Alone means that two leases have passed since the holder learned of that
+	// grant. A previous holder may have acted for almost a lease after it, so only
+	// now has that holder been inactive for a full lease.
 	Alone bool
 	// Reached means that the platform has answered this holder.
 	Reached bool
@@ -43,8 +43,8 @@
 	// Waits means that an earlier holder may still act, so that the current one
 	// must first wait for a lease.
 	Waits bool
-	// Recent lists the nodes that may have acted since a holder was last alone
-	// for a lease, the current holder's node included.
+	// Recent lists the nodes that may have acted since the last grant with Alone,
+	// or since the first grant, the current holder's node included.
 	Recent []string
 	// Unreachable lists the nodes that released the duty as unreachable since
 	// the platform last answered any holder.
@@ -72,7 +72,8 @@
 
 // mustWait reports whether a node that is granted the duty next has to wait
 // until no other node can act. Even after a release, a node that acted recently
-// has to wait; otherwise two holders would alternate (A, B, A).
+// has to wait; otherwise two holders would alternate (A, B, A). A new process on the
+// holder's node waits only if the old one, which has ended, had to.
 func (r Record) mustWait(node string) bool {
 	if node == r.Holder.Node {
 		return r.Waits
--- a/duty/record_test.go
+++ b/duty/record_test.go
@@ -8,7 +8,7 @@
 
 var (
 	a  = Holder{Node: "a", Life: 1}
-	a2 = Holder{Node: "a", Life: 2} // a's process, restarted
+	a2 = Holder{Node: "a", Life: 2} // another process on node a
 	b  = Holder{Node: "b", Life: 3}
 	c  = Holder{Node: "c", Life: 4}
 )
--- a/keys/keys.go
+++ b/keys/keys.go
@@ -31,8 +31,9 @@
 const validity = 2 * 365 * 24 * time.Hour
 
 // MakeSite creates a certificate authority, and a certificate and key for each
-// node, in dir. The authority's private key is discarded: adding nodes to a
-// site requires a new set of keys.
+// node, in dir. Certificates are valid for two years (validity). The authority's private
+// key is discarded: adding nodes to a site requires a new set of keys. Existing files are
+// overwritten; nodes with the old keys then can't connect to those with the new ones.
 func MakeSite(dir, site string, nodes []walnutramp.NodeName) error {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return err
@@ -102,7 +103,7 @@
 
 // Load returns a TLS configuration for both ends of a connection between nodes,
 // with the node's credentials from dir. Both ends must present a certificate of
-// the site's authority.
+// the site's authority. The client must set ServerName to the peer's node name.
 func Load(dir string, node walnutramp.NodeName) (*tls.Config, error) {
 	base := filepath.Join(dir, string(node))
 	cert, err := tls.LoadX509KeyPair(base+certSuffix, base+keySuffix)
--- a/loadshare/publisher.go
+++ b/loadshare/publisher.go
@@ -46,7 +46,7 @@
 	return len(e.ended)+len(e.suspects)+len(e.unresponsive)+len(e.crashes) == 0
 }
 
-// publisher sends changes to the subscribers of a feed.
+// publisher sends changes to the subscribers of a feed. The sharer's relayMu guards it.
 type publisher struct {
 	scope            scope
 	region           string        // of scopeRegion
@@ -279,7 +279,7 @@
 	parts := []feedDatagram{first}
 	size := 0
 	for _, s := range deltas {
-		n := 1 + len(s.Runs) + len(s.Finished)/2
+		n := 1 + len(s.Runs) + len(s.Finished)/2 // a finished run takes half the space of a run
 		if size > 0 && size+n > maxDatagramRuns {
 			parts = append(parts, feedDatagram{Scope: p.scope, Region: p.region})
 			size = 0
--- a/quarantine/ledger.go
+++ b/quarantine/ledger.go
@@ -33,7 +33,7 @@
 
 	mu                  sync.Mutex
 	records             map[Fingerprint]*record
-	atTarget            map[uint32][]Fingerprint // contents that were running when the target crashed
+	atTarget            map[uint32][]Fingerprint // contents with a recorded crash of the target
 	outbox              []numberedReport         // local reports, oldest first
 	lastNumber          uint64                   // number of the newest local report
 	evaluationScheduled bool                     // a re-evaluation is scheduled
@@ -55,10 +55,12 @@
 	return &Ledger{cfg: cfg, records: map[Fingerprint]*record{}, atTarget: map[uint32][]Fingerprint{}}
 }
 
-// OnReport sets the callback for new local reports.
+// OnReport sets the callback that RecordCrash and RecordSuccess make without the lock, the
+// former also if the crash was known. It must be set before the ledger is used.
 func (l *Ledger) OnReport(f func()) { l.cfg.OnReport = f }
 
-// OnQuarantined sets the callback for newly quarantined contents.
+// OnQuarantined sets the callback for newly quarantined contents. It must be set before the
+// ledger is used.
 func (l *Ledger) OnQuarantined(f func(Fingerprint)) { l.cfg.OnQuarantined = f }
 
 // RecordCrash records that a target crashed during a run from this node. It ignores
@@ -104,6 +106,7 @@
 }
 
 // Merge merges reports of another node and returns those that changed the ledger.
+// Report.Age is relative to the time of the call.
 func (l *Ledger) Merge(reports []Report) (fresh []Report) {
 	if len(reports) == 0 {
 		return nil
@@ -149,9 +152,9 @@
 	return max(since.Add(retention).Sub(now), time.Second), true
 }
 
-// DecisionDelay returns how long to wait for reports of other nodes before a
-// content that local evidence would quarantine is quarantined; 0 for any other
-// content.
+// DecisionDelay returns how long it takes until the newest crash of a content is old enough
+// to count (Config.ReportDelay), if the content would then be quarantined by the crashes
+// known now; 0 for any other content.
 func (l *Ledger) DecisionDelay(content Fingerprint) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -305,7 +308,8 @@
 	}
 }
 
-// compare orders records by eviction priority.
+// compare orders records for eviction: those to be evicted first sort first. Both must
+// have crashes.
 func (r *record) compare(other *record) int {
 	if r.quarantined != other.quarantined {
 		if other.quarantined {
--- a/quarantine/ledger_test.go
+++ b/quarantine/ledger_test.go
@@ -98,8 +98,8 @@
 	}
 }
 
-// Two contents with the same three crashes cannot be told apart: each gets one
-// more try, and both are quarantined if that does not separate them.
+// Two contents with the same three crashes cannot be told apart. Another crash of one of
+// them separates them; without it, both are quarantined after five shared crashes.
 func TestTiedContentsGetOneMoreTry(t *testing.T) {
 	clock := newClock()
 	l := newLedger(clock)
@@ -151,7 +151,7 @@
 		l.RecordCrash(Report{Content: bystander, Target: target(n), Standing: Begun, Ran: time.Second})
 	}
 	require.False(t, isQuarantined(l, bystander))
-	for n := range 2 { // but runs sent one after the other's crash count, however short
+	for n := range 2 { // runs each sent after the previous crash count separately, even short ones
 		clock.advance(20 * time.Millisecond)
 		l.RecordCrash(Report{Content: bystander, Target: target(10 + n), Standing: Begun, Ran: 15 * time.Millisecond})
 	}
@@ -188,7 +188,7 @@
 	require.True(t, isQuarantined(l, culprit))
 }
 
-// Two crashes of a restarted target count twice.
+// Repeated crashes of a target that restarts count separately.
 func TestRepeatedCrashOfTargetCounts(t *testing.T) {
 	clock := newClock()
 	l := newLedger(clock)
@@ -276,8 +276,8 @@
 		}
 		rng.Shuffle(len(reports), func(i, j int) { reports[i], reports[j] = reports[j], reports[i] })
 		two.Merge(append(slices.Clone(reports), reports[:10]...))
-		// A successful run is not recorded before the first crash of its content, so
-		// both take all reports once more.
+		// A successful run is ignored while no crash of its content is known. Merging
+		// everything again lets both ledgers see it after the crashes.
 		two.Merge(reports)
 		one.Merge(reports)
 		for n := range 6 {
@@ -343,7 +343,7 @@
 		require.False(t, isQuarantined(isolated, bystander))
 		require.Equal(t, reportDelay/2, informed.DecisionDelay(bystander))
 		var reports []Report
-		for n := range 4 { // involved in one earlier crash
+		for n := range 4 { // the same three crashes and an earlier one of another target
 			reports = append(reports, Report{Content: culprit, Target: target(n - 1), Standing: Begun, Age: time.Duration(3-n)*time.Second + reportDelay/2, Ran: time.Second})
 		}
 		informed.Merge(reports)
--- a/quarantine/quarantine.go
+++ b/quarantine/quarantine.go
@@ -16,7 +16,8 @@
 
 // Standings, in order of increasing suspicion.
 const (
-	// Settled: had been running for a while, so the target can run it.
+	// Settled: had been running for a while, so the target can run it. In a Report it
+	// means a successful run.
 	Settled Standing = iota
 	// Waiting: no output yet; the run may not have started.
 	Waiting
@@ -39,7 +40,6 @@
 	// have not started.
 	waitingWeight = 1
 	// quarantineWeight is the quarantine threshold, three crashes of Begun runs.
-	// Fewer may be chance; more would cost other requests their runs.
 	quarantineWeight = 3 * begunWeight
 	// tiedWeight is the quarantine threshold for a content that shared all its
 	// crashes with another one, so that neither can be cleared.
@@ -59,8 +59,8 @@
 	// crash: a target takes longer than that to restart and start a run.
 	sameCrashWindow = time.Second
 	// commonCauseWindow is the window in which crashes are attributed to a
-	// common cause, such as the loss of a data hall, unless the later run was
-	// sent after the earlier crash.
+	// common cause, such as the loss of a data hall, and count as one, unless the
+	// later run was sent after the earlier crash.
 	commonCauseWindow = 250 * time.Millisecond
 	// clockError bounds the error of times received from other nodes, caused by
 	// network delay.
@@ -83,20 +83,20 @@
 // Report is a crash or successful run reported between nodes.
 type Report struct {
 	Content  Fingerprint
-	Target   uint32        // short name of the crashed target
+	Target   uint32        // shortname.Of the crashed target
 	Standing Standing      // standing of the run; Settled reports a successful run
 	Age      time.Duration // time since the crash or the successful run
 	Ran      time.Duration // time from sending the request to the crash
 	// Later reports that the request was sent after all crashes of its content
-	// known to the node. The order of times received from other nodes is not
-	// reliable at this resolution.
+	// known to the node. Times received from other nodes are accurate only to within
+	// clockError.
 	Later bool
 }
 
 // Config configures a Ledger.
 type Config struct {
 	Now           func() time.Time  // clock that includes time suspended
-	OnReport      func()            // called when there are new local reports
+	OnReport      func()            // called after each local crash or successful run, see Ledger.OnReport
 	OnQuarantined func(Fingerprint) // called when a content is newly quarantined
 	ReportDelay   time.Duration     // minimum age of a crash that counts for quarantine
 }
--- a/targetconn/pool.go
+++ b/targetconn/pool.go
@@ -18,12 +18,12 @@
 	Dial           DialFunc
 	DialTimeout    time.Duration
 	OnDial         func(e Endpoint, took time.Duration) // called when a connection was opened; may be nil
-	OnKept         func(e Endpoint, until time.Time)    // called when idle connections change; until is zero if there are none; may be nil
+	OnKept         func(e Endpoint, until time.Time)    // see WithOnKept; may be nil
 	IdleLimit      time.Duration                        // maximum idle time of a connection
 	IdleMargin     time.Duration                        // subtracted from the idle timeout that the target announces
 	MaxIdle        int                                  // idle connections per target
 	HeadLimit      int64                                // maximum bytes of a response header
-	IdentityHeader string                               // response header that echoes the request's identity
+	IdentityHeader string                               // response header that echoes the request ID; responses with another one are discarded
 }
 
 // Option sets a field of Config.
@@ -39,12 +39,13 @@
 }
 
 // WithOnKept sets a callback that receives the time until which an idle connection to an
-// endpoint can be used; zero for none. It must not call the pool.
+// endpoint can be used, zero for none, whenever the idle connections change, except by
+// Close and CloseIdle. It must not call the pool.
 func WithOnKept(onKept func(e Endpoint, until time.Time)) Option {
 	return func(c *Config) { c.OnKept = onKept }
 }
 
-// WithIdentityHeader sets the response header that echoes a request's identity.
+// WithIdentityHeader sets the response header that echoes the request ID.
 func WithIdentityHeader(name string) Option { return func(c *Config) { c.IdentityHeader = name } }
 
 // TCP keep-alive detects an unreachable host while waiting for a response. The kernel
@@ -91,7 +92,8 @@
 // Dialed returns the number of dials, failed ones included.
 func (p *Pool) Dialed() int64 { return p.dialCount.Load() }
 
-// CloseIdle closes the idle connections to a target that is gone.
+// CloseIdle closes the idle connections to a target that is gone, by Endpoint.ID. Those
+// in use still return to the pool.
 func (p *Pool) CloseIdle(id string) {
 	p.mu.Lock()
 	conns := p.idle[id]
@@ -173,6 +175,7 @@
 }
 
 // Dial opens a connection with the pool's dial function; it does not enter the pool.
+// Dialed counts it, but DialTimeout and OnDial do not apply.
 func (p *Pool) Dial(ctx context.Context, network, address string) (net.Conn, error) {
 	p.dialCount.Add(1)
 	return p.cfg.Dial(ctx, network, address)
--- a/wal/wal.go
+++ b/wal/wal.go
@@ -29,9 +29,11 @@
 	// Create creates or truncates a file for writing.
 	Create(name string) (File, error)
 	// Append opens a file for writing after its first size bytes, and truncates
-	// the rest.
+	// the rest. It creates a missing file. The truncation and a
+	// new file are durable when it returns.
 	Append(name string, size int64) (File, error)
-	// Rename atomically and durably replaces the file to by from.
+	// Rename renames a file, atomically and durably, and replaces any file with the
+	// new name.
 	Rename(from, to string) error
 }
 
@@ -45,7 +47,7 @@
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// Log is an open write-ahead log.
+// Log is an open write-ahead log. It is not safe for concurrent use.
 type Log struct {
 	fs   FS
 	name string
@@ -55,7 +57,8 @@
 }
 
 // Open opens the log with the given name, creating it if necessary, and returns
-// its records.
+// its records. It truncates a torn tail, and returns ErrDamaged if a damaged record
+// precedes valid ones.
 func Open(fs FS, name string) (*Log, [][]byte, error) {
 	content, err := fs.ReadFile(name)
 	if err != nil && !errors.Is(err, os.ErrNotExist) {
@@ -152,7 +155,8 @@
 func (l *Log) Size() int64 { return l.size }
 
 // Replace atomically replaces all records. After an error the log accepts no more
-// writes. Unlike Append, it does not check the sizes of the records.
+// writes. Unlike Append, it does not check the sizes of the records: one that is empty or
+// larger than MaxRecord is torn or damaged to Open.
 func (l *Log) Replace(records ...[]byte) error {
 	if l.err != nil {
 		return l.err
