--- a/balance/candidates.go
+++ b/balance/candidates.go
@@ -37,8 +37,8 @@
 	choice          *Choice
 	pool            *pool
 	now             time.Time
-	affine          *Target
-	cacheHolder     *Target
+	affine          *Target         // affinity target of Choice.Key; may be nil
+	cacheHolder     *Target         // most likely to have the prompt cached; may be nil
 	spillRegions    map[string]bool // regions that accept spillover; nil for all
 	preferConnected bool            // prefer targets with an idle connection
 }
--- a/loadshare/publisher.go
+++ b/loadshare/publisher.go
@@ -279,7 +279,7 @@
 	parts := []feedDatagram{first}
 	size := 0
 	for _, s := range deltas {
-		n := 1 + len(s.Runs) + len(s.Finished)/2 // a finished run takes half the space of a run
+		n := 1 + len(s.Runs) + len(s.Finished)/2 // of a finished run only the number is sent
 		if size > 0 && size+n > maxDatagramRuns {
 			parts = append(parts, feedDatagram{Scope: p.scope, Region: p.region})
 			size = 0
