--- a/cmd/walnutramp/main.go
+++ b/cmd/walnutramp/main.go
@@ -74,6 +74,7 @@
 	return p.fail(err)
 }
 
+// setVerbosity accepts all levels of klog, which go beyond those in use.
 func setVerbosity(v int) error {
 	if v < 0 || v > 9 {
 		return &settingError{"--verbosity", fmt.Sprint(v), "a whole number from 0 to 9"}
@@ -125,6 +126,7 @@
 		if err != nil {
 			return err
 		}
+		// A command that can run by itself needs no subcommand.
 		_, added.SubcommandsOptional = c.data.(flags.Commander)
 	}
 	return nil
--- a/emulator/engine.go
+++ b/emulator/engine.go
@@ -1,7 +1,7 @@
-// Package emulator emulates model engines and plain services in virtual time,
-// to compare balancing policies. Engines do continuous batching with chunked
-// prefill, share KV memory between requests, and refuse requests when it is
-// full.
+// Package emulator emulates model engines and plain services, to compare
+// balancing policies. Its time is virtual if it runs in a synctest bubble.
+// Engines do continuous batching with chunked prefill, share KV memory between
+// requests, and refuse requests when memory or slots are used up.
 package emulator
 
 import (
@@ -20,10 +20,10 @@
 	StepTime       time.Duration // duration of a decode step without prefill
 	StepPerRun     time.Duration // additional step duration per run in the batch
 	PrefillPerMS   float64       // prefill rate, in tokens per millisecond
-	PrefillChunk   int           // prefill chunk, in tokens per step
+	PrefillChunk   int           // largest number of prompt tokens prefilled in a step
 	Slots          int           // concurrent runs
 	Memory         int           // KV memory, in tokens
-	TokensPerEvent int           // tokens per event
+	TokensPerEvent int           // output tokens per event; a last, incomplete event is not sent
 	Names          Names
 }
 
@@ -33,11 +33,10 @@
 	Usage       string // prompt tokens and maximum output tokens, separated by a comma
 	NotExecuted string
 	EventID     string
-	Load        string // running requests, waiting requests and slots, separated by commas
+	Load        string // runs in decode, runs in prefill and slots, separated by commas
 }
 
-// DefaultConfig returns the configuration of an engine with 64 slots, a decode
-// step of 5.05 ms, a prefill rate of 8 tokens per ms and 6 tokens per event.
+// DefaultConfig returns the default configuration of an engine.
 func DefaultConfig(names Names) Config {
 	return Config{
 		StepTime: 5050 * time.Microsecond, StepPerRun: 16 * time.Microsecond, PrefillPerMS: 8, PrefillChunk: 200,
@@ -59,11 +58,11 @@
 
 // run is a request in the batch.
 type run struct {
-	prefill    int // prompt tokens still to prefill
-	remaining  int // remaining output tokens
-	memory     int
-	sinceEvent int // tokens since the last event
-	events     chan struct{}
+	prefill    int           // prompt tokens still to prefill
+	remaining  int           // remaining output tokens
+	memory     int           // reserved KV memory, in tokens
+	sinceEvent int           // tokens since the last event
+	events     chan struct{} // receives an item for each event that is due
 }
 
 // NewEngine starts an engine that runs until Close.
--- a/gateway/versions.go
+++ b/gateway/versions.go
@@ -32,7 +32,7 @@
 	if g.cfg.Rollouts == nil {
 		return nil
 	}
-	allowed := g.cfg.Rollouts.Versions(c.service, false)
+	allowed := g.cfg.Rollouts.Versions(c.service, false) // those in force
 	if allowed.Any() {
 		return nil
 	}
@@ -42,7 +42,7 @@
 // excludeAllButNew returns a filter that excludes all targets except those of the new
 // version that are in the current focus.
 func (g *Gateway) excludeAllButNew(c *call) func(*balance.Target) bool {
-	allowed := g.cfg.Rollouts.Versions(c.service, true)
+	allowed := g.cfg.Rollouts.Versions(c.service, true) // the new one
 	focus := g.cfg.Rollouts.Focus(c.service)
 	if focus.Part >= 1 {
 		return func(t *balance.Target) bool { return !allowed.Has(t.Version) }
--- a/internal/slownet/link.go
+++ b/internal/slownet/link.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Flow control of a rate-limited connection. As with a small TCP window,
-// connections that share a link take turns.
+// Flow control of a rate-limited connection. The limit on segments in flight keeps
+// one connection from filling the queue of a shared link.
 const (
 	segmentSize    = 4 << 10 // bytes
 	windowSegments = 16      // segments in flight in one direction
--- a/load/client.go
+++ b/load/client.go
@@ -26,7 +26,7 @@
 	Addresses []string      // of nodes, tried in round-robin order
 	Reconnect time.Duration // minimum delay before a reconnect
 	Attempts  int           // connection attempts per draft
-	FromZero  bool          // restart a broken draft instead of resuming it
+	FromZero  bool          // restart a broken draft instead of resuming it, and retry after any error response
 }
 
 // NewClient returns a client for the nodes at addresses, with default settings.
@@ -57,11 +57,11 @@
 	Complete   bool
 	FirstToken time.Duration
 	Arrivals   []time.Time // when new text arrived
-	Moves      []time.Time // when a connection was lost after the first token
-	Reconnects int
-	Restarts   int      // restarts from the beginning
-	Discarded  int      // tokens discarded by restarts
-	Refused    *Refusal // the last error response, if any
+	Moves      []time.Time // when an attempt failed while some text had been received
+	Reconnects int         // attempts to resume from a position
+	Restarts   int         // restarts from the beginning
+	Discarded  int         // tokens discarded by restarts
+	Refused    *Refusal    // the last error response, if any
 }
 
 // Refusal is an error response.
@@ -116,8 +116,8 @@
 	Stream    bool                 `json:"stream"`
 }
 
-// disconnected records a connection that ended before the draft was complete, and
-// resets the text if the draft has to restart.
+// disconnected records an attempt that ended before the draft was complete, with or
+// without a connection, and resets the text if the draft has to restart.
 func (f *draftReader) disconnected() {
 	if f.text.Len() > 0 {
 		f.result.Moves = append(f.result.Moves, time.Now())
@@ -274,8 +274,8 @@
 	return r
 }
 
-// fill sets the fields that the JSON error object has. It leaves them as they are if it
-// can't be decoded.
+// fill sets the fields from a JSON error object; those that it lacks become zero. If it
+// can't be decoded, fill changes nothing.
 func (r *Refusal) fill(raw json.RawMessage) {
 	var info struct {
 		Message      string             `json:"message"`
@@ -296,11 +296,11 @@
 // Call is a request to a plain service.
 type Call struct {
 	APIKey string
-	Key    string
+	Key    string // Idempotency-Key; empty for none
 	Method string
 	Path   string // service name and path
 	Body   string
-	First  int
+	First  int // index of the address to use
 }
 
 // Call sends a service request once and returns the response body. An error response
--- a/load/shape.go
+++ b/load/shape.go
@@ -11,7 +11,8 @@
 	"github.com/walnutramp/walnutramp/standin"
 )
 
-// Shape is the size and network latency of a site under load.
+// Shape is the size and network latency of a site under load. Nodes, Engines and
+// Services are totals over all data halls.
 type Shape struct {
 	Name     string
 	Halls    int
@@ -22,12 +23,13 @@
 	Client   time.Duration // one-way latency between clients and the site
 	Accounts int
 	Leaning  bundle.ResumePreference
-	Coalesce time.Duration // see bundle.Guard
+	Coalesce time.Duration // maximum delay of tokens for batching, as in bundle.Guard
 	Slots    int           // per engine; 0 for the default of the stand-in engine
 	Patience time.Duration // admission timeout; 0 for the node's default
 }
 
-// Shapes are the predefined shapes.
+// Shapes are the predefined shapes: a small site for short runs, and two larger sites
+// with different resume preferences.
 var Shapes = []Shape{
 	{Name: "small", Halls: 3, Nodes: 3, Engines: 4, Services: 1, Accounts: 2, Leaning: bundle.PreferLatency, Coalesce: 10 * time.Millisecond},
 	{Name: "tortuguero", Halls: 4, Nodes: 11, Engines: 24, Services: 4, Between: time.Millisecond, Client: time.Millisecond, Accounts: 10, Leaning: bundle.PreferLatency, Coalesce: 10 * time.Millisecond},
--- a/node/node.go
+++ b/node/node.go
@@ -53,13 +53,13 @@
 	GenerationOptions []generation.Option
 	RouteOptions      []route.Option
 	CallerOptions     []caller.Option
-	Control           []walnutramp.NodeName // the control group's founders; empty for none
+	Control           []walnutramp.NodeName // the control group's initial members; empty for none
 	Disk              wal.FS                // data directory; nil on nodes without a disk
 	Platform          string                // URL of the platform's instance list; empty for none
 	Operators         bundle.Operators
 	TLS               *tls.Config // between nodes; nil for none
 	ControlOptions    []consensus.Option
-	OnResume          func(Resume) // called on each resume
+	OnResume          func(Resume) // called after each resume, by the goroutine that resumed the generation
 }
 
 // Option sets a field of Config.
@@ -100,7 +100,7 @@
 // WithStopDeadline sets how long Stop may take until the remaining requests are aborted.
 func WithStopDeadline(d time.Duration) Option { return func(c *Config) { c.StopDeadline = d } }
 
-// WithControl sets the control group's founders and the operators whose signed
+// WithControl sets the control group's initial members and the operators whose signed
 // bundles it accepts.
 func WithControl(founders []walnutramp.NodeName, operators bundle.Operators) Option {
 	return func(c *Config) { c.Control, c.Operators = founders, operators }
@@ -180,10 +180,11 @@
 	reportSaver *reportSaver       // nil on nodes without a disk
 
 	stopping atomic.Bool
-	tasks    sync.WaitGroup
+	tasks    sync.WaitGroup // of startTask; Close does not wait for them
 }
 
-// New returns a node; Start makes it serve.
+// New returns a node; Start makes it serve. WithName is required. New opens files in
+// the data directory, if one is set; Close closes them.
 func New(opts ...Option) (*Node, error) {
 	cfg := defaultConfig()
 	for _, opt := range opts {
@@ -284,6 +285,7 @@
 		http.Error(w, "stopping", http.StatusServiceUnavailable)
 		return
 	}
+	// Version 0 is the empty bundle of a node that has not received one yet.
 	if !n.mayAcceptRequests() || n.bundle.Load().Version == 0 {
 		http.Error(w, "no bundle is known to be in force", http.StatusServiceUnavailable)
 		return
@@ -326,7 +328,8 @@
 	}
 }
 
-// Start starts serving callers and peers on the listeners, until Stop or Close.
+// Start starts serving callers and peers on the listeners, until Stop or Close, which
+// close them. It returns at once; errors of the running servers are dropped.
 func (n *Node) Start(callers, peers net.Listener) error {
 	if err := n.peerServer.Register(generation.Service, n.generations.Store()); err != nil {
 		return err
@@ -355,6 +358,7 @@
 	return nil
 }
 
+// startTask runs f in a goroutine with a pprof label of package part.
 func (n *Node) startTask(name string, f func()) {
 	n.tasks.Add(1)
 	go func() {
@@ -404,7 +408,8 @@
 	handoverDelay = 2 * time.Second
 )
 
-// Close stops the node at once and aborts the requests in flight.
+// Close stops the node at once and aborts the requests in flight. It does not wait until
+// the servers' goroutines have ended.
 func (n *Node) Close() {
 	n.stopping.Store(true)
 	if n.stopGossip != nil {
--- a/rollout/experiment/play.go
+++ b/rollout/experiment/play.go
@@ -14,11 +14,12 @@
 	"github.com/walnutramp/walnutramp/rollout"
 )
 
-// Parameters of the simulation; times match those of the real processes.
+// Parameters of the simulation. reportPeriod and decisionPeriod are those of package
+// control.
 const (
 	reportPeriod     = 200 * time.Millisecond
 	decisionPeriod   = 100 * time.Millisecond
-	viewDelay        = 60 * time.Millisecond // until most nodes have a new view
+	viewDelay        = 60 * time.Millisecond // until a change of the rollout's record reaches the nodes
 	targetBoot       = 1500 * time.Millisecond
 	crashDuration    = 1200 * time.Millisecond
 	partialShare     = 0.15 // of the targets that have partial failures, under Faults.Grey
@@ -36,8 +37,7 @@
 	eventInterval = 120 * time.Millisecond
 	// maxRetries limits the retries of a request.
 	maxRetries = 2
-	// stopWithinAfter is the number of bad answers from which Bounds.StopWithin
-	// counts.
+	// Bounds.StopWithin starts at the new version's bad answer of this number.
 	stopWithinAfter = 50
 	// hallLossKnown is the share of answers lost in a data hall outage that the
 	// node attributes to the outage.
@@ -47,10 +47,10 @@
 // Outcome is the result of one simulated rollout.
 type Outcome struct {
 	State       rollout.State // state at the deadline
-	EndedAt     time.Duration // since the order
+	EndedAt     time.Duration // since the start; 0 if still running at the deadline
 	Reason      string
 	Exposed     float64 // requests to the new version before the deadline
-	Over        float64 // largest excess of Exposed over the bound at any time
+	Over        float64 // largest excess of Exposed over Bounds.Share of all requests plus Bounds.Slack; 0 if never exceeded
 	LastSend    time.Duration
 	FiftiethBad time.Duration // time of the new version's 50th bad answer; 0 if there was none
 	BadAnswers  int           // bad answers caused by the new version
@@ -74,7 +74,7 @@
 	new         []*target
 	inFlight    answers
 	crashes     []crash
-	badFrom     time.Duration
+	badFrom     time.Duration // start of the version's fault, for Later
 	badRoute    string        // affected route, for OneRoute
 	badLoad     float64       // requests in flight at a target from which it is bad, for Loaded
 	partialFrom time.Duration // start of the partial failures
--- a/scores/scores.go
+++ b/scores/scores.go
@@ -12,7 +12,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Day is the result of one benchmark day.
+// Day is the result of one benchmark day, a scenario of load and faults.
 type Day struct {
 	Name      string             `json:"name"`
 	Value     float64            `json:"G"`
--- a/scores/write.go
+++ b/scores/write.go
@@ -7,8 +7,9 @@
 	"text/template"
 )
 
-// WriteTable writes a Markdown table per site, with a row per day and a column
-// per run. A star marks days with violated rules.
+// WriteTable writes a Markdown table per site, with a row per day, a column with the
+// value of a full score in the newest run, and a column per run. A star marks days with
+// violated rules. Each site must have a run.
 func WriteTable(w io.Writer, sites []Site) error {
 	var b strings.Builder
 	for i := range sites {
@@ -43,7 +44,8 @@
 	return fmt.Sprintf("%.3f", *v)
 }
 
-// Dimensions of the plot, in pixels.
+// Dimensions in pixels: width of the plot, height and margin of a chart, and height of
+// a line of a legend.
 const (
 	plotWidth  = 640
 	plotHeight = 220
@@ -85,7 +87,7 @@
 {{end}}</svg>
 `))
 
-// WritePlot writes an SVG image with one chart per site.
+// WritePlot writes an SVG image with one chart per site. Each site must have a run.
 func WritePlot(w io.Writer, sites []Site) error {
 	page := struct {
 		Width, Height int
--- a/serve/entry.go
+++ b/serve/entry.go
@@ -26,9 +26,9 @@
 const (
 	connCloseDelay = 2500 * time.Millisecond // from then on connections are closed after each response
 	rejectDelay    = 3 * time.Second         // from then on new requests are rejected
-	killMargin     = 300 * time.Millisecond  // left between the shutdown deadline and the kill
-	connCloseShare = 0.6                     // of the shutdown deadline, instead of a longer connCloseDelay
-	rejectShare    = 0.75                    // of the shutdown deadline, instead of a longer rejectDelay
+	killMargin     = 300 * time.Millisecond  // between the shutdown deadline and the platform's kill at the end of the grace period
+	connCloseShare = 0.6                     // upper limit of connCloseDelay, as a fraction of the shutdown deadline
+	rejectShare    = 0.75                    // upper limit of rejectDelay, as a fraction of the shutdown deadline
 )
 
 // shutdownSchedule holds the steps of a graceful shutdown, measured from the
@@ -45,8 +45,8 @@
 	return shutdownSchedule{closeConns: min(connCloseDelay, fraction(connCloseShare)), reject: min(rejectDelay, fraction(rejectShare)), deadline: deadline}
 }
 
-// Upper limits for client connections; the configuration can only lower the
-// timeouts.
+// Limits of the process's HTTP servers. For client connections, the configuration can
+// lower the timeouts.
 const (
 	headerTimeout  = 10 * time.Second
 	idleTimeout    = 2 * time.Minute
@@ -61,7 +61,8 @@
 	maxListWait = 10 * time.Second
 )
 
-// tracesFile stores the locations of the KV-cache copies of runs across restarts.
+// tracesFile is the file in the data directory in which an entry keeps the locations of
+// the KV-cache copies of runs across restarts.
 const tracesFile = "traces"
 
 // entry is the part of a process that serves clients.
@@ -193,8 +194,8 @@
 	}
 }
 
-// priorRunFinder returns a function that asks other nodes about earlier runs of a prompt
-// key. For a resumed request it also asks other regions, since the earlier run may be in
+// priorRunFinder returns a function that asks other nodes about earlier runs with a prompt
+// key, which is the same whenever a request is sent again. For a resumed request it also asks other regions, since the earlier run may be in
 // any of them.
 func priorRunFinder(sharer *loadshare.Sharer) func(ctx context.Context, key string, resumed bool) {
 	return func(ctx context.Context, key string, resumed bool) {
@@ -220,8 +221,8 @@
 }
 
 // leaseCheck returns a function that reports whether new requests may be accepted.
-// It returns nil (no check) unless FailClosed is set, in which case a node without
-// contact to the control group rejects new requests.
+// It returns nil (no check) unless FailClosed is set. Then a node whose lease from the
+// control group has expired rejects new requests.
 func (p *Process) leaseCheck() func() bool {
 	if !p.settings.FailClosed {
 		return nil
--- a/serve/metrics.go
+++ b/serve/metrics.go
@@ -55,8 +55,8 @@
 	}
 }
 
-// writeVersions writes the revision of the service versions that an entry knows,
-// and its request counts per version in the active roll-outs.
+// writeVersions writes the revision of the newest roll-out records that an entry has
+// received, and its request counts per version in the active roll-outs.
 func writeVersions(w io.Writer, a *rollout.Agent) {
 	fmt.Fprintf(w, "walnutramp_versions_revision %d\n", a.Revision())
 	byVersion := map[[2]string]rollout.Counts{}
@@ -76,7 +76,7 @@
 }
 
 // writeSharing writes the metrics of an entry's exchange of run state with other
-// entries, and of what it relays for them.
+// entries, of what it relays for them, and of the retries that they lend each other.
 func writeSharing(w io.Writer, s loadshare.Stats) {
 	relayed := 0
 	if s.Relayed {
--- a/standin/token.go
+++ b/standin/token.go
@@ -13,8 +13,8 @@
 )
 
 // Bit layout of an output token ID, from the highest bit: a marker, the offset in
-// the output, the nonce of the stream that generated it, and a checksum over all
-// preceding tokens. A prompt token ID holds up to four bytes of text and has no
+// the output (modulo 2^offsetBits), the nonce of the stream that generated it, and a
+// checksum over the nonce and all preceding tokens. A prompt token ID holds up to four bytes of text and has no
 // marker.
 const (
 	checkBits  = 26
@@ -32,8 +32,8 @@
 
 var outputDigits = base32.NewEncoding("abcdefghijkmnpqrstuvwxyz23456789").WithPadding(base32.NoPadding)
 
-// chain is a running hash over a token sequence and the number of output tokens at
-// its end.
+// chain is a running hash over a token sequence, and the number of output tokens since
+// its last prompt token.
 type chain struct {
 	hash    uint64
 	outputs int
@@ -121,12 +121,14 @@
 // Verdict is the result of checking an output.
 type Verdict struct {
 	Tokens   int // tokens checked
-	Missing  int // tokens skipped
+	Missing  int // tokens skipped, by their offsets
 	Repeated int // tokens repeated
 	Mixed    int // tokens that do not continue the preceding output, or are malformed
 }
 
-// OK reports whether the output has each token once, in order, from one generation.
+// OK reports whether the output has each token once, in order, from one generation. The
+// generation may have been resumed, in streams with different nonces. Tokens missing at
+// the end are not detected; compare Tokens for that.
 func (v Verdict) OK() bool { return v.Missing == 0 && v.Repeated == 0 && v.Mixed == 0 }
 
 // Add adds the counts of w to v.
