--- a/control/state_test.go
+++ b/control/state_test.go
@@ -75,6 +75,7 @@
 	require.Len(t, deltas, 1)
 	_, _, whole, _ = s.updateSince(0)
 	require.NotNil(t, whole, "a node without a document gets the whole one")
+	// A requester ahead of this member gets nothing.
 	_, _, whole, _ = s.updateSince(40000)
 	require.Nil(t, whole)
 }
--- a/duty/lease_test.go
+++ b/duty/lease_test.go
@@ -32,7 +32,7 @@
 	l := leaseOf(granted(Record{}, 5, a))
 	p, ok := l.Permission(at(100))
 	require.True(t, ok)
-	require.Equal(t, Permission{Holder: "node-a", Token: 5, Until: at(2700)}, p)
+	require.Equal(t, Permission{Holder: "node-a", Token: 5, Until: at(2700)}, p) // Lease less Slack
 	require.True(t, permitted(l, at(2699)))
 	require.False(t, permitted(l, at(2700)))
 
