--- a/balance/silence.go
+++ b/balance/silence.go
@@ -13,8 +13,9 @@
 // OnUnresponsive sets the function called when a target becomes unresponsive.
 func (t *Tracker) OnUnresponsive(f func()) { t.onUnresponsive = f }
 
-// RecordUnresponsive records that the target does not answer, and implies Broke. unreachable says
-// that the target answers nothing at all; otherwise the run may only have been preempted.
+// RecordUnresponsive records that the target does not answer, and implies RecordFailure.
+// unreachable says that the target answers nothing at all; otherwise the run may only have
+// been preempted.
 func (t *Target) RecordUnresponsive(unreachable bool) {
 	t.tracker.mu.Lock()
 	t.addUnresponsive()
@@ -60,9 +61,9 @@
 	t.onUnresponsive()
 }
 
-// UnresponsiveSince reports whether, since a time, this node found the target unreachable or
-// most likely its whole data hall became unresponsive. It is false if the target has
-// answered this node after that time.
+// UnresponsiveSince reports whether, since a time, this node found the target
+// unreachable or most likely its whole data hall became unresponsive. It is false if
+// the target has answered this node after that time.
 func (t *Target) UnresponsiveSince(since time.Time) bool {
 	t.tracker.mu.Lock()
 	defer t.tracker.mu.Unlock()
--- a/control/keeper.go
+++ b/control/keeper.go
@@ -18,17 +18,17 @@
 	joinInterval       = 250 * time.Millisecond
 	joinTimeout        = 500 * time.Millisecond
 	joinRequestTTL     = 2 * time.Second         // since the last join request
-	replaceAfter       = 1500 * time.Millisecond // a voter silent for longer is replaced by a learner that has caught up
+	replaceAfter       = 1500 * time.Millisecond // a voter unresponsive for longer is replaced by a learner that has caught up
 	changeTimeout      = 2 * time.Second
-	suspectAfter       = 500 * time.Millisecond  // a voter silent for longer may have failed
-	removeAfter        = 2500 * time.Millisecond // a voter silent for longer is removed without a replacement
+	suspectAfter       = 500 * time.Millisecond  // a voter unresponsive for longer may have failed
+	removeAfter        = 2500 * time.Millisecond // a voter unresponsive for longer is removed without a replacement
 	minVoters          = 2                       // no voter is replaced at or below this number
 	sufficientVoters   = 3                       // no voter is removed without a replacement at or below this number
 )
 
 // MembershipManager manages the group's membership on the leader, one change at a time. No
 // change needs the vote of a failed member. A joining node is added as a learner
-// and becomes a voter once it has caught up. If a voter is silent by then, it is
+// and becomes a voter once it has caught up. If a voter is unresponsive by then, it is
 // removed first, so that the group does not accumulate failed members. A failed
 // voter above sufficientVoters is removed without a replacement. A member that was
 // only partitioned joins again as a learner.
@@ -45,31 +45,31 @@
 	requestedAt time.Time
 }
 
-// NewMembershipManager returns a keeper for a member.
+// NewMembershipManager returns a MembershipManager for a member.
 func NewMembershipManager(node walnutramp.NodeName, m *consensus.Member) *MembershipManager {
 	return &MembershipManager{member: m, node: node, joinRequests: map[walnutramp.NodeName]joinRequest{}}
 }
 
 // requestJoin records a node's request to join.
-func (k *MembershipManager) requestJoin(args JoinArgs) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.joinRequests[args.Node] = joinRequest{identity: args.Identity, requestedAt: time.Now()}
+func (m *MembershipManager) requestJoin(args JoinArgs) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.joinRequests[args.Node] = joinRequest{identity: args.Identity, requestedAt: time.Now()}
 }
 
 // Run changes the membership while this member leads, until ctx ends.
-func (k *MembershipManager) Run(ctx context.Context) {
+func (m *MembershipManager) Run(ctx context.Context) {
 	for pause.For(ctx, membershipInterval) {
-		if !k.member.Leads() {
+		if !m.member.Leads() {
 			continue
 		}
-		status := k.member.Status()
-		next, reason := k.step(status.Group, k.member.Followers())
+		status := m.member.Status()
+		next, reason := m.step(status.Group, m.member.Followers())
 		if reason == "" {
 			continue
 		}
 		changeCtx, cancel := context.WithTimeout(ctx, changeTimeout)
-		reply := k.member.Change(changeCtx, next)
+		reply := m.member.Change(changeCtx, next)
 		cancel()
 		klog.InfoS("Group changed", "why", reason, "term", status.Term, "members", next.Nodes(), "counted", next.Counted(), "code", int(reply.Code))
 	}
@@ -77,8 +77,8 @@
 
 // step returns the next membership and the reason for the change, which is empty if
 // there is none to make now.
-func (k *MembershipManager) step(g consensus.Group, followers []consensus.FollowerStatus) (consensus.Group, string) {
-	for node, request := range k.pendingJoins() {
+func (m *MembershipManager) step(g consensus.Group, followers []consensus.FollowerStatus) (consensus.Group, string) {
+	for node, request := range m.pendingJoins() {
 		known, ok := g.Find(node)
 		switch {
 		case ok && known.Identity == request.identity:
@@ -88,18 +88,18 @@
 		}
 		return g.With(consensus.Voter{Node: node, Identity: request.identity, Learner: true}), "node joins"
 	}
-	silent, silence := silentVoter(followers)
-	if silence > removeAfter && g.Counted() > sufficientVoters {
-		return g.Without(silent.Node), "voter silent"
+	unresponsive, since := unresponsiveVoter(followers)
+	if since > removeAfter && g.Counted() > sufficientVoters {
+		return g.Without(unresponsive.Node), "voter silent"
 	}
 	learner, ok := caughtUp(followers)
 	if !ok {
 		return g, ""
 	}
-	if silence > replaceAfter && g.Counted() > minVoters {
-		return g.Without(silent.Node), "voter silent, replacement caught up"
+	if since > replaceAfter && g.Counted() > minVoters {
+		return g.Without(unresponsive.Node), "voter silent, replacement caught up"
 	}
-	if silence > suspectAfter && silence <= replaceAfter {
+	if since > suspectAfter && since <= replaceAfter {
 		return g, "" // that voter may have failed: wait, so that the group does not grow
 	}
 	learner.Learner = false
@@ -107,13 +107,13 @@
 }
 
 // pendingJoins returns the join requests that have not expired.
-func (k *MembershipManager) pendingJoins() map[walnutramp.NodeName]joinRequest {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+func (m *MembershipManager) pendingJoins() map[walnutramp.NodeName]joinRequest {
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	pending := map[walnutramp.NodeName]joinRequest{}
-	for node, request := range k.joinRequests {
+	for node, request := range m.joinRequests {
 		if time.Since(request.requestedAt) > joinRequestTTL {
-			delete(k.joinRequests, node)
+			delete(m.joinRequests, node)
 			continue
 		}
 		pending[node] = request
@@ -131,8 +131,8 @@
 	return consensus.Voter{}, false
 }
 
-// silentVoter returns the voter that has been silent longest, and for how long.
-func silentVoter(followers []consensus.FollowerStatus) (consensus.Voter, time.Duration) {
+// unresponsiveVoter returns the voter that has been unresponsive longest, and for how long.
+func unresponsiveVoter(followers []consensus.FollowerStatus) (consensus.Voter, time.Duration) {
 	var longest consensus.FollowerStatus
 	for _, f := range followers {
 		if !f.Voter.Learner && f.Unresponsive > longest.Unresponsive {
--- a/fleet/demand.go
+++ b/fleet/demand.go
@@ -8,7 +8,7 @@
 
 // Aggregator aggregates the demand reports of all nodes. Reports are cumulative, so
 // duplicated and lost reports do not distort the totals. The first report of a
-// process only sets its baseline, since most of it predates the tally.
+// process only sets its baseline, since most of it predates the Aggregator.
 type Aggregator struct {
 	nodes map[string]*nodeDemand
 	total map[string]Demand // by service
@@ -16,24 +16,24 @@
 
 // nodeDemand is the last report of a node's current process.
 type nodeDemand struct {
-	life uint64
-	rows map[string]Demand // by service
+	incarnation uint64
+	rows        map[string]Demand // by service
 }
 
-// NewAggregator returns an empty tally.
+// NewAggregator returns an empty Aggregator.
 func NewAggregator() *Aggregator {
 	return &Aggregator{nodes: map[string]*nodeDemand{}, total: map[string]Demand{}}
 }
 
-// Merge merges a node's report; life identifies its process.
-func (t *Aggregator) Merge(node string, life uint64, rows []Demand) {
-	n := t.nodes[node]
-	if n == nil || n.life != life {
-		n = &nodeDemand{life: life, rows: map[string]Demand{}}
+// Merge merges a node's report; incarnation identifies its process.
+func (a *Aggregator) Merge(node string, incarnation uint64, rows []Demand) {
+	n := a.nodes[node]
+	if n == nil || n.incarnation != incarnation {
+		n = &nodeDemand{incarnation: incarnation, rows: map[string]Demand{}}
 		for _, row := range rows {
 			n.rows[row.Service] = row
 		}
-		t.nodes[node] = n
+		a.nodes[node] = n
 	}
 	for _, row := range rows {
 		before := n.rows[row.Service]
@@ -41,24 +41,24 @@
 			continue // reordered report, older than the last one
 		}
 		n.rows[row.Service] = row
-		total := t.total[row.Service]
+		total := a.total[row.Service]
 		total.Add(row.since(before))
-		t.total[row.Service] = total
+		a.total[row.Service] = total
 	}
 }
 
 // Total returns the totals, sorted by service. They never decrease.
-func (t *Aggregator) Total() []Demand {
-	total := make([]Demand, 0, len(t.total))
-	for _, service := range slices.Sorted(maps.Keys(t.total)) {
-		total = append(total, t.total[service])
+func (a *Aggregator) Total() []Demand {
+	total := make([]Demand, 0, len(a.total))
+	for _, service := range slices.Sorted(maps.Keys(a.total)) {
+		total = append(total, a.total[service])
 	}
 	return total
 }
 
 // Of returns the total of a service; false if no node has reported it.
-func (t *Aggregator) Of(service string) (Demand, bool) {
-	d, known := t.total[service]
+func (a *Aggregator) Of(service string) (Demand, bool) {
+	d, known := a.total[service]
 	return d, known
 }
 
--- a/gateway/ask.go
+++ b/gateway/ask.go
@@ -11,7 +11,7 @@
 	"k8s.io/klog/v2"
 )
 
-// Backpressure are the backpressure signals in a target's answer.
+// Backpressure holds the backpressure signals of a target's answer.
 type Backpressure struct {
 	// Cooldown is the cooldown that the target requests; 0 for none.
 	Cooldown time.Duration
@@ -95,24 +95,24 @@
 		return nil, err
 	}
 	g.applyLoad(t, answer.Header)
-	g.applySigns(t, r.Identity, answer)
+	g.applyBackpressure(t, r.Identity, answer)
 	return answer, nil
 }
 
-// applySigns applies the backpressure signals of an answer to its target.
-func (g *Gateway) applySigns(t *balance.Target, request string, a *targetconn.Answer) {
+// applyBackpressure applies the backpressure signals of an answer to its target.
+func (g *Gateway) applyBackpressure(t *balance.Target, request string, a *targetconn.Answer) {
 	if g.cfg.Names.ParseBackpressure == nil {
 		return
 	}
-	signs := g.cfg.Names.ParseBackpressure(a.Status, a.Header)
-	if signs.Cooldown > 0 {
-		t.StartCooldown(signs.Cooldown)
+	backpressure := g.cfg.Names.ParseBackpressure(a.Status, a.Header)
+	if backpressure.Cooldown > 0 {
+		t.StartCooldown(backpressure.Cooldown)
 		g.counters.cooldowns.Inc()
-		klog.InfoS("Target asks for rest", "request", request, "target", t.ID, "status", a.Status, "rest_ms", signs.Cooldown.Milliseconds())
+		klog.InfoS("Target asks for rest", "request", request, "target", t.ID, "status", a.Status, "rest_ms", backpressure.Cooldown.Milliseconds())
 	} else {
 		t.RecordResponse()
 	}
-	if signs.Draining && !t.Draining() {
+	if backpressure.Draining && !t.Draining() {
 		t.RecordDraining()
 		klog.InfoS("Target says that it leaves", "request", request, "target", t.ID)
 	}
--- a/loadshare/loadshare.go
+++ b/loadshare/loadshare.go
@@ -45,7 +45,7 @@
 
 	mu             sync.Mutex
 	peers          map[string]*net.UDPAddr
-	peersUpdatedAt time.Time                    // when SetPeers or PeersStill was last called
+	peersUpdatedAt time.Time                    // when SetPeers or ConfirmPeers was last called
 	absentSince    map[string]time.Time         // peers missing from the last SetPeers: when they were last listed
 	senders        map[string]*sender           // by address
 	layout         *layout                      // cached; nil if it must be recomputed
@@ -72,7 +72,7 @@
 // WithQuarantine sets the ledger whose crash reports nodes exchange.
 func WithQuarantine(l *quarantine.Ledger) Option { return func(s *Sharer) { s.ledger = l } }
 
-// New returns a sharer that sends and receives on conn once it runs. With WithMemory it
+// New returns a sharer that sends and receives on conn once it runs. With WithStateFile it
 // restores the state file.
 func New(conn net.PacketConn, tracker *balance.Tracker, budgets *balance.Budgets, opts ...Option) *Sharer {
 	s := &Sharer{
@@ -331,12 +331,12 @@
 		return
 	}
 	n := localState{runs: s.tracker.Runs(), ended: s.tracker.Ended(), suspects: s.tracker.Suspects(),
-		silent: s.tracker.UnresponsiveTargets(), counts: s.budgets.Counts()}
+		unresponsive: s.tracker.UnresponsiveTargets(), counts: s.budgets.Counts()}
 	n.crashes = s.newCrashes(a)
 	if a.relays {
 		s.sendTraces(l, n.runs)
 		n.runs = withoutTraces(n.runs)
-		s.relayReport(l.own, n.runs, n.counts, targetEvents{ended: n.ended, suspects: n.suspects, silent: n.silent, crashes: n.crashes})
+		s.relayReport(l.own, n.runs, n.counts, targetEvents{ended: n.ended, suspects: n.suspects, unresponsive: n.unresponsive, crashes: n.crashes})
 	}
 	peers := s.peersOf(a, l)
 	now := uptime.Now()
@@ -360,9 +360,9 @@
 
 // newCrashes returns the crash reports not yet sent to a peer group.
 func (s *Sharer) newCrashes(a *peerGroup) []crashReport {
-	notes, newest := s.ledger.ReportsAfter(a.crashCursor)
+	crashes, newest := s.ledger.ReportsAfter(a.crashCursor)
 	a.crashCursor = newest
-	return encodeCrashes(notes)
+	return encodeCrashes(crashes)
 }
 
 // allCrashes returns the crash reports for a node that may have missed some.
@@ -490,7 +490,7 @@
 	}
 	crashes := s.mergeCrashes(m.Crashes)
 	if sameHall && s.currentLayout().relayed {
-		s.relayReport(from, runs, m.Counts, targetEvents{ended: m.Ended, suspects: m.Suspects, silent: m.Silent, crashes: crashes})
+		s.relayReport(from, runs, m.Counts, targetEvents{ended: m.Ended, suspects: m.Suspects, unresponsive: m.Silent, crashes: crashes})
 	} else if len(m.Counts) > 0 {
 		s.budgets.SetPeerCounts(from, m.Counts)
 	}
--- a/rollout/agent_test.go
+++ b/rollout/agent_test.go
@@ -74,18 +74,18 @@
 // total.
 func TestNodesSendPermittedShareInTotal(t *testing.T) {
 	const nodes, requests, share = 300, 7, 0.05
-	drawn := 0
+	selected := 0
 	for i := range nodes {
 		n := newTestNode(uint64(i))
 		n.SetView(running(1))
 		n.SetPermits(permit(share), n.now)
 		for range requests {
 			if n.SelectCanary("s", "r") {
-				drawn++
+				selected++
 			}
 		}
 	}
-	require.InDelta(t, share*nodes*requests, drawn, 30)
+	require.InDelta(t, share*nodes*requests, selected, 30)
 }
 
 func TestUndoReturnsCreditWithoutBurst(t *testing.T) {
@@ -98,16 +98,16 @@
 		}
 	}
 	require.True(t, n.SelectCanary("s", "r"))
-	drawn := 0
+	selected := 0
 	for range 100 {
 		if n.SelectCanary("s", "r") {
-			drawn++
+			selected++
 		}
 	}
-	require.InDelta(t, 50, drawn, 3, "accumulated credit must not cause a burst")
+	require.InDelta(t, 50, selected, 3, "accumulated credit must not cause a burst")
 }
 
-func TestReportIsIncrementalAndFullForNewJudge(t *testing.T) {
+func TestReportIsIncrementalAndFullForNewEvaluator(t *testing.T) {
 	n := newTestNode(1)
 	require.Nil(t, n.Begin(Key{Service: "s"}), "no rollout")
 	n.SetView(running(1))
@@ -130,21 +130,21 @@
 	require.Len(t, changed, 1)
 	require.Equal(t, "t", changed[0].Key.Target)
 	require.EqualValues(t, 2, changed[0].Counts.Answered())
-	require.Len(t, n.Report(6), 2, "full report for another judge")
+	require.Len(t, n.Report(6), 2, "full report for another evaluator")
 	n.ResetReport()
 	require.Len(t, n.Report(6), 2, "full report after a lost one")
 
-	tally := NewAggregator()
-	require.Len(t, tally.Merge("n", 1, all), 2)
-	fresh := tally.Merge("n", 1, changed)
+	aggregator := NewAggregator()
+	require.Len(t, aggregator.Merge("n", 1, all), 2)
+	fresh := aggregator.Merge("n", 1, changed)
 	require.Len(t, fresh, 1)
 	require.EqualValues(t, 1, fresh[0].Counts.Answered())
-	require.Empty(t, tally.Merge("n", 1, all[:0]))
-	tally.Merge("n", 2, all) // restarted node
-	sums := tally.Sums("s")
+	require.Empty(t, aggregator.Merge("n", 1, all[:0]))
+	aggregator.Merge("n", 2, all) // restarted node
+	sums := aggregator.Sums("s")
 	require.EqualValues(t, 3, sums[changed[0].Key].Lost+sums[changed[0].Key].Failed)
-	tally.Forget("s")
-	require.Empty(t, tally.Sums("s"))
+	aggregator.Forget("s")
+	require.Empty(t, aggregator.Sums("s"))
 }
 
 // Guards against a slow version going undetected because its requests are not
--- a/rollout/experiment/play.go
+++ b/rollout/experiment/play.go
@@ -14,14 +14,15 @@
 	"github.com/walnutramp/walnutramp/rollout"
 )
 
-// Parameters of the simulation; times match those of the real processes.
+// Parameters of the simulation. reportPeriod and decisionPeriod are those of package
+// control.
 const (
 	reportPeriod     = 200 * time.Millisecond
 	decisionPeriod   = 100 * time.Millisecond
-	viewDelay        = 60 * time.Millisecond // until most nodes have a new view
+	viewDelay        = 60 * time.Millisecond // until a change of the rollout's record reaches the nodes
 	targetBoot       = 1500 * time.Millisecond
 	crashDuration    = 1200 * time.Millisecond
-	partialShare     = 0.15 // of the targets that have partial failures, under Troubles.Grey
+	partialShare     = 0.15 // of the targets that have partial failures, under Faults.Grey
 	partialErrorRate = 0.4
 	partialDuration  = 5 * time.Second
 	tick             = 10 * time.Millisecond
@@ -36,8 +37,7 @@
 	eventInterval = 120 * time.Millisecond
 	// maxRetries limits the retries of a request.
 	maxRetries = 2
-	// stopWithinAfter is the number of bad answers from which Bounds.StopWithin
-	// counts.
+	// Bounds.StopWithin starts at the new version's bad answer of this number.
 	stopWithinAfter = 50
 	// hallLossKnown is the share of answers lost in a data hall outage that the
 	// node attributes to the outage.
@@ -47,10 +47,10 @@
 // Outcome is the result of one simulated rollout.
 type Outcome struct {
 	State       rollout.State // state at the deadline
-	EndedAt     time.Duration // since the order
+	EndedAt     time.Duration // since the start; 0 if still running at the deadline
 	Reason      string
 	Exposed     float64 // requests to the new version before the deadline
-	Over        float64 // largest excess of Exposed over the bound at any time
+	Over        float64 // largest excess of Exposed over Bounds.Share of all requests plus Bounds.Slack; 0 if never exceeded
 	LastSend    time.Duration
 	FiftiethBad time.Duration // time of the new version's 50th bad answer; 0 if there was none
 	BadAnswers  int           // bad answers caused by the new version
@@ -74,13 +74,13 @@
 	new         []*target
 	inFlight    answers
 	crashes     []crash
-	badFrom     time.Duration
+	badFrom     time.Duration // start of the version's fault, for Later
 	badRoute    string        // affected route, for OneRoute
 	badLoad     float64       // requests in flight at a target from which it is bad, for Loaded
 	partialFrom time.Duration // start of the partial failures
 
-	tally      *rollout.Aggregator
-	judge      *rollout.Evaluator
+	aggregator *rollout.Aggregator
+	evaluator  *rollout.Evaluator
 	record     rollout.Record
 	step       rollout.Step
 	shiftedAt  time.Duration
@@ -108,8 +108,8 @@
 
 // Simulate simulates one rollout of a version on a site. The same seed gives
 // the same outcome.
-func Simulate(site Site, v Version, troubles Faults, policy rollout.Policy, seed uint64) Outcome {
-	sim := newSimulation(site, v, troubles, policy, seed)
+func Simulate(site Site, v Version, faults Faults, policy rollout.Policy, seed uint64) Outcome {
+	sim := newSimulation(site, v, faults, policy, seed)
 	for sim.now = 0; sim.now < site.Duration; sim.now += tick {
 		sim.deliver()
 		sim.decide()
@@ -120,9 +120,9 @@
 	return sim.out
 }
 
-func newSimulation(site Site, v Version, troubles Faults, policy rollout.Policy, seed uint64) *simulation {
-	sim := &simulation{site: site, version: v, rng: rand.New(rand.NewPCG(seed, 31)), begin: time.Unix(0, 0), tally: rollout.NewAggregator(),
-		judge: rollout.NewEvaluator(policy, site.Duration)}
+func newSimulation(site Site, v Version, faults Faults, policy rollout.Policy, seed uint64) *simulation {
+	sim := &simulation{site: site, version: v, rng: rand.New(rand.NewPCG(seed, 31)), begin: time.Unix(0, 0), aggregator: rollout.NewAggregator(),
+		evaluator: rollout.NewEvaluator(policy, site.Duration)}
 	sim.record = rollout.Record{Service: service, InForce: []string{oldVersion}, Number: 1, Target: newVersion, State: rollout.Running, Duration: site.Duration}
 	for i := range site.Nodes {
 		sim.agents = append(sim.agents, rollout.NewAgent(seed*1000+uint64(i), rollout.WithClock(sim.clock)))
@@ -131,10 +131,10 @@
 		sim.old = append(sim.old, &target{id: fmt.Sprint("o", i), hall: i % site.Halls})
 		sim.new = append(sim.new, &target{id: fmt.Sprint("n", i), hall: i % site.Halls, new: true})
 	}
-	if troubles.Grey {
+	if faults.Grey {
 		sim.addPartialFailures()
 	}
-	if troubles.Crashes {
+	if faults.Crashes {
 		for range 2 {
 			sim.crashes = append(sim.crashes, crash{hall: sim.rng.IntN(site.Halls), from: time.Duration(sim.rng.Float64() * float64(site.Duration))})
 		}
@@ -181,8 +181,8 @@
 	if sim.record.State != rollout.Running || sim.now%decisionPeriod != 0 {
 		return
 	}
-	s := rollout.PlanInput{Record: sim.record, Elapsed: sim.now, ShiftedAt: sim.shiftedAt, Sums: sim.tally.Sums(service), Streams: sim.site.Streams,
-		OldSlots: sim.site.Targets, Verdict: sim.judge.Verdict()}
+	s := rollout.PlanInput{Record: sim.record, Elapsed: sim.now, ShiftedAt: sim.shiftedAt, Sums: sim.aggregator.Sums(service), Streams: sim.site.Streams,
+		OldSlots: sim.site.Targets, Verdict: sim.evaluator.Verdict()}
 	if sim.now >= targetBoot {
 		s.NewSlots = sim.site.Targets
 	}
@@ -208,14 +208,14 @@
 	if sim.record.State != rollout.Running {
 		return
 	}
-	late := sim.judge.SlowThresholds()
+	late := sim.evaluator.SlowThresholds()
 	for i, a := range sim.agents {
 		offset := time.Duration(i%int(reportPeriod/tick)) * tick
 		if sim.now%reportPeriod != offset {
 			continue
 		}
-		increments := sim.tally.Merge(strconv.Itoa(i), 1, a.Report(1))
-		sim.judge.Add(sim.now, newVersion, increments)
+		increments := sim.aggregator.Merge(strconv.Itoa(i), 1, a.Report(1))
+		sim.evaluator.Add(sim.now, newVersion, increments)
 		a.SetPermits([]rollout.Permit{{Service: service, Number: 1, Shares: sim.step.Shares, Other: sim.step.Other, Focus: sim.step.Focus, Late: late, For: rollout.PermitLife}}, sim.clock())
 	}
 }
@@ -242,8 +242,8 @@
 func (sim *simulation) send(node, routeNumber, tries int) {
 	route := sim.site.Routes[routeNumber]
 	agent := sim.agents[node]
-	drawn := (tries == 0 || agent.Shifted(service)) && sim.now >= targetBoot && agent.SelectCanary(service, route.Name)
-	at := sim.pick(agent, drawn)
+	canary := (tries == 0 || agent.Shifted(service)) && sim.now >= targetBoot && agent.SelectCanary(service, route.Name)
+	at := sim.pick(agent, canary)
 	sim.requests++
 	if at.new {
 		sim.expose(at)
@@ -259,16 +259,16 @@
 	heap.Push(&sim.inFlight, a)
 }
 
-// pick selects a target of a version that the agent allows. Drawn means that the
+// pick selects a target of a version that the agent allows. Canary means that the
 // request was selected for the new version, whose targets are then limited to the
 // agent's focus.
-func (sim *simulation) pick(agent *rollout.Agent, drawn bool) *target {
-	versions := agent.Versions(service, drawn)
+func (sim *simulation) pick(agent *rollout.Agent, canary bool) *target {
+	versions := agent.Versions(service, canary)
 	if !versions.Has(newVersion) {
 		return sim.old[sim.rng.IntN(len(sim.old))]
 	}
 	focus := agent.Focus(service)
-	if focus.Part >= 1 || !drawn {
+	if focus.Part >= 1 || !canary {
 		return sim.new[sim.rng.IntN(len(sim.new))]
 	}
 	if sim.focused == nil || sim.focusRound != focus.Round {
